--- a/crates/zinniahatch_base/src/domain.rs
+++ b/crates/zinniahatch_base/src/domain.rs
@@ -1,14 +1,14 @@
-//! The macro that gives domain types their common derives.
+//! Macros that define domain types with their common derives.
 
-/// Derives the set of traits that every domain type has.
+/// Defines types with the set of derives that every domain type has.
 ///
 /// # Examples
 ///
 /// ```
 /// zinniahatch_base::domain! {
-///     /// A pair.
+///     /// A pair of slots.
 ///     pub struct SlotPair {
-///         /// The first.
+///         /// The first slot.
 ///         pub first: u8,
 ///     }
 /// }
@@ -25,50 +25,50 @@
     };
 }
 
-/// Derives what a field-less enum of settings needs and gives it its text form.
+/// Defines a field-less enum with a text form for each variant, as used in settings.
 ///
 /// # Examples
 ///
 /// ```
-/// zinniahatch_base::word_enum! {
+/// zinniahatch_base::string_enum! {
 ///     /// A side.
-///     pub enum SideWord { Left = "left", Right = "right" }
+///     pub enum Side { Left = "left", Right = "right" }
 /// }
-/// assert_eq!(SideWord::parse("left"), Some(SideWord::Left));
-/// assert_eq!(SideWord::WORDS, "left, right");
+/// assert_eq!(Side::parse("left"), Some(Side::Left));
+/// assert_eq!(Side::NAMES, "left, right");
 /// ```
 #[macro_export]
-macro_rules! word_enum {
+macro_rules! string_enum {
     ($(#[$meta:meta])* pub enum $name:ident {
-        $($(#[$inner:meta])* $variant:ident = $word:literal),+ $(,)?
+        $($(#[$inner:meta])* $variant:ident = $text:literal),+ $(,)?
     }) => {
         $(#[$meta])*
         #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, ::serde::Serialize, ::serde::Deserialize)]
         #[serde(rename_all = "kebab-case")]
-        pub enum $name { $($(#[$inner])* #[doc = concat!("`", $word, "`.")] $variant),+ }
+        pub enum $name { $($(#[$inner])* #[doc = concat!("`", $text, "`.")] $variant),+ }
 
         impl $name {
-            /// Every word, for error messages.
-            pub const WORDS: &'static str = $crate::join_words!($($word),+);
+            /// All text forms, comma-separated, for error messages.
+            pub const NAMES: &'static str = $crate::join_literals!($($text),+);
 
-            /// Reads the text form.
-            pub fn parse(word: &str) -> Option<Self> {
-                match word {
-                    $($word => Some(Self::$variant),)+
+            /// Parses the text form.
+            pub fn parse(text: &str) -> Option<Self> {
+                match text {
+                    $($text => Some(Self::$variant),)+
                     _ => None,
                 }
             }
 
-            /// Gives the text form.
-            pub const fn word(self) -> &'static str {
-                match self { $(Self::$variant => $word),+ }
+            /// Returns the text form.
+            pub const fn as_str(self) -> &'static str {
+                match self { $(Self::$variant => $text),+ }
             }
         }
     };
 }
 
-/// Joins literals with commas at compile time.
+/// Joins string literals with commas at compile time.
 #[macro_export]
-macro_rules! join_words {
+macro_rules! join_literals {
     ($first:literal $(, $rest:literal)*) => { concat!($first $(, ", ", $rest)*) };
 }
--- a/crates/zinniahatch_base/src/lib.rs
+++ b/crates/zinniahatch_base/src/lib.rs
@@ -1,4 +1,4 @@
-//! Ids, result codes and macros that every crate of the gateway shares.
+//! Ids, result codes, digests and macros shared by every crate of the gateway.
 
 mod digest;
 mod domain;
@@ -11,7 +11,7 @@
 pub use digest::account_tag;
 pub use digest::digest_fields;
 pub use digest::digest_text;
-pub use digest::rank_member;
+pub use digest::rendezvous_rank;
 pub use digest::tag_of;
 pub use ids::AccountId;
 pub use ids::AccountTag;
--- a/crates/zinniahatch_base/src/prelude.rs
+++ b/crates/zinniahatch_base/src/prelude.rs
@@ -1,4 +1,4 @@
-//! The types that nearly every module uses.
+//! Types that nearly every module imports.
 
 pub use crate::AccountId;
 pub use crate::AccountTag;
@@ -23,8 +23,8 @@
 pub use crate::ShortTag;
 pub use crate::StoreRevision;
 pub use crate::domain;
+pub use crate::string_enum;
 pub use crate::tag_of;
-pub use crate::word_enum;
 pub use std::collections::BTreeMap;
 pub use std::collections::BTreeSet;
 pub use std::time::Duration;
--- a/crates/zinniahatch_base/src/result_code.rs
+++ b/crates/zinniahatch_base/src/result_code.rs
@@ -1,23 +1,23 @@
-//! Numbered result codes: what became of a request.
+//! Numbered result codes that describe the outcome of a request.
 
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Says whether the backend server ran the request.
+/// Whether the backend server executed the request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Execution {
-    /// The request ran to its end.
+    /// The request ran to completion.
     Ran,
-    /// The request did not run and never will under this key.
+    /// The request did not run and will never run under this idempotency key.
     NotRun,
-    /// The request may have run; the system cannot know.
+    /// The request may or may not have run; the gateway cannot tell.
     Unknown,
 }
 
 impl Execution {
-    /// Gives the word that answers carry in the `x-zinnia-execution` header.
-    pub const fn word(self) -> &'static str {
+    /// Returns the value of the `x-zinnia-execution` response header.
+    pub const fn as_str(self) -> &'static str {
         match self {
             Self::Ran => "ran",
             Self::NotRun => "not-run",
@@ -28,32 +28,32 @@
 
 macro_rules! result_codes {
     ($($(#[$meta:meta])* $name:ident = $number:literal, $status:literal, $execution:ident, $text:literal;)+) => {
-        /// What became of a request; `docs/RESULTS.md` has the same table.
+        /// The outcome of a request; `docs/RESULTS.md` lists the same table.
         #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
         pub enum ResultCode { $(#[doc = $text] $name),+ }
 
         impl ResultCode {
-            /// Every code, in the order of its number.
+            /// Every code, in ascending order of number.
             pub const ALL: &'static [Self] = &[$(Self::$name),+];
 
-            /// Gives the number, which never changes its meaning.
+            /// Returns the number; the meaning of a number never changes.
             pub const fn number(self) -> u16 { match self { $(Self::$name => $number),+ } }
 
-            /// Finds a code by its number.
-            pub const fn of_number(number: u16) -> Option<Self> {
+            /// Looks up a code by its number.
+            pub const fn from_number(number: u16) -> Option<Self> {
                 match number { $($number => Some(Self::$name),)+ _ => None }
             }
 
-            /// Gives the HTTP status.
+            /// Returns the HTTP status.
             pub const fn status(self) -> u16 { match self { $(Self::$name => $status),+ } }
 
-            /// Says whether the request ran.
+            /// Returns whether the request was executed.
             pub const fn execution(self) -> Execution { match self { $(Self::$name => Execution::$execution),+ } }
 
-            /// Gives the sentence for callers.
+            /// Returns the sentence sent to callers.
             pub const fn text(self) -> &'static str { match self { $(Self::$name => $text),+ } }
 
-            /// Gives the name used as a label of counters.
+            /// Returns the name used as a metric label.
             pub const fn name(self) -> &'static str { match self { $(Self::$name => stringify!($name)),+ } }
         }
     };
--- a/crates/zinniahatch_base/src/revision.rs
+++ b/crates/zinniahatch_base/src/revision.rs
@@ -1,29 +1,31 @@
-//! The order of what the platform's store says.
+//! Revisions of the platform's key-value store and their order.
 
 use crate::domain;
 
-/// Bits of the number in the packed form; a store that writes 10,000 times a second fills them in 50 years.
+/// Bits of the number in the packed form; at 10,000 writes per second they overflow after 50 years.
 const NUMBER_BITS: u32 = 44;
 
 domain! {
-    /// A revision of the platform's store. A store that came back from an older copy gives its numbers out again, in
-    /// a later era; whatever it says then is newer than all that it said before.
+    /// A revision of the platform's key-value store.
+    ///
+    /// A store that was restored from an older backup assigns its numbers again, in a later era. Every
+    /// revision of the later era counts as newer than all revisions of the earlier one.
     #[derive(Copy, Eq, PartialOrd, Ord, Default)]
     pub struct StoreRevision {
-        /// How often the store has come back from a copy.
+        /// How many times the store has been restored from a backup.
         pub era: u64,
-        /// The number that it gave, which rises with each change within an era; 0 where there was none.
+        /// The number that the store assigned, increasing with each change within an era; 0 if none.
         pub number: u64,
     }
 }
 
 impl StoreRevision {
-    /// Gives one number that rises with the revision.
+    /// Packs the revision into one number that preserves its order.
     pub const fn packed(self) -> u64 {
         (self.era << NUMBER_BITS) | self.number
     }
 
-    /// Reads the packed form.
+    /// Unpacks the form that [`StoreRevision::packed`] returns.
     pub const fn unpack(packed: u64) -> Self {
         Self {
             era: packed >> NUMBER_BITS,
@@ -33,7 +35,7 @@
 }
 
 impl From<u64> for StoreRevision {
-    /// Makes a revision of a store that never came back from a copy.
+    /// Creates a revision of a store that was never restored from a backup.
     fn from(number: u64) -> Self {
         Self { era: 0, number }
     }
--- a/crates/zinniahatch_base/tests/results_page.rs
+++ b/crates/zinniahatch_base/tests/results_page.rs
@@ -1,4 +1,4 @@
-//! The page of result codes and the code agree.
+//! Checks that `docs/RESULTS.md` lists exactly the result codes in the code.
 
 use zinniahatch_base::ResultCode;
 
@@ -17,7 +17,7 @@
                 code.number(),
                 code.name(),
                 code.status(),
-                code.execution().word(),
+                code.execution().as_str(),
                 code.text()
             )
         })
--- a/crates/zinniahatch_change/src/desk.rs
+++ b/crates/zinniahatch_change/src/desk.rs
@@ -143,8 +143,8 @@
             match self.swap(&head, &fresh, read.stored).await {
                 Ok(PutOutcome::Done(_)) => return Ok(ChangeVerdict::Accepted(head.revision)),
                 Ok(PutOutcome::Conflict) => {}
-                Err(StoreError::Down(text)) => problem = text,
-                Err(StoreError::Lost(text)) => {
+                Err(StoreError::Unavailable(text)) => problem = text,
+                Err(StoreError::ResponseLost(text)) => {
                     lost_at = Some(read.stored);
                     problem = text;
                 }
@@ -165,7 +165,7 @@
             });
         };
         let head = serde_json::from_str(&value.value)
-            .map_err(|error| StoreError::Down(error.to_string().into()))?;
+            .map_err(|error| StoreError::Unavailable(error.to_string().into()))?;
         Ok(ReadHead {
             head,
             stored: value.revision,
@@ -246,10 +246,10 @@
             self.store
                 .put(&part_key(hash), text, None, None)
                 .await
-                .map_err(|error| StoreError::Down(error.to_string().into()))?;
+                .map_err(|error| StoreError::Unavailable(error.to_string().into()))?;
         }
         let text = serde_json::to_string(head)
-            .map_err(|error| StoreError::Down(error.to_string().into()))?;
+            .map_err(|error| StoreError::Unavailable(error.to_string().into()))?;
         self.store.put(HEAD_KEY, &text, Some(stored), None).await
     }
 }
--- a/crates/zinniahatch_change/tests/races.rs
+++ b/crates/zinniahatch_change/tests/races.rs
@@ -56,7 +56,7 @@
         tokio::task::yield_now().await;
         self.with(|data| {
             if data.down {
-                return Err(StoreError::Down("down".into()));
+                return Err(StoreError::Unavailable("down".into()));
             }
             Ok(data.values.get(key).map(|(revision, value)| StoredValue {
                 value: value.as_str().into(),
@@ -80,10 +80,10 @@
                 WriteFate::Answered
             };
             if data.down || fate == WriteFate::Refused {
-                return Err(StoreError::Down("down".into()));
+                return Err(StoreError::Unavailable("down".into()));
             }
             if fate == WriteFate::LostBefore {
-                return Err(StoreError::Lost("before".into()));
+                return Err(StoreError::ResponseLost("before".into()));
             }
             let current = data.values.get(key).map_or(0, |(revision, _)| *revision);
             if expect.is_some_and(|expect| expect != current) {
@@ -98,7 +98,7 @@
                     .push(serde_json::from_str(value).expect("the head is JSON"));
             }
             if fate == WriteFate::LostAfter {
-                Err(StoreError::Lost("after".into()))
+                Err(StoreError::ResponseLost("after".into()))
             } else {
                 Ok(PutOutcome::Done(revision))
             }
@@ -123,7 +123,7 @@
     }
 
     async fn grant_lease(&self, _: Duration) -> Result<StoreLease, StoreError> {
-        Err(StoreError::Down("no leases here".into()))
+        Err(StoreError::Unavailable("no leases here".into()))
     }
 
     async fn renew_lease(&self, _: &str) -> Result<bool, StoreError> {
--- a/crates/zinniahatch_config/src/operators.rs
+++ b/crates/zinniahatch_config/src/operators.rs
@@ -4,7 +4,7 @@
 use crate::section::SectionFile;
 use zinniahatch_base::prelude::*;
 
-word_enum! {
+string_enum! {
     /// What an operator may do; each role includes those before it.
     pub enum OperatorRole { View = "view", Switch = "switch", Accounts = "accounts", All = "all" }
 }
@@ -31,7 +31,7 @@
     for section in parsed.of_kinds(&["operator"])? {
         let operator = OperatorEntry {
             operator: section.name.clone(),
-            role: section.word("role", OperatorRole::WORDS, OperatorRole::parse, None)?,
+            role: section.word("role", OperatorRole::NAMES, OperatorRole::parse, None)?,
             team: section.maybe("team").unwrap_or_default(),
         };
         operators.insert(section.text("token_digest")?, operator);
--- a/crates/zinniahatch_config/src/services.rs
+++ b/crates/zinniahatch_config/src/services.rs
@@ -7,23 +7,23 @@
 
 const METHODS: [&str; 7] = ["GET", "HEAD", "POST", "PUT", "PATCH", "DELETE", "OPTIONS"];
 
-word_enum! {
+string_enum! {
     /// What stands behind a service.
     pub enum ServiceKind { Engine = "engine", Plain = "plain" }
 }
-word_enum! {
+string_enum! {
     /// Whether a request may leave the account's home region.
     pub enum BindingRule { Home = "home", Free = "free" }
 }
-word_enum! {
+string_enum! {
     /// Whether a request may be sent to a backend server more than once.
     pub enum RepeatRule { Repeatable = "repeatable", Once = "once" }
 }
-word_enum! {
+string_enum! {
     /// How urgent the work is.
     pub enum WorkKind { Interactive = "interactive", Long = "long" }
 }
-word_enum! {
+string_enum! {
     /// Whether a backend server refuses an order with an old fencing number.
     pub enum FencingRule { Checked = "checked", Ignored = "ignored" }
 }
@@ -110,14 +110,14 @@
 
 fn parse_service(section: &SectionReader) -> Result<ServiceEntry, ConfigError> {
     Ok(ServiceEntry {
-        kind: section.word("kind", ServiceKind::WORDS, ServiceKind::parse, None)?,
-        binding: section.word("binding", BindingRule::WORDS, BindingRule::parse, None)?,
-        repeat: section.word("repeat", RepeatRule::WORDS, RepeatRule::parse, None)?,
+        kind: section.word("kind", ServiceKind::NAMES, ServiceKind::parse, None)?,
+        binding: section.word("binding", BindingRule::NAMES, BindingRule::parse, None)?,
+        repeat: section.word("repeat", RepeatRule::NAMES, RepeatRule::parse, None)?,
         once_methods: parse_methods(section, "once_methods")?,
         bound_methods: parse_methods(section, "bound_methods")?,
         work: section.word(
             "work",
-            WorkKind::WORDS,
+            WorkKind::NAMES,
             WorkKind::parse,
             Some(WorkKind::Interactive),
         )?,
@@ -150,7 +150,7 @@
         slots: section.number("slots", None)?,
         fencing: section.word(
             "fencing",
-            FencingRule::WORDS,
+            FencingRule::NAMES,
             FencingRule::parse,
             Some(FencingRule::Checked),
         )?,
--- a/crates/zinniahatch_config/src/settings.rs
+++ b/crates/zinniahatch_config/src/settings.rs
@@ -8,7 +8,7 @@
 /// Fewest characters of the shared secret; shorter ones can be guessed.
 const SECRET_LENGTH: usize = 16;
 
-word_enum! {
+string_enum! {
     /// How a place for a request is chosen; all but the first are baselines to compare with.
     pub enum RouteRule { Score = "score", Home = "home", LeastLoaded = "least-loaded", RandomTwo = "random-two" }
 }
@@ -99,7 +99,7 @@
             route: match routing {
                 Some(section) => section.word(
                     "rule",
-                    RouteRule::WORDS,
+                    RouteRule::NAMES,
                     RouteRule::parse,
                     Some(RouteRule::Score),
                 )?,
--- a/crates/zinniahatch_control/src/cache.rs
+++ b/crates/zinniahatch_control/src/cache.rs
@@ -2,7 +2,7 @@
 
 use std::collections::VecDeque;
 use zinniahatch_base::prelude::*;
-use zinniahatch_base::rank_member;
+use zinniahatch_base::rendezvous_rank;
 
 /// Prefixes remembered; at some 60 bytes each, half a megabyte.
 const KEPT_PREFIXES: usize = 8_192;
@@ -80,5 +80,5 @@
     replicas: impl Iterator<Item = ShortTag>,
 ) -> Option<ShortTag> {
     let object = prefix?.to_string();
-    replicas.max_by_key(|replica| rank_member(&object, &replica.to_string()))
+    replicas.max_by_key(|replica| rendezvous_rank(&object, &replica.to_string()))
 }
--- a/crates/zinniahatch_control/src/held_pool.rs
+++ b/crates/zinniahatch_control/src/held_pool.rs
@@ -137,5 +137,5 @@
 
 /// Gives the tenant of a request: its account and its kind of work.
 pub(crate) fn tenant_of(ask: &PlaceAsk) -> ShortTag {
-    tag_of(&format!("{}/{}", ask.account, ask.work.word()))
+    tag_of(&format!("{}/{}", ask.account, ask.work.as_str()))
 }
--- a/crates/zinniahatch_control/src/members.rs
+++ b/crates/zinniahatch_control/src/members.rs
@@ -6,7 +6,7 @@
 use crate::limits::VOUCH_TIME;
 use std::collections::VecDeque;
 use zinniahatch_base::prelude::*;
-use zinniahatch_base::rank_member;
+use zinniahatch_base::rendezvous_rank;
 use zinniahatch_protocol::HeartbeatNote;
 use zinniahatch_protocol::NodeFrame;
 
@@ -307,5 +307,7 @@
 
 /// Gives the owner of an object among the owners.
 pub(crate) fn owner_of<'a>(object: &str, owners: &'a [NodeId]) -> Option<&'a NodeId> {
-    owners.iter().max_by_key(|name| rank_member(object, name))
+    owners
+        .iter()
+        .max_by_key(|name| rendezvous_rank(object, name))
 }
--- a/crates/zinniahatch_control/src/node.rs
+++ b/crates/zinniahatch_control/src/node.rs
@@ -19,7 +19,7 @@
 use crate::members::owner_of;
 use std::sync::Arc;
 use zinniahatch_base::prelude::*;
-use zinniahatch_base::rank_member;
+use zinniahatch_base::rendezvous_rank;
 use zinniahatch_config::ClusterConfig;
 use zinniahatch_config::ConfigHead;
 use zinniahatch_protocol::CentreSummary;
@@ -254,7 +254,7 @@
     /// Says whether this node is one of those that do a duty for the data centre.
     pub fn has_duty(&self, now: Instant, duty: &str, count: usize) -> bool {
         let mut owners = self.members.owners(now, self.leaving || !self.ready);
-        owners.sort_by_key(|name| std::cmp::Reverse(rank_member(duty, name)));
+        owners.sort_by_key(|name| std::cmp::Reverse(rendezvous_rank(duty, name)));
         owners
             .iter()
             .take(count)
--- a/crates/zinniahatch_control/src/node/routing.rs
+++ b/crates/zinniahatch_control/src/node/routing.rs
@@ -10,7 +10,7 @@
 use crate::holder::SlotChoice;
 use crate::holder::place_score;
 use zinniahatch_base::prelude::*;
-use zinniahatch_base::rank_member;
+use zinniahatch_base::rendezvous_rank;
 
 /// Least time after which a refused caller is told to come back.
 const LEAST_RETRY: Duration = Duration::from_millis(500);
@@ -298,7 +298,7 @@
     ) -> Vec<zinniahatch_protocol::EntryAddress> {
         let mut entries = self.remotes.entries(data_centre).to_vec();
         let object = ask.number.to_string();
-        entries.sort_by_key(|entry| rank_member(&object, &entry.node));
+        entries.sort_by_key(|entry| rendezvous_rank(&object, &entry.node));
         entries.truncate(NAMED_ENTRIES);
         entries
     }
--- a/crates/zinniahatch_control/src/node/telling.rs
+++ b/crates/zinniahatch_control/src/node/telling.rs
@@ -16,7 +16,7 @@
 use super::TickOutput;
 use super::owner_of;
 use zinniahatch_base::prelude::*;
-use zinniahatch_base::rank_member;
+use zinniahatch_base::rendezvous_rank;
 
 /// Contacts to which a heartbeat goes in one tick; a long seed list is spread over ticks.
 const CONTACTS_AT_ONCE: usize = 8;
@@ -137,7 +137,7 @@
     fn told_entries(&self, now: Instant, stamp: u64) -> Vec<EntryAddress> {
         let turn = (stamp / 1_000).to_string();
         let mut entries = self.entries(now);
-        entries.sort_by_key(|entry| rank_member(&turn, &entry.node));
+        entries.sort_by_key(|entry| rendezvous_rank(&turn, &entry.node));
         entries.truncate(TOLD_ENTRIES);
         entries
     }
@@ -165,7 +165,7 @@
             if let Some(entry) = centre
                 .entries
                 .iter()
-                .max_by_key(|entry| rank_member(&turn, &entry.node))
+                .max_by_key(|entry| rendezvous_rank(&turn, &entry.node))
             {
                 targets.push(entry.peer.clone());
             }
--- a/crates/zinniahatch_ctl/src/explain.rs
+++ b/crates/zinniahatch_ctl/src/explain.rs
@@ -103,7 +103,7 @@
             "result {} {} ({}): {}\n",
             code.number(),
             code.name(),
-            code.execution().word(),
+            code.execution().as_str(),
             code.text()
         );
     }
--- a/crates/zinniahatch_ctl/src/site.rs
+++ b/crates/zinniahatch_ctl/src/site.rs
@@ -97,8 +97,8 @@
         let body = format_serving_preset(&next);
         match store.put(PRESET_KEY, &body, Some(revision), None).await {
             Ok(PutOutcome::Done(_)) => return Ok(in_force(&next)),
-            Ok(PutOutcome::Conflict) | Err(StoreError::Down(_)) => sent = None,
-            Err(StoreError::Lost(_)) => {}
+            Ok(PutOutcome::Conflict) | Err(StoreError::Unavailable(_)) => sent = None,
+            Err(StoreError::ResponseLost(_)) => {}
         }
     }
     Err(refused(
@@ -120,7 +120,7 @@
         let field = ReportField::parse(word.trim()).ok_or_else(|| {
             refused(format!(
                 "`{word}` is no field; write some of: {}",
-                ReportField::WORDS
+                ReportField::NAMES
             ))
         })?;
         by.push(field);
--- a/crates/zinniahatch_daemon/src/orders.rs
+++ b/crates/zinniahatch_daemon/src/orders.rs
@@ -115,7 +115,7 @@
                 model: model.clone(),
             };
             let outcome = match core.engine.order(&backend.address, &order).await {
-                Ok(OrderOutcome::Taken) => "taken",
+                Ok(OrderOutcome::Accepted) => "taken",
                 Ok(OrderOutcome::Fenced) => {
                     self.give_up();
                     "fenced"
--- a/crates/zinniahatch_daemon/src/polls.rs
+++ b/crates/zinniahatch_daemon/src/polls.rs
@@ -8,7 +8,7 @@
 use zinniahatch_gateway::GatewayCore;
 use zinniahatch_platform::EngineClient;
 use zinniahatch_platform::EngineLoad;
-use zinniahatch_platform::ReachError;
+use zinniahatch_platform::HttpCallError;
 
 /// Interval of polls of one backend server.
 const POLL_EVERY: Duration = Duration::from_secs(2);
@@ -55,7 +55,7 @@
     core: &GatewayCore,
     misses: &mut BTreeMap<ReplicaId, u32>,
     replica: ReplicaId,
-    result: Result<EngineLoad, ReachError>,
+    result: Result<EngineLoad, HttpCallError>,
 ) {
     let now = Instant::now();
     let tag = tag_of(&replica);
--- a/crates/zinniahatch_daemon/src/stop.rs
+++ b/crates/zinniahatch_daemon/src/stop.rs
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 use tokio::time::sleep;
 use zinniahatch_base::prelude::*;
-use zinniahatch_base::rank_member;
+use zinniahatch_base::rendezvous_rank;
 use zinniahatch_gateway::GatewayCore;
 
 /// Time in which callers that have not heard of the leaving are still served.
@@ -61,7 +61,7 @@
             .map(|(name, entry)| (name.clone(), entry.http.clone()))
             .collect()
     };
-    heirs.sort_by_key(|(name, _)| std::cmp::Reverse(rank_member("keys", name)));
+    heirs.sort_by_key(|(name, _)| std::cmp::Reverse(rendezvous_rank("keys", name)));
     for (name, http) in heirs {
         if core.hand_over(&http).await {
             info!("{name} took over the keys and answers");
--- a/crates/zinniahatch_entry/src/counts/counting.rs
+++ b/crates/zinniahatch_entry/src/counts/counting.rs
@@ -16,7 +16,7 @@
 use std::time::UNIX_EPOCH;
 use tokio::time::sleep;
 use zinniahatch_base::prelude::*;
-use zinniahatch_base::rank_member;
+use zinniahatch_base::rendezvous_rank;
 use zinniahatch_platform::PutOutcome;
 use zinniahatch_platform::StoreClient;
 use zinniahatch_report::ACCOUNTS_PREFIX;
@@ -114,7 +114,7 @@
         .into_iter()
         .map(|card| card.node.clone())
         .chain(core.is_ready().then(|| own.clone()))
-        .max_by_key(|node| rank_member(MERGE_DUTY, node))
+        .max_by_key(|node| rendezvous_rank(MERGE_DUTY, node))
         .unwrap_or(own)
 }
 
--- a/crates/zinniahatch_entry/src/nodes/duty.rs
+++ b/crates/zinniahatch_entry/src/nodes/duty.rs
@@ -3,7 +3,7 @@
 use crate::core::ACQUAINT_TIME;
 use crate::core::EntryCore;
 use zinniahatch_base::prelude::*;
-use zinniahatch_base::rank_member;
+use zinniahatch_base::rendezvous_rank;
 
 /// Nodes of a region that read the news of replicas soon and tell the others; two may die at once.
 pub(crate) const READERS: usize = 3;
@@ -21,11 +21,11 @@
 
 /// Gives how many living nodes of the region rank before this one for a duty.
 pub(crate) fn ranked_above(core: &EntryCore, duty: &str) -> usize {
-    let own = rank_member(duty, &core.settings.name);
+    let own = rendezvous_rank(duty, &core.settings.name);
     let members = core.members.borrow();
     let near = members.live_in(&core.settings.region, Instant::now());
     let above = near.iter();
     above
-        .filter(|card| rank_member(duty, &card.node) > own)
+        .filter(|card| rendezvous_rank(duty, &card.node) > own)
         .count()
 }
--- a/crates/zinniahatch_entry/src/replicas/notice.rs
+++ b/crates/zinniahatch_entry/src/replicas/notice.rs
@@ -8,7 +8,7 @@
 use crate::request::received::ReceivedCall;
 use http::StatusCode;
 use zinniahatch_base::prelude::*;
-use zinniahatch_platform::AnswerHeaders;
+use zinniahatch_platform::ResponseHeaders;
 use zinniahatch_route::AnswerProof;
 use zinniahatch_route::HeardNotice;
 use zinniahatch_route::NoticeEffect;
@@ -69,7 +69,7 @@
 fn own_speaker(
     call: &ReceivedCall,
     open: &OpenCall,
-    marks: &AnswerHeaders,
+    marks: &ResponseHeaders,
 ) -> Option<(ShortTag, AnswerProof)> {
     let mut tag = None;
     open.with_replica(|belief| tag = Some(belief.tag));
@@ -84,7 +84,7 @@
 }
 
 /// Gives the life that answered in the place of the one that a request was for, where it is known.
-fn other_at(core: &EntryCore, open: &OpenCall, marks: &AnswerHeaders) -> Option<ShortTag> {
+fn other_at(core: &EntryCore, open: &OpenCall, marks: &ResponseHeaders) -> Option<ShortTag> {
     let replicas = core.replicas.borrow();
     let belief = replicas.get(marks.replica.as_deref()?)?;
     (belief.entry.address == open.address()).then_some(belief.tag)
--- a/crates/zinniahatch_entry/src/replicas/unread_headers.rs
+++ b/crates/zinniahatch_entry/src/replicas/unread_headers.rs
@@ -9,7 +9,7 @@
 use prometheus::Registry;
 use std::cell::RefCell;
 use zinniahatch_base::prelude::*;
-use zinniahatch_platform::unread;
+use zinniahatch_platform::unknown_headers;
 
 /// Names that are told apart at most; the rest are counted together.
 const MOST_NAMES: usize = 32;
@@ -57,7 +57,7 @@
 
 /// Counts the headers of a replica's answer that nobody reads, and logs each name once.
 pub(crate) fn note_unread(core: &EntryCore, replica: Option<&ReplicaId>, headers: &HeaderMap) {
-    for name in unread(headers) {
+    for name in unknown_headers(headers) {
         if core.metrics.notices.unread.note(name.as_str()) {
             core.log.write(
                 "unread-header",
--- a/crates/zinniahatch_entry/src/request/answering.rs
+++ b/crates/zinniahatch_entry/src/request/answering.rs
@@ -21,7 +21,7 @@
 use tokio::sync::mpsc;
 use tokio::time::timeout_at;
 use zinniahatch_base::prelude::*;
-use zinniahatch_platform::returned;
+use zinniahatch_platform::filter_response_headers;
 
 /// Pieces of a stream that wait for a caller who reads slowly.
 const STREAM_PIECES: usize = 8;
@@ -57,7 +57,7 @@
 fn build_answer(head: &AnswerHead, body: AnswerBody) -> Response<AnswerBody> {
     let mut response = Response::new(body);
     *response.status_mut() = head.status;
-    *response.headers_mut() = returned(&head.headers);
+    *response.headers_mut() = filter_response_headers(&head.headers);
     response
 }
 
--- a/crates/zinniahatch_entry/src/request/call.rs
+++ b/crates/zinniahatch_entry/src/request/call.rs
@@ -20,9 +20,9 @@
 use http::StatusCode;
 use std::rc::Rc;
 use zinniahatch_base::prelude::*;
-use zinniahatch_platform::CallHeaders;
-use zinniahatch_platform::write_call;
-use zinniahatch_platform::write_forward;
+use zinniahatch_platform::ReplicaRequestHeaders;
+use zinniahatch_platform::write_forwarded_request;
+use zinniahatch_platform::write_replica_request;
 use zinniahatch_route::AwayChoice;
 use zinniahatch_route::LeaveReason;
 use zinniahatch_route::LocalChoice;
@@ -116,11 +116,11 @@
         Err(error) => return Err(unreached(core, &open, &error)),
     };
     let headers = plan.sent_headers(call);
-    let head = write_call(
+    let head = write_replica_request(
         &call.method,
         &call.path,
         &headers,
-        &CallHeaders {
+        &ReplicaRequestHeaders {
             time_left: plan.deadline.saturating_duration_since(Instant::now()),
             replica: &choice.replica,
             rank: plan.rank,
@@ -295,7 +295,7 @@
         own.push((HOP_KEY, identity.key.hex()));
     }
     let headers = plan.sent_headers(call);
-    let head = write_forward(
+    let head = write_forwarded_request(
         &call.method,
         &call.path,
         &headers,
--- a/crates/zinniahatch_entry/src/request/channel.rs
+++ b/crates/zinniahatch_entry/src/request/channel.rs
@@ -21,8 +21,8 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 use zinniahatch_base::prelude::*;
-use zinniahatch_platform::AnswerHeaders;
-use zinniahatch_platform::read_answer;
+use zinniahatch_platform::ResponseHeaders;
+use zinniahatch_platform::read_response;
 use zinniahatch_route::SendPermit;
 
 /// Bytes read at once; an event of a stream has well under one.
@@ -73,7 +73,7 @@
     /// All its headers.
     pub headers: HeaderMap,
     /// What the headers say.
-    pub marks: AnswerHeaders,
+    pub marks: ResponseHeaders,
     /// Length of the body, where it is known beforehand.
     pub length: Option<u64>,
 }
@@ -309,7 +309,7 @@
             headers.append(name, value);
         }
         let _ = self.buffer.split_to(used);
-        let marks = read_answer(status, &headers);
+        let marks = read_response(status, &headers);
         self.frame = frame_of(method, status, &headers)?;
         if let Some(limit) = marks.idle_limit {
             self.idle_limit = limit;
--- a/crates/zinniahatch_entry/src/request/ingress.rs
+++ b/crates/zinniahatch_entry/src/request/ingress.rs
@@ -34,8 +34,8 @@
 use zinniahatch_base::prelude::*;
 use zinniahatch_platform::Credential;
 use zinniahatch_platform::credential;
-use zinniahatch_platform::forwarded;
-use zinniahatch_platform::idle_limit_header;
+use zinniahatch_platform::filter_request_headers;
+use zinniahatch_platform::keep_alive_header;
 use zinniahatch_platform::read_caller;
 use zinniahatch_route::CallerLimits;
 
@@ -90,7 +90,7 @@
     if core.phase() >= StopPhase::Leaving {
         headers.insert(header::CONNECTION, HeaderValue::from_static("close"));
     } else {
-        let (name, value) = idle_limit_header(limits.idle_timeout);
+        let (name, value) = keep_alive_header(limits.idle_timeout);
         headers.insert(name, value);
     }
     response
@@ -133,7 +133,7 @@
         CallerSide::Peer => RequestHop::Forwarded(read_note(&parts.headers)),
     };
     let credential = credential(&parts.headers);
-    let mut headers = forwarded(&parts.headers);
+    let mut headers = filter_request_headers(&parts.headers);
     for own in [HOP_VERSION, HOP_SERVICE, HOP_SPENT, HOP_ACCOUNT, HOP_KEY] {
         headers.remove(own);
     }
--- a/crates/zinniahatch_entry/src/request/refusal.rs
+++ b/crates/zinniahatch_entry/src/request/refusal.rs
@@ -7,7 +7,7 @@
 use http::StatusCode;
 use http::header;
 use zinniahatch_base::prelude::*;
-use zinniahatch_platform::attempt_header;
+use zinniahatch_platform::attempt_id_header;
 
 /// Number of the result, `docs/RESULTS.md`.
 const CODE: HeaderName = HeaderName::from_static("x-zinnia-code");
@@ -24,7 +24,7 @@
     let text = format!(
         "{{\"code\":{},\"execution\":\"{}\",\"message\":\"{}\"}}\n",
         code.number(),
-        code.execution().word(),
+        code.execution().as_str(),
         code.text()
     );
     let mut response = Response::new(AnswerBody::whole(text));
@@ -35,8 +35,11 @@
         HeaderValue::from_static("application/json"),
     );
     headers.insert(CODE, HeaderValue::from(code.number()));
-    headers.insert(EXECUTION, HeaderValue::from_static(code.execution().word()));
-    if let Some((name, value)) = attempt.and_then(attempt_header) {
+    headers.insert(
+        EXECUTION,
+        HeaderValue::from_static(code.execution().as_str()),
+    );
+    if let Some((name, value)) = attempt.and_then(attempt_id_header) {
         headers.insert(name, value);
     }
     if let Some(after) = retry_after {
@@ -52,7 +55,7 @@
 pub(crate) fn says_not_run(headers: &http::HeaderMap) -> bool {
     headers
         .get(EXECUTION)
-        .is_some_and(|value| value.as_bytes() == Execution::NotRun.word().as_bytes())
+        .is_some_and(|value| value.as_bytes() == Execution::NotRun.as_str().as_bytes())
 }
 
 /// Gives the result code of an answer that is another node's own; none of a replica's.
--- a/crates/zinniahatch_entry/src/store/membership.rs
+++ b/crates/zinniahatch_entry/src/store/membership.rs
@@ -9,8 +9,8 @@
 use zinniahatch_base::prelude::*;
 use zinniahatch_platform::CommitOutcome;
 use zinniahatch_platform::KvError;
-use zinniahatch_platform::StoreCommit;
 use zinniahatch_platform::StoreLeaseId;
+use zinniahatch_platform::StoreTransaction;
 
 /// Start of the keys under which nodes register, each with its region and address.
 const NODE_PREFIX: &str = "zinniahatch/nodes/";
@@ -57,7 +57,7 @@
         }
     }
     if let Some(lease) = lease
-        && let Err(error) = core.store.end(lease).await
+        && let Err(error) = core.store.revoke(lease).await
     {
         core.log.write(
             "lease-failed",
@@ -73,7 +73,7 @@
 ) -> Result<Option<StoreLeaseId>, KvError> {
     if let Some(lease) = lease {
         core.metrics.note_store("renew", "done");
-        if core.store.keep(lease).await? {
+        if core.store.renew(lease).await? {
             return Ok(Some(lease));
         }
         core.log
@@ -83,7 +83,7 @@
     let granted = core.store.grant(time).await?;
     let key = format!("{NODE_PREFIX}{}", core.settings.name);
     let value = format!("{} {}", core.settings.region, core.settings.listen.peer);
-    let commit = StoreCommit::new().set(&key, value.as_bytes(), Some(granted));
+    let commit = StoreTransaction::new().set(&key, value.as_bytes(), Some(granted));
     core.metrics.note_store("register", "done");
     match core.store.commit(&commit).await? {
         CommitOutcome::Done(_) => {
--- a/crates/zinniahatch_entry/src/store/news.rs
+++ b/crates/zinniahatch_entry/src/store/news.rs
@@ -11,13 +11,13 @@
 use zinniahatch_base::prelude::*;
 use zinniahatch_config::PRESET_KEY;
 use zinniahatch_config::parse_serving_preset;
-use zinniahatch_platform::KeySubject;
 use zinniahatch_platform::StoreEvent;
 use zinniahatch_platform::StoreItem;
+use zinniahatch_platform::StoreKey;
 use zinniahatch_platform::StoreListing;
 use zinniahatch_platform::decode_backend;
 use zinniahatch_platform::decode_desired;
-use zinniahatch_platform::subject_of;
+use zinniahatch_platform::parse_store_key;
 use zinniahatch_route::DesiredState;
 use zinniahatch_route::EntryChange;
 use zinniahatch_route::ReplicaEntry;
@@ -34,16 +34,16 @@
     let mut entries = Vec::new();
     let mut evacuated = BTreeSet::new();
     for item in &items {
-        match subject_of(&item.key) {
-            KeySubject::Desired => adopt(core, item),
-            KeySubject::Evacuation(place) => {
+        match parse_store_key(&item.key) {
+            StoreKey::Desired => adopt(core, item),
+            StoreKey::Evacuation(place) => {
                 evacuated.insert(place.into());
             }
-            KeySubject::Backend(id) => match decode_backend(id, item) {
+            StoreKey::Backend(id) => match decode_backend(id, item) {
                 Ok(entry) => entries.push(entry),
                 Err(error) => reject(core, &error.to_string()),
             },
-            KeySubject::Other => note_own(core, item),
+            StoreKey::Other => note_own(core, item),
         }
     }
     match topic {
@@ -76,12 +76,12 @@
 }
 
 fn written(core: &Rc<EntryCore>, item: &StoreItem, now: Instant) {
-    match subject_of(&item.key) {
-        KeySubject::Desired => adopt(core, item),
-        KeySubject::Evacuation(place) => {
+    match parse_store_key(&item.key) {
+        StoreKey::Desired => adopt(core, item),
+        StoreKey::Evacuation(place) => {
             read_evacuation(core, place, true, item.revision);
         }
-        KeySubject::Backend(id) => match decode_backend(id, item) {
+        StoreKey::Backend(id) => match decode_backend(id, item) {
             Ok(entry) => {
                 tell_region(core, &entry.data_centre, |news| {
                     news.written.push(entry.clone());
@@ -94,16 +94,16 @@
                 forget_backend(core, id, item.revision, now);
             }
         },
-        KeySubject::Other => note_own(core, item),
+        StoreKey::Other => note_own(core, item),
     }
 }
 
 fn removed(core: &Rc<EntryCore>, key: &str, revision: StoreRevision, now: Instant) {
-    match subject_of(key) {
-        KeySubject::Evacuation(place) => read_evacuation(core, place, false, revision),
-        KeySubject::Backend(id) => forget_backend(core, id, revision, now),
-        KeySubject::Desired => reject(core, "the desired state was removed"),
-        KeySubject::Other => {}
+    match parse_store_key(key) {
+        StoreKey::Evacuation(place) => read_evacuation(core, place, false, revision),
+        StoreKey::Backend(id) => forget_backend(core, id, revision, now),
+        StoreKey::Desired => reject(core, "the desired state was removed"),
+        StoreKey::Other => {}
     }
 }
 
--- a/crates/zinniahatch_entry/src/store/quarantine_keys.rs
+++ b/crates/zinniahatch_entry/src/store/quarantine_keys.rs
@@ -20,7 +20,7 @@
 use zinniahatch_base::prelude::*;
 use zinniahatch_platform::CommitOutcome;
 use zinniahatch_platform::KvError;
-use zinniahatch_platform::StoreCommit;
+use zinniahatch_platform::StoreTransaction;
 use zinniahatch_route::SuspectNews;
 use zinniahatch_route::ToldEnd;
 
@@ -92,7 +92,7 @@
 
 async fn read_keys(core: &EntryCore) -> Result<(), KvError> {
     // A read that may be seconds old costs a tenth and does not count towards the store's rate.
-    let listing = core.store.old_items(PREFIX, LIST_TIME).await?;
+    let listing = core.store.stale_items(PREFIX, LIST_TIME).await?;
     core.metrics.note_store("quarantine", "listed");
     let now = unix_millis();
     let mut news = Vec::new();
@@ -110,7 +110,7 @@
     loop {
         let released = core.released.borrow().last().copied();
         if let Some(content) = released {
-            let commit = StoreCommit::new().remove(&key_of(content));
+            let commit = StoreTransaction::new().remove(&key_of(content));
             core.store.commit(&commit).await?;
             core.metrics.note_store("quarantine", "removed");
             core.released.borrow_mut().retain(|other| *other != content);
@@ -129,9 +129,9 @@
     let lease = core.store.grant(time).await?;
     let kept = KeptSuspect::of(news, unix_millis());
     let value = serde_json::to_vec(&kept).unwrap_or_default();
-    let commit = StoreCommit::new().set(&key_of(news.content), &value, Some(lease));
+    let commit = StoreTransaction::new().set(&key_of(news.content), &value, Some(lease));
     if core.store.commit(&commit).await? == CommitOutcome::NoLease {
-        return Err(KvError::NotDone("the lease has lapsed".into()));
+        return Err(KvError::NotExecuted("the lease has lapsed".into()));
     }
     core.metrics.note_store("quarantine", "kept");
     core.suspects.borrow_mut().note_kept(news.content);
--- a/crates/zinniahatch_entry/src/store/store_return.rs
+++ b/crates/zinniahatch_entry/src/store/store_return.rs
@@ -23,7 +23,7 @@
 use zinniahatch_config::parse_serving_preset;
 use zinniahatch_platform::CommitOutcome;
 use zinniahatch_platform::KvError;
-use zinniahatch_platform::StoreCommit;
+use zinniahatch_platform::StoreTransaction;
 use zinniahatch_route::RETURN_HOLD;
 use zinniahatch_route::ServingPreset;
 
@@ -128,7 +128,7 @@
     let expected = held.map_or(StoreRevision::default(), |item| item.revision);
     let text = format_serving_preset(preset);
     let commit =
-        StoreCommit::new()
+        StoreTransaction::new()
             .expect(PRESET_KEY, expected)
             .set(PRESET_KEY, text.as_bytes(), None);
     let outcome = core.store.commit(&commit).await?;
--- a/crates/zinniahatch_entry/src/store/watch.rs
+++ b/crates/zinniahatch_entry/src/store/watch.rs
@@ -209,7 +209,7 @@
 /// Looks at a topic that others read, at a tenth of the price of a call. What it shows may be seconds old;
 /// what this node knows of later revisions stays as it is.
 async fn look(core: &Rc<EntryCore>, topic: WatchTopic) -> Result<StoreRevision, KvError> {
-    let listing = core.store.old_items(topic.prefix(), LIST_TIME).await?;
+    let listing = core.store.stale_items(topic.prefix(), LIST_TIME).await?;
     Ok(take_listing(core, topic, listing))
 }
 
--- a/crates/zinniahatch_gateway/src/admin.rs
+++ b/crates/zinniahatch_gateway/src/admin.rs
@@ -237,7 +237,7 @@
                 StatusCode::BAD_REQUEST,
                 &format!(
                     "`{word}` is no field; the fields are: {}",
-                    ReportField::WORDS
+                    ReportField::NAMES
                 ),
             );
         };
--- a/crates/zinniahatch_gateway/src/admin_change.rs
+++ b/crates/zinniahatch_gateway/src/admin_change.rs
@@ -55,8 +55,8 @@
             StatusCode::FORBIDDEN,
             &format!(
                 "the role `{}` does not suffice; `{}` does",
-                operator.role.word(),
-                needed.word()
+                operator.role.as_str(),
+                needed.as_str()
             ),
         );
     }
--- a/crates/zinniahatch_gateway/src/admit.rs
+++ b/crates/zinniahatch_gateway/src/admit.rs
@@ -189,7 +189,7 @@
 /// A header may bind a request that the service leaves free, and not the other way round.
 fn is_bound(service: &ServiceEntry, head: &CallHead) -> bool {
     service.is_bound(head.method.as_str())
-        || headers::text(&head.headers, headers::BINDING) == Some(BindingRule::Home.word())
+        || headers::text(&head.headers, headers::BINDING) == Some(BindingRule::Home.as_str())
 }
 
 /// A header may make interactive work long, and not the other way round.
--- a/crates/zinniahatch_gateway/src/dispatch.rs
+++ b/crates/zinniahatch_gateway/src/dispatch.rs
@@ -127,7 +127,7 @@
     let mut request = call
         .builder(core, url)
         .header(headers::BACKEND_REQUEST, id)
-        .header(headers::PRIORITY, call.work.word());
+        .header(headers::PRIORITY, call.work.as_str());
     if resume > 0 {
         request = request.header(headers::RESUME, resume);
     }
@@ -167,7 +167,7 @@
     let before = call.was_sent();
     let response = send(call, request).await?;
     let refused =
-        headers::text(response.headers(), headers::EXECUTION) == Some(Execution::NotRun.word());
+        headers::text(response.headers(), headers::EXECUTION) == Some(Execution::NotRun.as_str());
     if refused {
         call.sent.store(before, Ordering::SeqCst);
         return Err(SendFailure::Refused { leaving: false });
@@ -201,7 +201,7 @@
         .header(headers::ACCOUNT, &*call.who.account)
         .header(headers::CALLER, &*call.who.caller)
         .header(headers::DEADLINE, left)
-        .header(headers::WORK, call.work.word())
+        .header(headers::WORK, call.work.as_str())
         .header(headers::PROOF, core.proof.make(&fields));
     if call.once {
         request = request.header(headers::REPEAT, "once");
--- a/crates/zinniahatch_gateway/src/follow.rs
+++ b/crates/zinniahatch_gateway/src/follow.rs
@@ -59,8 +59,8 @@
     pub fn note_store<T>(&self, kind: &str, result: &Result<T, StoreError>) {
         let outcome = match result {
             Ok(_) => "answered",
-            Err(StoreError::Down(_)) => "down",
-            Err(StoreError::Lost(_)) => "lost",
+            Err(StoreError::Unavailable(_)) => "down",
+            Err(StoreError::ResponseLost(_)) => "lost",
         };
         self.counters
             .store_calls
--- a/crates/zinniahatch_gateway/src/owner.rs
+++ b/crates/zinniahatch_gateway/src/owner.rs
@@ -61,7 +61,7 @@
     fn code(&self) -> ResultCode {
         let number = self.text(headers::CODE).and_then(|text| text.parse().ok());
         number
-            .and_then(ResultCode::of_number)
+            .and_then(ResultCode::from_number)
             .unwrap_or(ResultCode::OutcomeUnknown)
     }
 
--- a/crates/zinniahatch_gateway/src/refusal.rs
+++ b/crates/zinniahatch_gateway/src/refusal.rs
@@ -60,7 +60,7 @@
         RefusalBody {
             code: self.code.number(),
             name: self.code.name(),
-            execution: self.code.execution().word(),
+            execution: self.code.execution().as_str(),
             message: self.code.text(),
             detail: self.detail.as_deref(),
             retry_after_ms: self.retry_after.map(|after| after.as_millis() as u64),
--- a/crates/zinniahatch_gateway/src/respond.rs
+++ b/crates/zinniahatch_gateway/src/respond.rs
@@ -150,7 +150,7 @@
     set(response, headers::REVISION, &revision.to_string());
     set(response, headers::REGION, region);
     set(response, headers::CODE, &code.number().to_string());
-    set(response, headers::EXECUTION, code.execution().word());
+    set(response, headers::EXECUTION, code.execution().as_str());
 }
 
 /// Writes a model's stream; `first` is what has been read of it.
--- a/crates/zinniahatch_lab/src/checker.rs
+++ b/crates/zinniahatch_lab/src/checker.rs
@@ -9,7 +9,7 @@
 /// Time after which a backend server that leaves gets no new work.
 pub const LEAVING_BOUND: Duration = Duration::from_secs(3);
 
-word_enum! {
+string_enum! {
     /// A rule that was broken.
     pub enum BrokenRule {
         /// A bound operation ran outside its region.
@@ -76,7 +76,7 @@
 pub fn count_breaks(breaks: &[RuleBreak]) -> BTreeMap<&'static str, usize> {
     let mut counts = BTreeMap::new();
     for one in breaks {
-        *counts.entry(one.rule.word()).or_default() += 1;
+        *counts.entry(one.rule.as_str()).or_default() += 1;
     }
     counts
 }
--- a/crates/zinniahatch_lab/src/cluster/prepare.rs
+++ b/crates/zinniahatch_lab/src/cluster/prepare.rs
@@ -87,7 +87,7 @@
         shared_url = Some(url.clone());
         text.push_str(&format!(
             "[backend {name}]\nservice = {}\ndata_centre = {}\naddress = {}\nslots = {}\nfencing = {}\n",
-            entry.service, entry.data_centre, url, entry.slots, entry.fencing.word()
+            entry.service, entry.data_centre, url, entry.slots, entry.fencing.as_str()
         ));
         directory.list_vm(ListedVm {
             name: name.clone(),
@@ -236,7 +236,7 @@
         node.peer,
         seeds.join(", "),
         zinniahatch_config::format_duration(options.body_timeout),
-        options.route.word(),
+        options.route.as_str(),
         zinniahatch_config::format_duration(options.seal),
         zinniahatch_config::format_duration(options.merge),
         options.log_level,
--- a/crates/zinniahatch_lab/src/demo.rs
+++ b/crates/zinniahatch_lab/src/demo.rs
@@ -106,7 +106,7 @@
         println!(
             "{}: broken {}: {}",
             cluster.plan.name,
-            one.rule.word(),
+            one.rule.as_str(),
             one.detail
         );
     }
--- a/crates/zinniahatch_lab/src/experiments/faults.rs
+++ b/crates/zinniahatch_lab/src/experiments/faults.rs
@@ -25,7 +25,7 @@
 /// Part of the answers before the fault that counts as being back.
 const BACK_SHARE: f64 = 0.95;
 
-word_enum! {
+string_enum! {
     /// One fault.
     pub enum FaultKind {
         /// An entry VM dies and is replaced.
@@ -129,7 +129,7 @@
             result.breaks
         );
         for one in breaks.iter().take(5) {
-            println!("    {}: {}", one.rule.word(), one.detail);
+            println!("    {}: {}", one.rule.as_str(), one.detail);
         }
         results.push(result);
     }
@@ -350,7 +350,7 @@
     let before = figures(data, "", |send| send.meant >= begun && send.meant < from);
     let usual = ratio(before.answered, before.operations);
     FaultResult {
-        faults: kinds.iter().map(|kind| kind.word()).collect(),
+        faults: kinds.iter().map(|kind| kind.as_str()).collect(),
         breaks: count_breaks(breaks),
         operations: all.operations,
         failed: all.operations - all.answered,
--- a/crates/zinniahatch_lab/src/experiments/policies.rs
+++ b/crates/zinniahatch_lab/src/experiments/policies.rs
@@ -92,7 +92,7 @@
         .with(|data| figures(data, cluster.plan.engine, |_| true));
     PolicyLine {
         user: cluster.plan.name,
-        rule: rule.word(),
+        rule: rule.as_str(),
         broken,
         figures,
     }
--- a/crates/zinniahatch_lab/src/main.rs
+++ b/crates/zinniahatch_lab/src/main.rs
@@ -104,7 +104,7 @@
                 .map(|word| (word, FaultKind::parse(word)))
             {
                 Some((word, None)) => {
-                    eprintln!("no fault `{word}`; the faults are: {}", FaultKind::WORDS);
+                    eprintln!("no fault `{word}`; the faults are: {}", FaultKind::NAMES);
                     return 1;
                 }
                 Some((_, kind)) => kind,
--- a/crates/zinniahatch_lab/tests/keyed_deadline.rs
+++ b/crates/zinniahatch_lab/tests/keyed_deadline.rs
@@ -108,7 +108,7 @@
     let untrue: Vec<_> = only_waited
         .iter()
         .filter(|(_, number)| {
-            let code = ResultCode::of_number(*number);
+            let code = ResultCode::from_number(*number);
             code.is_none_or(|code| code.execution() != Execution::NotRun)
         })
         .collect();
--- a/crates/zinniahatch_lab/tests/store_returns.rs
+++ b/crates/zinniahatch_lab/tests/store_returns.rs
@@ -16,7 +16,7 @@
 use zinniahatch_platform::CommitOutcome;
 use zinniahatch_platform::KvClient;
 use zinniahatch_platform::KvError;
-use zinniahatch_platform::StoreCommit;
+use zinniahatch_platform::StoreTransaction;
 use zinniahatch_route::ServingPreset;
 
 const LIMIT: Duration = Duration::from_secs(2);
@@ -90,7 +90,7 @@
     store.come_back(&copy);
     store.write("k", "another's");
     client.items("other/", LIMIT).await.expect("it answers");
-    let commit = StoreCommit::new()
+    let commit = StoreTransaction::new()
         .expect("k", read.revision)
         .set("k", b"mine", None);
     assert_eq!(client.commit(&commit).await, Ok(CommitOutcome::Conflict));
@@ -116,8 +116,8 @@
         .expect("it answers");
     assert_eq!(mine.number, theirs.number);
     client.items("other/", LIMIT).await.expect("it answers");
-    assert_eq!(client.keep(mine).await, Ok(false));
-    assert_eq!(other.keep(theirs).await, Ok(true));
+    assert_eq!(client.renew(mine).await, Ok(false));
+    assert_eq!(other.renew(theirs).await, Ok(true));
 }
 
 fn accounts(keys: &[&str]) -> serde_json::Value {
--- a/crates/zinniahatch_report/src/query.rs
+++ b/crates/zinniahatch_report/src/query.rs
@@ -9,7 +9,7 @@
 /// Millionths in one unit of money.
 const MICROS: f64 = 1e6;
 
-word_enum! {
+string_enum! {
     /// What a report can be broken down by.
     pub enum ReportField {
         Account = "account",
@@ -129,7 +129,7 @@
 impl LineSum {
     fn add(&mut self, key: &CountKey, row: &CountRow) {
         self.row.merge(row);
-        let code = ResultCode::of_number(key.code);
+        let code = ResultCode::from_number(key.code);
         match code.map(|code| (code.execution(), code.status() < 300)) {
             Some((Execution::Ran, true)) => {
                 self.answered += row.requests;
@@ -176,7 +176,7 @@
         ReportField::Served => key.served.clone(),
         ReportField::Service => key.service.clone(),
         ReportField::Preset => key.preset.clone(),
-        ReportField::Result => ResultCode::of_number(key.code).map_or_else(
+        ReportField::Result => ResultCode::from_number(key.code).map_or_else(
             || key.code.to_string().into(),
             |code| format!("{} {}", key.code, code.name()).into(),
         ),
--- a/crates/zinniahatch_report/src/table.rs
+++ b/crates/zinniahatch_report/src/table.rs
@@ -66,7 +66,7 @@
     let mut titles: Vec<String> = result
         .by
         .iter()
-        .map(|field| field.word().to_owned())
+        .map(|field| field.as_str().to_owned())
         .collect();
     if titles.is_empty() {
         titles.push("all".to_owned());
--- a/crates/zinniahatch_route/src/budget.rs
+++ b/crates/zinniahatch_route/src/budget.rs
@@ -85,11 +85,11 @@
     /// the few nodes with the highest rank for that replica, 0 for the others. The split is the same
     /// where there are fewer nodes, since a node cannot tell that from not knowing them.
     pub fn share(bound: f64, replica: &str, node: &str, peers: &BTreeSet<NodeId>) -> usize {
-        let own = zinniahatch_base::rank_member(replica, node);
+        let own = zinniahatch_base::rendezvous_rank(replica, node);
         let above = peers
             .iter()
             .filter(|peer| &***peer != node)
-            .filter(|peer| zinniahatch_base::rank_member(replica, peer) > own)
+            .filter(|peer| zinniahatch_base::rendezvous_rank(replica, peer) > own)
             .count();
         // A node that has just started may know nobody yet; counted alone, it took the whole bound
         // beside the parts of the others, and a cold replica got eight requests of six.
--- a/crates/zinniahatch_route/src/collectors.rs
+++ b/crates/zinniahatch_route/src/collectors.rs
@@ -11,7 +11,7 @@
 use std::cmp::Reverse;
 use std::net::SocketAddrV4;
 use zinniahatch_base::prelude::*;
-use zinniahatch_base::rank_member;
+use zinniahatch_base::rendezvous_rank;
 
 /// The duty by which collectors are ranked.
 const COLLECTOR_DUTY: &str = "work";
@@ -81,11 +81,11 @@
         ranked.sort_by_key(|(strength, node, _)| {
             (
                 Reverse(*strength),
-                Reverse(rank_member(COLLECTOR_DUTY, node)),
+                Reverse(rendezvous_rank(COLLECTOR_DUTY, node)),
             )
         });
         ranked.truncate(living.len().div_ceil(NODES_EACH));
-        let own_rank = |node: &NodeId| rank_member(own, node);
+        let own_rank = |node: &NodeId| rendezvous_rank(own, node);
         ranked
             .into_iter()
             .max_by_key(|(_, node, _)| own_rank(node))
--- a/crates/zinniahatch_route/src/contacts.rs
+++ b/crates/zinniahatch_route/src/contacts.rs
@@ -9,7 +9,7 @@
 use std::cmp::Reverse;
 use std::net::SocketAddrV4;
 use zinniahatch_base::prelude::*;
-use zinniahatch_base::rank_member;
+use zinniahatch_base::rendezvous_rank;
 
 /// Nodes of each other region that a node asks: two may die at once before it knows none there.
 const FAR_CONTACTS: usize = 3;
@@ -68,7 +68,7 @@
         let own = self.own;
         let row = self.rows.entry(address).or_insert_with(|| ContactRow {
             region: None,
-            rank: rank_member(&own.to_string(), &address.to_string()),
+            rank: rendezvous_rank(&own.to_string(), &address.to_string()),
             asked: None,
             avoided: None,
             silent: None,
--- a/crates/zinniahatch_route/src/members.rs
+++ b/crates/zinniahatch_route/src/members.rs
@@ -3,7 +3,7 @@
 use crate::ToldProof;
 use std::net::SocketAddrV4;
 use zinniahatch_base::prelude::*;
-use zinniahatch_base::rank_member;
+use zinniahatch_base::rendezvous_rank;
 
 /// Silence after which a node counts as not living. Cards come every 200 to 500 ms; three lost
 /// ones in a row are rare even on a link that loses one packet in thirty.
@@ -177,7 +177,7 @@
             if now.saturating_duration_since(row.heard) > SILENCE {
                 continue;
             }
-            let ranked = (rank_member(node, &row.card.node), row.card.peer);
+            let ranked = (rendezvous_rank(node, &row.card.node), row.card.peer);
             let known = first.entry(&row.card.region).or_insert(ranked);
             *known = ranked.max(*known);
         }
