--- a/crates/zinniahatch_config/src/accounts.rs
+++ b/crates/zinniahatch_config/src/accounts.rs
@@ -1,37 +1,37 @@
-//! Client accounts and their callers, kept in shards so that one change stays small.
+//! Client accounts and their callers, sharded so that a change of one account stays small.
 
 use crate::ConfigError;
 use crate::section::SectionFile;
 use zinniahatch_base::prelude::*;
 
-/// Parts that the accounts are spread over.
+/// Number of configuration parts over which the accounts are distributed.
 ///
-/// 4,000 accounts in 64 parts make about 12 KB a part (`docs/CAPACITY.md`), so a change of one
-/// account costs each node one such part.
+/// 4,000 accounts in 64 parts take about 12 KB per part (`docs/CAPACITY.md`), and a change of one
+/// account makes each node fetch one part.
 pub const ACCOUNT_SHARDS: u32 = 64;
 
 domain! {
     /// One client account.
     pub struct AccountEntry {
-        /// Its home region.
+        /// The home region.
         pub home: RegionId,
-        /// Its class, which the preset gives a weight.
+        /// The account class, to which the preset assigns a share.
         pub class: Box<str>,
-        /// The team whose operators may change and see it.
+        /// The team whose operators may view and change the account.
         pub team: Box<str>,
-        /// Requests it may have in progress on one node; 0 means no limit.
+        /// Maximum number of requests in progress on one node; 0 means no limit.
         pub in_progress_limit: u32,
     }
 
-    /// One caller of an account.
+    /// One caller of a client account.
     pub struct CallerEntry {
         /// The caller's name.
         pub caller: CallerId,
-        /// Its account.
+        /// The client account to which the caller belongs.
         pub account: AccountId,
     }
 
-    /// Accounts by name and callers by the digest of their API key.
+    /// All client accounts and callers.
     #[derive(Default)]
     pub struct AccountTable {
         /// Accounts by name.
@@ -41,16 +41,16 @@
     }
 }
 
-/// Gives the part that holds an account.
-pub fn shard_of(account: &str) -> Box<str> {
+/// Returns the name of the configuration part that holds an account.
+pub fn account_shard(account: &str) -> Box<str> {
     format!("accounts-{:02}", tag_of(account) % ACCOUNT_SHARDS).into()
 }
 
-/// Splits one file of accounts into its parts.
+/// Splits a file of accounts into the texts of its configuration parts.
 ///
 /// # Errors
 ///
-/// Refuses the file where any section is wrong.
+/// Fails if the file is not valid INI, has an unknown section or a caller without an account.
 pub fn split_accounts(file: &str, text: &str) -> Result<BTreeMap<Box<str>, String>, ConfigError> {
     let parsed = SectionFile::parse(file, text)?;
     let mut shards: BTreeMap<Box<str>, String> = BTreeMap::new();
@@ -60,7 +60,7 @@
         } else {
             section.text("account")?
         };
-        let shard = shards.entry(shard_of(&account)).or_default();
+        let shard = shards.entry(account_shard(&account)).or_default();
         shard.push_str(&format!("[{}]\n", section.title));
         for (key, value) in section.pairs() {
             shard.push_str(&format!("{key} = {value}\n"));
@@ -99,7 +99,7 @@
             return Err(section.error(
                 "account",
                 &format!("no account `{account}`"),
-                "add an [account] section or mend the name",
+                "add an [account] section or correct the name",
             ));
         }
         Ok(())
--- a/crates/zinniahatch_config/src/checks.rs
+++ b/crates/zinniahatch_config/src/checks.rs
@@ -1,8 +1,9 @@
-//! Checks across parts.
+//! Validation of references between configuration parts.
 
 use crate::ClusterConfig;
 use crate::ConfigError;
 
+/// Checks that every name that a part refers to is defined in another part.
 pub(crate) fn check(config: &ClusterConfig) -> Result<(), ConfigError> {
     check_preset(config)?;
     check_backends(config)?;
--- a/crates/zinniahatch_config/src/cluster.rs
+++ b/crates/zinniahatch_config/src/cluster.rs
@@ -1,4 +1,4 @@
-//! The whole configuration of one revision, read from its parts.
+//! The complete configuration of one revision, parsed from its parts.
 
 use crate::AccountTable;
 use crate::BackendEntry;
@@ -15,23 +15,23 @@
 use crate::services;
 use zinniahatch_base::prelude::*;
 
-/// The text of each part by its name.
+/// The texts of the configuration parts by part name.
 pub type PartTexts = BTreeMap<Box<str>, Box<str>>;
 
-/// Everything that one revision says; immutable, shared by reference.
+/// The complete configuration of one revision; immutable and shared by reference.
 #[derive(Clone, Debug, Default)]
 pub struct ClusterConfig {
     /// The revision.
     pub revision: Revision,
     /// The name of the preset in force.
     pub preset_name: PresetId,
-    /// Regions and links.
+    /// Regions and the links between them.
     pub topology: TopologyTable,
     /// Services by name.
     pub services: BTreeMap<ServiceId, ServiceEntry>,
     /// Backend servers by name.
     pub backends: BTreeMap<ReplicaId, BackendEntry>,
-    /// Accounts and callers.
+    /// Client accounts and callers.
     pub accounts: AccountTable,
     /// Operators by the digest of their token.
     pub operators: BTreeMap<PartHash, OperatorEntry>,
@@ -42,11 +42,11 @@
 }
 
 impl ClusterConfig {
-    /// Reads and checks a whole configuration.
+    /// Parses and validates a complete configuration.
     ///
     /// # Errors
     ///
-    /// Names file, section, key and what would be right for the first thing that is wrong.
+    /// Returns the first problem with its file, section, key and remedy.
     pub fn build(head: &ConfigHead, texts: &PartTexts) -> Result<Self, ConfigError> {
         let mut config = Self {
             revision: head.revision,
@@ -85,16 +85,16 @@
         Ok(())
     }
 
-    /// Gives the preset in force.
+    /// Returns the preset in force.
     ///
     /// # Panics
     ///
-    /// Never: [`ClusterConfig::build`] refuses a head whose preset is missing.
+    /// Never: [`ClusterConfig::build`] rejects a head whose preset is missing.
     pub fn preset(&self) -> &PresetEntry {
         &self.presets[&self.preset_name]
     }
 
-    /// Gives a service's backend servers in a data centre.
+    /// Returns a service's backend servers in a data centre.
     pub fn backends_in<'a>(
         &'a self,
         service: &'a str,
--- a/crates/zinniahatch_config/src/entry.rs
+++ b/crates/zinniahatch_config/src/entry.rs
@@ -1,4 +1,4 @@
-//! Settings of an entry VM on the users' platform.
+//! Settings of an entry VM that runs on the users' platform.
 
 use crate::ConfigError;
 use crate::section::SectionFile;
@@ -6,21 +6,24 @@
 use std::net::SocketAddrV4;
 use zinniahatch_base::prelude::*;
 
-/// Time for which a directory answer counts, where the platform sets no bound.
-const DIRECTORY_TTL: Duration = Duration::from_secs(2);
+/// Maximum time-to-live of a directory answer; the platform may set a lower bound.
+const MAX_DIRECTORY_TTL: Duration = Duration::from_secs(2);
 
-/// Longest wait of one watch, a little below what the store allows; each one costs a call though nothing
-/// happened. That the store or the channel to it is gone shows by other means: the kernel's keep-alive and
-/// the renewals of the node's key.
-const WATCH_MOST: Duration = Duration::from_secs(28);
-/// Part of the time for which the store keeps its history that a watch waits. A wait of 28 s beside a
-/// history of 20 s ended as compacted each time, and nodes took the store for troubled on calm days.
-const HISTORY_PART: f64 = 0.7;
-/// Time for which the platform's service keeps its history, where the settings do not say.
+/// Maximum wait of one watch, slightly below the maximum that the store allows.
+///
+/// Every watch costs a call even if nothing changed, so long waits are cheaper. They do not delay the
+/// detection of a lost store or connection, which TCP keep-alive and the renewals of the node's key show.
+const MAX_WATCH_WAIT: Duration = Duration::from_secs(28);
+/// Maximum wait of a watch as a fraction of the time for which the store keeps its history.
+///
+/// With a wait of 28 s and a history of 20 s, every watch without changes ended as compacted, and nodes
+/// took the store for faulty.
+const HISTORY_FRACTION: f64 = 0.7;
+/// Default time for which the platform's key-value store keeps its history.
 const STORE_HISTORY: Duration = Duration::from_secs(20);
 
 domain! {
-    /// Addresses that an entry VM listens on.
+    /// Addresses on which an entry VM listens.
     pub struct ListenSettings {
         /// For callers.
         pub front: SocketAddrV4,
@@ -34,66 +37,69 @@
         pub peer: SocketAddrV4,
     }
 
-    /// Bounds that all entry VMs keep together.
+    /// Bounds that all entry VMs observe collectively.
     pub struct BoundSettings {
-        /// Repeats of requests a window, as a share of the requests.
+        /// Retries per window, as a share of the requests.
         pub repeat_ratio: f64,
-        /// The window.
+        /// The window of the retry bound.
         pub repeat_window: Duration,
-        /// Repeats a window beyond the share.
+        /// Retries per window on top of that share.
         pub repeat_slack: f64,
-        /// Requests to a cold replica, as a multiple of the rate that it bears.
+        /// Requests per second to a cold replica, as a multiple of the rate that it can take.
         pub cold_overrun: f64,
-        /// Requests a second to a cold replica beyond that.
+        /// Requests per second to a cold replica on top of that.
         pub cold_slack: f64,
-        /// Time between the request to stop and the kill.
+        /// Grace period between the request to stop and the kill.
         pub grace: Duration,
-        /// Time for which a directory answer counts.
+        /// Time-to-live of a directory answer.
         pub directory_ttl: Duration,
-        /// Time after which a key that was taken away may run nowhere, in touch or not; none where nodes that are
-        /// cut off may go on with the keys that they know.
+        /// Time after which no node may accept a revoked API key, even if it is cut off from the store.
+        ///
+        /// `None` allows nodes that are cut off to go on accepting the keys that they know.
         pub revoke: Option<Duration>,
-        /// What an account may use beyond its allowance in a window, as a share of it.
+        /// Usage of an account beyond its allowance in a window, as a share of the allowance.
         pub quota_overrun: f64,
-        /// Units that it may use beyond that.
+        /// Units of usage on top of that.
         pub quota_slack: f64,
     }
 
-    /// What an entry VM learns from its settings file.
+    /// The settings of an entry VM.
     pub struct EntrySettings {
         /// The node's name.
         pub name: NodeId,
-        /// Its region.
+        /// The node's region.
         pub region: RegionId,
-        /// Its data centre.
+        /// The node's data centre.
         pub data_centre: DataCentreId,
-        /// Its addresses.
+        /// The listen addresses.
         pub listen: ListenSettings,
         /// The region of each data centre.
         pub regions: BTreeMap<DataCentreId, RegionId>,
-        /// Share of a processor core that the machine has, in hundredths; duties go to the strongest.
+        /// Share of a processor core available to the VM, in hundredths.
+        ///
+        /// Nodes with a higher share are preferred for tasks that one node does for its region.
         pub strength: u32,
-        /// Addresses of a few entry VMs to contact first; only the IP counts.
+        /// Addresses of a few entry VMs to contact first; only the IP address is used.
         pub seeds: Vec<SocketAddrV4>,
-        /// Address of the platform's key-value service.
+        /// Address of the platform's key-value store.
         pub store: SocketAddrV4,
-        /// Shortest lease that the service gives.
-        pub lease_least: Duration,
-        /// Time for which the service keeps the history of its changes.
+        /// Shortest lease that the store grants.
+        pub min_lease: Duration,
+        /// Time for which the store keeps the history of its changes.
         pub store_history: Duration,
-        /// The bounds.
+        /// The collective bounds.
         pub bounds: BoundSettings,
-        /// Lines of the decision log a second, for each kind.
-        pub log_budget: u32,
+        /// Maximum number of decision log lines per second, per kind of line.
+        pub log_rate_limit: u32,
     }
 }
 
 impl EntrySettings {
-    /// Reads and checks the settings.
+    /// Parses and validates the settings.
     ///
     /// # Errors
     ///
-    /// Names file, section, key and what would be right.
+    /// Returns the first problem with its file, section, key and remedy.
     pub fn parse(file: &str, text: &str) -> Result<Self, ConfigError> {
         let parsed = SectionFile::parse(file, text)?;
         parsed.of_kinds(&["node", "listen", "regions", "store", "bounds", "log"])?;
@@ -120,10 +126,10 @@
             strength: strength(node)?,
             seeds: seeds(node)?,
             store: address(store, "address")?,
-            lease_least: store.duration("lease_least", Some(Duration::from_secs(1)))?,
+            min_lease: store.duration("lease_least", Some(Duration::from_secs(1)))?,
             store_history: store.duration("history", Some(STORE_HISTORY))?,
             bounds: bounds(parsed.optional("bounds"))?,
-            log_budget: log.map_or(Ok(50), |section| {
+            log_rate_limit: log.map_or(Ok(50), |section| {
                 section.number("lines_per_second", Some(50))
             })?,
         };
@@ -136,17 +142,19 @@
         Ok(settings)
     }
 
-    /// Tells whether a settings file is one of an entry VM on the platform.
-    pub fn is_meant(text: &str) -> bool {
+    /// Returns whether a settings file belongs to an entry VM on the platform.
+    pub fn matches_file(text: &str) -> bool {
         text.lines().any(|line| line.trim() == "[listen]")
     }
 
-    /// Gives how long a watch waits for changes.
+    /// Returns how long a watch waits for changes.
     pub fn watch_wait(&self) -> Duration {
-        self.store_history.mul_f64(HISTORY_PART).min(WATCH_MOST)
+        self.store_history
+            .mul_f64(HISTORY_FRACTION)
+            .min(MAX_WATCH_WAIT)
     }
 
-    /// Gives the bound of a cold replica in requests a second, from the rate that it bears.
+    /// Returns the maximum requests per second to a cold replica, from the rate that it can take.
     pub fn cold_bound(&self, rate: f64) -> f64 {
         rate * self.bounds.cold_overrun + self.bounds.cold_slack
     }
@@ -163,7 +171,7 @@
     })
 }
 
-/// Reads the share of a core; a whole one where the settings do not say.
+/// Reads the share of a processor core, by default a whole core.
 fn strength(node: &SectionReader) -> Result<u32, ConfigError> {
     const HUNDREDTHS: f64 = 100.0;
     let share: f64 = node.number("processor", Some(1.0))?;
@@ -192,7 +200,7 @@
     Ok(seeds)
 }
 
-/// Reads the bounds; without the section, the values are those of the brief's platform.
+/// Reads the bounds; the defaults are those of the users' platform.
 fn bounds(section: Option<&SectionReader>) -> Result<BoundSettings, ConfigError> {
     let mut bounds = BoundSettings {
         repeat_ratio: 0.2,
@@ -201,7 +209,7 @@
         cold_overrun: 1.0,
         cold_slack: 0.0,
         grace: Duration::from_secs(8),
-        directory_ttl: DIRECTORY_TTL,
+        directory_ttl: MAX_DIRECTORY_TTL,
         revoke: None,
         quota_overrun: 0.0,
         quota_slack: 0.0,
@@ -215,8 +223,8 @@
     bounds.cold_overrun = section.number("cold_overrun", Some(bounds.cold_overrun))?;
     bounds.cold_slack = section.number("cold_slack", Some(bounds.cold_slack))?;
     bounds.grace = section.duration("grace", Some(bounds.grace))?;
-    let most = section.duration("directory_ttl_most", Some(DIRECTORY_TTL))?;
-    bounds.directory_ttl = most.min(DIRECTORY_TTL);
+    let max_ttl = section.duration("directory_ttl_most", Some(MAX_DIRECTORY_TTL))?;
+    bounds.directory_ttl = max_ttl.min(MAX_DIRECTORY_TTL);
     let revoke = section.duration("revoke", Some(Duration::ZERO))?;
     bounds.revoke = (!revoke.is_zero()).then_some(revoke);
     bounds.quota_overrun = section.number("quota_overrun", Some(0.0))?;
--- a/crates/zinniahatch_config/src/error.rs
+++ b/crates/zinniahatch_config/src/error.rs
@@ -1,25 +1,25 @@
-//! The error of settings: it names file, section and key, and the remedy.
+//! The error type of settings and configuration parts.
 
 use thiserror::Error;
 
-/// Says what is wrong in which file, section and key, and what would be right.
+/// A problem in a file, section and key, with its remedy.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("{file}: [{section}] {key}: {problem}; {remedy}")]
 pub struct ConfigError {
-    /// The file or part.
+    /// The file or configuration part.
     pub file: Box<str>,
-    /// The section, or `-` where the whole file is meant.
+    /// The section, or `-` if the problem concerns the whole file.
     pub section: Box<str>,
-    /// The key, or `-` where the whole section is meant.
+    /// The key, or `-` if the problem concerns the whole section.
     pub key: Box<str>,
-    /// What is wrong.
+    /// The problem.
     pub problem: Box<str>,
-    /// What would be right.
+    /// How to correct it.
     pub remedy: Box<str>,
 }
 
 impl ConfigError {
-    /// Makes an error.
+    /// Creates an error.
     pub fn new(file: &str, section: &str, key: &str, problem: &str, remedy: &str) -> Self {
         Self {
             file: file.into(),
--- a/crates/zinniahatch_config/src/head.rs
+++ b/crates/zinniahatch_config/src/head.rs
@@ -1,61 +1,61 @@
-//! The head of the configuration: the one small value that a change swaps.
+//! The head of the configuration: the small value that each change replaces atomically.
 
 use zinniahatch_base::prelude::*;
 
-/// Changes that the head remembers.
+/// Maximum number of recent changes recorded in the head.
 ///
-/// A writer whose answer was lost finds its change among them. At 2,500 changes a day, 32 notes
-/// reach back about a quarter of an hour, far beyond the minute for which a change is retried.
-pub const KEPT_CHANGES: usize = 32;
+/// A writer that lost the store's response looks for its change among them. At 2,500 changes a day, 32
+/// records cover about a quarter of an hour, far longer than the minute for which a change is retried.
+pub const MAX_RECENT_CHANGES: usize = 32;
 
 domain! {
-    /// Names the revision, the preset in force and the digest of each part.
+    /// The head of a configuration: its revision, the preset in force and the digests of its parts.
     #[derive(Default)]
     pub struct ConfigHead {
-        /// The revision; each accepted change raises it by one.
+        /// The revision, which each accepted change increments by one.
         pub revision: Revision,
         /// The preset in force.
         pub preset: PresetId,
-        /// Digest by part name.
+        /// Digests of the parts by part name.
         pub parts: BTreeMap<Box<str>, PartHash>,
-        /// The last changes, the newest last.
-        pub changes: Vec<ChangeNote>,
+        /// The most recent changes, newest last.
+        pub changes: Vec<ChangeRecord>,
     }
 
     /// One accepted change.
-    pub struct ChangeNote {
-        /// The id that the writer gave it.
+    pub struct ChangeRecord {
+        /// The change id that the writer assigned.
         pub change: Box<str>,
-        /// The revision that it made.
+        /// The revision that the change produced.
         pub revision: Revision,
-        /// Who made it.
+        /// The operator who made the change.
         pub operator: OperatorId,
-        /// Seconds since the epoch.
+        /// Seconds since the Unix epoch.
         pub at: u64,
-        /// The parts it changed.
+        /// The parts that the change modified.
         pub what: Box<str>,
     }
 }
 
 impl ConfigHead {
-    /// Gives the head that follows this one.
+    /// Returns the head of the next revision, with the change recorded.
     #[must_use]
     pub fn next(&self, change: &str, operator: &str, at: u64, what: &str) -> Self {
         let mut head = self.clone();
         head.revision += 1;
-        head.changes.push(ChangeNote {
+        head.changes.push(ChangeRecord {
             change: change.into(),
             revision: head.revision,
             operator: operator.into(),
             at,
             what: what.into(),
         });
-        let excess = head.changes.len().saturating_sub(KEPT_CHANGES);
+        let excess = head.changes.len().saturating_sub(MAX_RECENT_CHANGES);
         head.changes.drain(..excess);
         head
     }
 
-    /// Gives the revision that a change made, if it has taken effect.
+    /// Returns the revision that a change produced, if the change is recorded.
     pub fn revision_of(&self, change: &str) -> Option<Revision> {
         self.changes
             .iter()
--- a/crates/zinniahatch_config/src/lib.rs
+++ b/crates/zinniahatch_config/src/lib.rs
@@ -1,4 +1,4 @@
-//! Settings of one node, and the parts of the configuration that all nodes share.
+//! Settings of a node, and the parts of the configuration that all nodes share.
 
 mod accounts;
 mod checks;
@@ -20,7 +20,7 @@
 pub use accounts::AccountEntry;
 pub use accounts::AccountTable;
 pub use accounts::CallerEntry;
-pub use accounts::shard_of;
+pub use accounts::account_shard;
 pub use accounts::split_accounts;
 pub use cluster::ClusterConfig;
 pub use cluster::PartTexts;
@@ -28,9 +28,9 @@
 pub use entry::EntrySettings;
 pub use entry::ListenSettings;
 pub use error::ConfigError;
-pub use head::ChangeNote;
+pub use head::ChangeRecord;
 pub use head::ConfigHead;
-pub use head::KEPT_CHANGES;
+pub use head::MAX_RECENT_CHANGES;
 pub use operators::OperatorEntry;
 pub use operators::OperatorRole;
 pub use preset::PresetEntry;
--- a/crates/zinniahatch_config/src/operators.rs
+++ b/crates/zinniahatch_config/src/operators.rs
@@ -5,7 +5,7 @@
 use zinniahatch_base::prelude::*;
 
 string_enum! {
-    /// What an operator may do; each role includes those before it.
+    /// The permissions of an operator; each role includes those before it.
     pub enum OperatorRole { View = "view", Switch = "switch", Accounts = "accounts", All = "all" }
 }
 
@@ -14,14 +14,14 @@
     pub struct OperatorEntry {
         /// The operator's name.
         pub operator: OperatorId,
-        /// What the operator may do.
+        /// The operator's role.
         pub role: OperatorRole,
         /// The operator's team; empty means every team.
         pub team: Box<str>,
     }
 }
 
-/// Reads operators by the digest of their token.
+/// Parses the operators, keyed by the digest of their token.
 pub(crate) fn parse(
     file: &str,
     text: &str,
@@ -31,8 +31,8 @@
     for section in parsed.of_kinds(&["operator"])? {
         let operator = OperatorEntry {
             operator: section.name.clone(),
-            role: section.word("role", OperatorRole::NAMES, OperatorRole::parse, None)?,
-            team: section.maybe("team").unwrap_or_default(),
+            role: section.choice("role", OperatorRole::NAMES, OperatorRole::parse, None)?,
+            team: section.optional_text("team").unwrap_or_default(),
         };
         operators.insert(section.text("token_digest")?, operator);
         section.finish()?;
--- a/crates/zinniahatch_config/src/preset.rs
+++ b/crates/zinniahatch_config/src/preset.rs
@@ -1,43 +1,43 @@
-//! Presets: what the operators switch between.
+//! Presets: named sets of policy values between which operators switch.
 
 use crate::ConfigError;
 use crate::WorkKind;
 use crate::section::SectionFile;
 use zinniahatch_base::prelude::*;
 
-/// How far shares may miss 1 before they are refused, for rounding in the text.
+/// Tolerated deviation of a sum of shares from 1, which allows for rounding in the text.
 const SHARE_SLACK: f64 = 1e-6;
 
 domain! {
-    /// One preset; exactly one is in force.
+    /// One preset; exactly one preset is in force at a time.
     pub struct PresetEntry {
-        /// What it is for.
+        /// The purpose of the preset.
         pub title: Box<str>,
-        /// Weight of money in the score, per unit of the price list.
+        /// Weight of cost in the placement score, per unit of the price list.
         pub cost_weight: f64,
-        /// Weight of time in the score, per second.
+        /// Weight of time in the placement score, per second.
         pub tail_weight: f64,
-        /// Share of a contended pool by account class; adds up to 1.
+        /// Shares of a contended pool by account class, which add up to 1.
         pub classes: BTreeMap<Box<str>, f64>,
-        /// Share of a contended pool for interactive work; long work has the rest.
+        /// Share of a contended pool for interactive work; long work gets the rest.
         pub interactive_share: f64,
-        /// Whether unbound requests may leave their home region.
+        /// Whether requests not bound to their home region may be served in another one.
         pub away: bool,
-        /// Share of a region's capacity that guests may use, by region.
+        /// Share of a region's capacity that requests from other regions may use, by region.
         pub guest_shares: BTreeMap<RegionId, f64>,
-        /// Requests that may wait on one node for one service.
+        /// Maximum number of requests that wait on one node for one service.
         pub queue_limit: usize,
-        /// Longest wait for a slot.
+        /// Maximum wait for a slot.
         pub wait_limit: Duration,
-        /// Retries, as a share of requests.
+        /// Retry budget as a share of requests.
         pub retry_budget: f64,
-        /// Hedges, as a share of requests.
+        /// Hedge budget as a share of requests.
         pub hedge_budget: f64,
-        /// Delay to the first byte after which a hedge is sent; zero sends none.
+        /// Time without a first byte after which a hedge request is sent; zero disables hedging.
         pub hedge_after: Duration,
-        /// Silence after which a stream is probed on a new connection.
+        /// Time without data after which a stream is probed on a new connection.
         pub stall_after: Duration,
-        /// Model that each engine service's replicas shall have loaded.
+        /// The model that the replicas of each engine service should have loaded.
         pub models: BTreeMap<ServiceId, ModelId>,
     }
 }
@@ -60,7 +60,7 @@
             tail_weight: weights.number("tail", None)?,
             classes: parse_shares(&parsed, "classes")?,
             interactive_share: work.share("interactive", None)?,
-            away: away.word("allowed", "yes, no", parse_yes, None)?,
+            away: away.choice("allowed", "yes, no", parse_yes_no, None)?,
             guest_shares: parse_guests(&parsed)?,
             queue_limit: waits.number("queue_limit", Some(1_000))?,
             wait_limit: waits.duration("wait_limit", None)?,
@@ -86,20 +86,20 @@
         Ok(preset)
     }
 
-    /// Gives the weight of a class and a kind of work in a contended pool.
+    /// Returns the weight of an account class and a kind of work in a contended pool.
     pub fn weight(&self, class: &str, work: WorkKind) -> f64 {
-        const LEAST: f64 = 1e-3;
-        let class_share = self.classes.get(class).copied().unwrap_or(LEAST);
+        const MIN_WEIGHT: f64 = 1e-3;
+        let class_share = self.classes.get(class).copied().unwrap_or(MIN_WEIGHT);
         let work_share = match work {
             WorkKind::Interactive => self.interactive_share,
             WorkKind::Long => 1.0 - self.interactive_share,
         };
-        (class_share * work_share).max(LEAST)
+        (class_share * work_share).max(MIN_WEIGHT)
     }
 }
 
-fn parse_yes(word: &str) -> Option<bool> {
-    match word {
+fn parse_yes_no(text: &str) -> Option<bool> {
+    match text {
         "yes" => Some(true),
         "no" => Some(false),
         _ => None,
--- a/crates/zinniahatch_config/src/prices.rs
+++ b/crates/zinniahatch_config/src/prices.rs
@@ -1,28 +1,28 @@
-//! The price list.
+//! The price list by service.
 
 use crate::ConfigError;
 use crate::section::SectionFile;
 use zinniahatch_base::prelude::*;
 
 domain! {
-    /// What one service costs, in the list's own money.
+    /// The prices of one service, in the currency of the price list.
     #[derive(Default)]
     pub struct PriceEntry {
-        /// For a million prompt tokens computed anew.
+        /// Price per million prompt tokens that are computed.
         pub input: f64,
-        /// For a million prompt tokens found in a cache.
+        /// Price per million prompt tokens found in a cache.
         pub cached: f64,
-        /// For a million tokens generated.
+        /// Price per million generated tokens.
         pub output: f64,
-        /// For one call, whatever its size.
+        /// Price per call, independent of its size.
         pub call: f64,
-        /// For a call served away from its home region, on top.
+        /// Surcharge per call served outside its home region.
         pub egress: f64,
     }
 }
 
 impl PriceEntry {
-    /// Gives the cost of one request.
+    /// Returns the cost of one request.
     pub fn cost(&self, input: u64, cached: u64, output: u64, away: bool) -> f64 {
         const MILLION: f64 = 1e6;
         let fresh = input.saturating_sub(cached) as f64;
--- a/crates/zinniahatch_config/src/section.rs
+++ b/crates/zinniahatch_config/src/section.rs
@@ -1,4 +1,4 @@
-//! Reads the sections of an INI file and notices every key that nobody asked for.
+//! A reader for the sections of an INI file that detects unknown keys.
 
 use crate::ConfigError;
 use crate::units::parse_duration;
@@ -13,7 +13,7 @@
     sections: Vec<SectionReader>,
 }
 
-/// One section: its kind, its name, and its keys.
+/// One section with its kind, its name and its keys.
 ///
 /// `[service register-llm]` has the kind `service` and the name `register-llm`.
 pub(crate) struct SectionReader {
@@ -22,7 +22,8 @@
     pub(crate) kind: Box<str>,
     pub(crate) name: Box<str>,
     pairs: BTreeMap<Box<str>, Box<str>>,
-    asked: RefCell<BTreeSet<Box<str>>>,
+    /// Keys that were read so far; any other key is unknown to the code.
+    read_keys: RefCell<BTreeSet<Box<str>>>,
 }
 
 impl SectionFile {
@@ -68,7 +69,7 @@
         })
     }
 
-    /// Gives the sections, after checking that each is of one of the given kinds.
+    /// Returns the sections after checking that each is of one of the given kinds.
     pub(crate) fn of_kinds(&self, kinds: &[&str]) -> Result<&[SectionReader], ConfigError> {
         for section in &self.sections {
             if kinds.contains(&&*section.kind) {
@@ -86,7 +87,7 @@
         Ok(&self.sections)
     }
 
-    /// Gives the one section of this title.
+    /// Returns the section with this title, which must exist.
     pub(crate) fn single(&self, title: &str) -> Result<&SectionReader, ConfigError> {
         self.optional(title).ok_or_else(|| {
             ConfigError::new(&self.file, title, "-", "the section is missing", "add it")
@@ -124,17 +125,17 @@
             kind: kind.into(),
             name: name.trim().into(),
             pairs,
-            asked: RefCell::new(BTreeSet::new()),
+            read_keys: RefCell::new(BTreeSet::new()),
         })
     }
 
     pub(crate) fn text(&self, key: &str) -> Result<Box<str>, ConfigError> {
-        self.maybe(key)
+        self.optional_text(key)
             .ok_or_else(|| self.error(key, "the key is missing", "add it"))
     }
 
-    pub(crate) fn maybe(&self, key: &str) -> Option<Box<str>> {
-        self.asked.borrow_mut().insert(key.into());
+    pub(crate) fn optional_text(&self, key: &str) -> Option<Box<str>> {
+        self.read_keys.borrow_mut().insert(key.into());
         self.pairs
             .get(key)
             .filter(|value| !value.is_empty())
@@ -146,7 +147,7 @@
         key: &str,
         default: Option<T>,
     ) -> Result<T, ConfigError> {
-        match (self.maybe(key), default) {
+        match (self.optional_text(key), default) {
             (Some(value), _) => value.parse().map_err(|_| {
                 self.error(
                     key,
@@ -164,7 +165,7 @@
         key: &str,
         default: Option<Duration>,
     ) -> Result<Duration, ConfigError> {
-        match (self.maybe(key), default) {
+        match (self.optional_text(key), default) {
             (Some(value), _) => parse_duration(&value)
                 .map_err(|remedy| self.error(key, &format!("`{value}` is not a duration"), remedy)),
             (None, Some(default)) => Ok(default),
@@ -185,30 +186,30 @@
         ))
     }
 
-    pub(crate) fn word<T>(
+    pub(crate) fn choice<T>(
         &self,
         key: &str,
-        words: &str,
+        names: &str,
         parse: impl Fn(&str) -> Option<T>,
         default: Option<T>,
     ) -> Result<T, ConfigError> {
-        match (self.maybe(key), default) {
+        match (self.optional_text(key), default) {
             (Some(value), _) => parse(&value).ok_or_else(|| {
                 self.error(
                     key,
                     &format!("`{value}` is not known"),
-                    &format!("write one of: {words}"),
+                    &format!("write one of: {names}"),
                 )
             }),
             (None, Some(default)) => Ok(default),
             (None, None) => {
-                Err(self.error(key, "the key is missing", &format!("write one of: {words}")))
+                Err(self.error(key, "the key is missing", &format!("write one of: {names}")))
             }
         }
     }
 
     pub(crate) fn list(&self, key: &str) -> Vec<Box<str>> {
-        let Some(value) = self.maybe(key) else {
+        let Some(value) = self.optional_text(key) else {
             return Vec::new();
         };
         value
@@ -219,22 +220,22 @@
             .collect()
     }
 
-    /// Gives every pair, for sections whose keys are names.
+    /// Returns all pairs, for sections whose keys are names; counts every key as known.
     pub(crate) fn pairs(&self) -> impl Iterator<Item = (&str, &str)> {
         self.pairs.iter().map(|(key, value)| {
-            self.asked.borrow_mut().insert(key.clone());
+            self.read_keys.borrow_mut().insert(key.clone());
             (&**key, &**value)
         })
     }
 
-    /// Checks that the section has a name and no key that was not asked for.
+    /// Checks that the section has no key that was never read, which is an unknown key.
     pub(crate) fn finish(&self) -> Result<(), ConfigError> {
-        let asked = self.asked.borrow();
+        let read_keys = self.read_keys.borrow();
         for key in self.pairs.keys() {
-            if asked.contains(key) {
+            if read_keys.contains(key) {
                 continue;
             }
-            let known: Vec<&str> = asked.iter().map(|name| &**name).collect();
+            let known: Vec<&str> = read_keys.iter().map(|name| &**name).collect();
             let remedy = format!("the keys of this section are: {}", known.join(", "));
             return Err(self.error(key, "unknown key", &remedy));
         }
--- a/crates/zinniahatch_config/src/services.rs
+++ b/crates/zinniahatch_config/src/services.rs
@@ -8,11 +8,11 @@
 const METHODS: [&str; 7] = ["GET", "HEAD", "POST", "PUT", "PATCH", "DELETE", "OPTIONS"];
 
 string_enum! {
-    /// What stands behind a service.
+    /// The kind of backend behind a service.
     pub enum ServiceKind { Engine = "engine", Plain = "plain" }
 }
 string_enum! {
-    /// Whether a request may leave the account's home region.
+    /// Whether a request may be served outside the account's home region.
     pub enum BindingRule { Home = "home", Free = "free" }
 }
 string_enum! {
@@ -20,67 +20,67 @@
     pub enum RepeatRule { Repeatable = "repeatable", Once = "once" }
 }
 string_enum! {
-    /// How urgent the work is.
+    /// The urgency of the work.
     pub enum WorkKind { Interactive = "interactive", Long = "long" }
 }
 string_enum! {
-    /// Whether a backend server refuses an order with an old fencing number.
+    /// Whether a backend server rejects an order with an old fencing token.
     pub enum FencingRule { Checked = "checked", Ignored = "ignored" }
 }
 
 domain! {
     /// One service.
     pub struct ServiceEntry {
-        /// What stands behind it.
+        /// The kind of backend behind the service.
         pub kind: ServiceKind,
-        /// Whether its requests stay in the account's home region.
+        /// Whether requests are bound to the account's home region.
         pub binding: BindingRule,
-        /// Whether its requests may be repeated.
+        /// Whether requests may be repeated.
         pub repeat: RepeatRule,
         /// HTTP methods whose requests may not be repeated, whatever `repeat` says.
         pub once_methods: Vec<Box<str>>,
         /// HTTP methods whose requests stay in the home region, whatever `binding` says.
         pub bound_methods: Vec<Box<str>>,
-        /// How urgent its requests are unless a header narrows it.
+        /// The urgency of requests, unless a header narrows it.
         pub work: WorkKind,
-        /// Time from a request's arrival to its last byte.
+        /// Maximum time from a request's arrival to the last byte of its answer.
         pub deadline: Duration,
-        /// Largest body, in bytes.
+        /// Maximum body size in bytes.
         pub body_limit: u64,
-        /// How long an answer is kept for collection.
+        /// Time for which an answer is kept for collection by its caller.
         pub retention: Duration,
-        /// Expected time one request holds a slot, until it has been measured.
+        /// Expected time for which a request occupies a slot, used until it has been measured.
         pub typical_hold: Duration,
     }
 
-    /// One backend server's process.
+    /// One backend server process.
     pub struct BackendEntry {
-        /// Its service.
+        /// The service.
         pub service: ServiceId,
-        /// Its data centre.
+        /// The data centre.
         pub data_centre: DataCentreId,
-        /// Its address, `http://IP:port`.
+        /// The address, `http://IP:port`.
         pub address: Box<str>,
-        /// Requests it serves at once.
+        /// Number of requests that it serves concurrently.
         pub slots: u16,
-        /// Whether it checks fencing numbers.
+        /// Whether it checks fencing tokens.
         pub fencing: FencingRule,
     }
 }
 
 impl ServiceEntry {
-    /// Says whether a request of this method may run at most once.
+    /// Returns whether a request with this method may run at most once.
     pub fn is_once(&self, method: &str) -> bool {
         self.repeat == RepeatRule::Once || self.once_methods.iter().any(|name| &**name == method)
     }
 
-    /// Says whether a request of this method stays in the account's home region.
+    /// Returns whether a request with this method is bound to the account's home region.
     pub fn is_bound(&self, method: &str) -> bool {
         self.binding == BindingRule::Home || self.bound_methods.iter().any(|name| &**name == method)
     }
 }
 
-/// Reads the part `services`.
+/// Parses the part `services`.
 pub(crate) fn parse_services(
     file: &str,
     text: &str,
@@ -94,7 +94,7 @@
     Ok(services)
 }
 
-/// Reads the part `backends`, which changes far more often than the services do.
+/// Parses the part `backends`, which is separate because it changes far more often than `services`.
 pub(crate) fn parse_backends(
     file: &str,
     text: &str,
@@ -110,12 +110,12 @@
 
 fn parse_service(section: &SectionReader) -> Result<ServiceEntry, ConfigError> {
     Ok(ServiceEntry {
-        kind: section.word("kind", ServiceKind::NAMES, ServiceKind::parse, None)?,
-        binding: section.word("binding", BindingRule::NAMES, BindingRule::parse, None)?,
-        repeat: section.word("repeat", RepeatRule::NAMES, RepeatRule::parse, None)?,
+        kind: section.choice("kind", ServiceKind::NAMES, ServiceKind::parse, None)?,
+        binding: section.choice("binding", BindingRule::NAMES, BindingRule::parse, None)?,
+        repeat: section.choice("repeat", RepeatRule::NAMES, RepeatRule::parse, None)?,
         once_methods: parse_methods(section, "once_methods")?,
         bound_methods: parse_methods(section, "bound_methods")?,
-        work: section.word(
+        work: section.choice(
             "work",
             WorkKind::NAMES,
             WorkKind::parse,
@@ -148,7 +148,7 @@
         data_centre: section.text("data_centre")?,
         address: section.text("address")?,
         slots: section.number("slots", None)?,
-        fencing: section.word(
+        fencing: section.choice(
             "fencing",
             FencingRule::NAMES,
             FencingRule::parse,
--- a/crates/zinniahatch_config/src/serving_preset.rs
+++ b/crates/zinniahatch_config/src/serving_preset.rs
@@ -1,18 +1,18 @@
-//! The text form of the preset in force on the platform.
+//! The text form of the serving preset in force on the platform.
 
 use crate::ConfigError;
 use crate::section::SectionFile;
 use crate::section::SectionReader;
 use zinniahatch_route::ServingPreset;
 
-/// Key in the platform's store that holds the one preset in force.
+/// Key in the platform's store that holds the preset in force.
 pub const PRESET_KEY: &str = "zinniahatch/preset";
 
-/// Reads a preset, as operators write it into a file and as it lies in the store.
+/// Parses a preset in the text form used by operators' files and in the store.
 ///
 /// # Errors
 ///
-/// Names file, section, key and what would be right.
+/// Returns the first problem with its file, section, key and remedy.
 pub fn parse_serving_preset(file: &str, text: &str) -> Result<ServingPreset, ConfigError> {
     let parsed = SectionFile::parse(file, text)?;
     let sections = parsed.of_kinds(&["preset"])?;
@@ -28,38 +28,38 @@
     if section.name.is_empty() {
         return Err(section.error("-", "the preset has no name", "write [preset NAME]"));
     }
-    let ordinary = ServingPreset::default();
+    let defaults = ServingPreset::default();
     let preset = ServingPreset {
         name: section.name.clone(),
         revision: section.number("revision", Some(0))?,
-        goal_margin: ratio(section, "goal_margin", ordinary.goal_margin, 0.1, 2.0)?,
-        least_wait: ratio(section, "least_wait", ordinary.least_wait, 0.0, 2.0)?,
-        away_gain: ratio(section, "away_gain", ordinary.away_gain, 0.0, 2.0)?,
-        urgent_favour: ratio(section, "urgent_favour", ordinary.urgent_favour, 1.0, 4.0)?,
+        goal_margin: number_in_range(section, "goal_margin", defaults.goal_margin, 0.1, 2.0)?,
+        least_wait: number_in_range(section, "least_wait", defaults.least_wait, 0.0, 2.0)?,
+        away_gain: number_in_range(section, "away_gain", defaults.away_gain, 0.0, 2.0)?,
+        urgent_favour: number_in_range(section, "urgent_favour", defaults.urgent_favour, 1.0, 4.0)?,
     };
     section.finish()?;
     Ok(preset)
 }
 
-fn ratio(
+fn number_in_range(
     section: &SectionReader,
     key: &str,
     default: f64,
-    least: f64,
-    most: f64,
+    min: f64,
+    max: f64,
 ) -> Result<f64, ConfigError> {
     let value: f64 = section.number(key, Some(default))?;
-    if (least..=most).contains(&value) {
+    if (min..=max).contains(&value) {
         return Ok(value);
     }
     Err(section.error(
         key,
         &format!("{value} is out of range"),
-        &format!("write a number from {least} to {most}"),
+        &format!("write a number from {min} to {max}"),
     ))
 }
 
-/// Writes a preset as [`parse_serving_preset`] reads it.
+/// Formats a preset in the text form that [`parse_serving_preset`] reads.
 pub fn format_serving_preset(preset: &ServingPreset) -> String {
     format!(
         "[preset {}]\nrevision = {}\ngoal_margin = {}\nleast_wait = {}\naway_gain = {}\n\
--- a/crates/zinniahatch_config/src/settings.rs
+++ b/crates/zinniahatch_config/src/settings.rs
@@ -1,57 +1,59 @@
-//! Settings of one node: its names, its addresses, the platform's addresses.
+//! Settings of one node: its identity, its addresses and those of the platform's services.
 
 use crate::ConfigError;
 use crate::section::SectionFile;
 use crate::section::SectionReader;
 use zinniahatch_base::prelude::*;
 
-/// Fewest characters of the shared secret; shorter ones can be guessed.
-const SECRET_LENGTH: usize = 16;
+/// Minimum length of the shared secret; a shorter one could be guessed.
+const MIN_SECRET_BYTES: usize = 16;
 
 string_enum! {
-    /// How a place for a request is chosen; all but the first are baselines to compare with.
+    /// The placement policy for requests; all but the first are baselines for comparison.
     pub enum RouteRule { Score = "score", Home = "home", LeastLoaded = "least-loaded", RandomTwo = "random-two" }
 }
 
 domain! {
-    /// What a process learns from its settings file.
+    /// The settings of one node process.
     pub struct NodeSettings {
         /// The node's name.
         pub name: NodeId,
-        /// Its data centre.
+        /// The node's data centre.
         pub data_centre: DataCentreId,
-        /// Its region.
+        /// The node's region.
         pub region: RegionId,
-        /// Address for callers, operators and forwarded requests, `IP:port`.
+        /// Listen address for callers, operators and forwarded requests, `IP:port`.
         pub listen: Box<str>,
-        /// Address for control messages between nodes, `IP:port`.
+        /// Listen address for control messages between nodes, `IP:port`.
         pub peer_listen: Box<str>,
-        /// The secret that nodes share.
+        /// The secret shared by all nodes.
         pub secret: Box<str>,
         /// Control addresses of nodes to contact first.
         pub seeds: Vec<Box<str>>,
-        /// Addresses of other nodes as they are reached from here, where they differ: through a
-        /// tunnel or an address translation between data centres.
+        /// Translation of other nodes' addresses, where they are reached under a different address:
+        /// through a tunnel or a network address translation between data centres.
         pub translate: BTreeMap<Box<str>, Box<str>>,
-        /// Address of the key-value service.
+        /// Address of the key-value store.
         pub store: Box<str>,
-        /// Address of the directory for clients.
+        /// Address of the directory in which callers look up entry VMs.
         pub directory: Box<str>,
-        /// Address of the list of VMs.
+        /// Address of the platform's VM list.
         pub vm_list: Box<str>,
-        /// How a place for a request is chosen.
+        /// The placement policy for requests.
         pub route: RouteRule,
-        /// Longest time for a caller to send its body.
+        /// Timeout for receiving a request body.
         pub body_timeout: Duration,
-        /// Bytes of kept answers that this node holds at most.
+        /// Maximum memory for stored answers on this node, in bytes.
         pub answer_memory: usize,
-        /// Longest time a planned stop waits for requests in progress.
+        /// Maximum time for which a planned stop waits for requests in progress.
         pub stop_timeout: Duration,
-        /// Interval at which counts are sealed and copied to their merger: what a death can lose.
+        /// Interval at which usage counts are sealed and copied to the node that merges them.
+        ///
+        /// A crash loses at most the counts of one interval.
         pub seal_interval: Duration,
-        /// Interval at which accounts are merged into the store.
+        /// Interval at which usage reports are merged into the store.
         pub merge_interval: Duration,
-        /// Hours for which hourly accounts are kept in the store.
+        /// Retention of hourly usage reports in the store, in hours.
         pub report_hours: u64,
         /// Log level.
         pub log_level: Box<str>,
@@ -61,11 +63,11 @@
 }
 
 impl NodeSettings {
-    /// Reads and checks the settings.
+    /// Parses and validates the settings.
     ///
     /// # Errors
     ///
-    /// Names file, section, key and what would be right.
+    /// Returns the first problem with its file, section, key and remedy.
     pub fn parse(file: &str, text: &str) -> Result<Self, ConfigError> {
         let parsed = SectionFile::parse(file, text)?;
         parsed.of_kinds(&[
@@ -92,12 +94,12 @@
             peer_listen: node.text("peer_listen")?,
             secret: node.text("secret")?,
             seeds: node.list("seeds"),
-            translate: read_translation(translate)?,
+            translate: read_translations(translate)?,
             store: platform.text("store")?,
             directory: platform.text("directory")?,
             vm_list: platform.text("vm_list")?,
             route: match routing {
-                Some(section) => section.word(
+                Some(section) => section.choice(
                     "rule",
                     RouteRule::NAMES,
                     RouteRule::parse,
@@ -124,13 +126,13 @@
                 section.number("keep_hours", Some(24 * 35))
             })?,
             log_level: log
-                .and_then(|section| section.maybe("level"))
+                .and_then(|section| section.optional_text("level"))
                 .unwrap_or_else(|| "info".into()),
             log_file: log
-                .and_then(|section| section.maybe("file"))
+                .and_then(|section| section.optional_text("file"))
                 .unwrap_or_default(),
         };
-        if settings.secret.len() < SECRET_LENGTH {
+        if settings.secret.len() < MIN_SECRET_BYTES {
             return Err(node.error(
                 "secret",
                 "the secret is too short",
@@ -155,9 +157,11 @@
     }
 }
 
-/// Reads pairs of addresses; INI takes `=` and `:` as separators, so a key has no colon and the
-/// pair stands in the value, `1 = 10.0.0.1:80 10.1.0.1:80`.
-fn read_translation(
+/// Reads pairs of addresses in the form `1 = 10.0.0.1:80 10.1.0.1:80`.
+///
+/// INI treats both `=` and `:` as separators, so a key cannot contain an address; both addresses are
+/// part of the value.
+fn read_translations(
     section: Option<&SectionReader>,
 ) -> Result<BTreeMap<Box<str>, Box<str>>, ConfigError> {
     let mut table = BTreeMap::new();
--- a/crates/zinniahatch_config/src/topology.rs
+++ b/crates/zinniahatch_config/src/topology.rs
@@ -1,11 +1,11 @@
-//! Regions, their data centres, and the delays between regions.
+//! Regions, their data centres and the delays between regions.
 
 use crate::ConfigError;
 use crate::section::SectionFile;
 use zinniahatch_base::prelude::*;
 
-/// Delay between two regions that no `[link]` section names.
-const DEFAULT_LINK: Duration = Duration::from_millis(40);
+/// One-way delay between two regions without a `[link]` section.
+const DEFAULT_DELAY: Duration = Duration::from_millis(40);
 
 domain! {
     /// One region.
@@ -19,7 +19,7 @@
     pub struct TopologyTable {
         /// Regions by name.
         pub regions: BTreeMap<RegionId, RegionEntry>,
-        /// One-way delay between regions; each pair stands in both orders.
+        /// One-way delays between regions; each pair is stored in both orders.
         pub links: BTreeMap<(RegionId, RegionId), Duration>,
     }
 }
@@ -69,13 +69,13 @@
                 &format!("link {one} {other}"),
                 "-",
                 &format!("no region `{one}`"),
-                "add a [region] section or mend the name",
+                "add a [region] section or correct the name",
             ));
         }
         Ok(())
     }
 
-    /// Gives the region of a data centre.
+    /// Returns the region of a data centre.
     pub fn region_of(&self, data_centre: &str) -> Option<&RegionId> {
         self.regions
             .iter()
@@ -88,7 +88,7 @@
             .map(|(name, _)| name)
     }
 
-    /// Gives the one-way delay between two regions.
+    /// Returns the one-way delay between two regions.
     pub fn delay(&self, one: &str, other: &str) -> Duration {
         if one == other {
             return Duration::ZERO;
@@ -96,6 +96,6 @@
         self.links
             .get(&(one.into(), other.into()))
             .copied()
-            .unwrap_or(DEFAULT_LINK)
+            .unwrap_or(DEFAULT_DELAY)
     }
 }
--- a/crates/zinniahatch_config/src/units.rs
+++ b/crates/zinniahatch_config/src/units.rs
@@ -1,14 +1,15 @@
-//! Values with units, as they are written in settings.
+//! Parsing and formatting of durations with units in settings.
 
 use zinniahatch_base::prelude::*;
 
+/// Units and their length in milliseconds, in ascending order.
 const UNITS: [(&str, u64); 4] = [("ms", 1), ("s", 1_000), ("m", 60_000), ("h", 3_600_000)];
 
-/// Reads a duration such as `250ms`, `3s`, `5m` or `1h`.
+/// Parses a duration such as `250ms`, `3s`, `5m` or `1h`.
 ///
 /// # Errors
 ///
-/// Gives what would be right when the unit is missing or unknown.
+/// Returns a description of the expected format if the text is not a duration.
 ///
 /// # Examples
 ///
@@ -33,7 +34,7 @@
     Err(REMEDY)
 }
 
-/// Writes a duration as [`parse_duration`] reads it.
+/// Formats a duration in the form that [`parse_duration`] reads.
 pub fn format_duration(duration: Duration) -> String {
     let millis = duration.as_millis() as u64;
     for (unit, size) in UNITS.iter().rev() {
--- a/crates/zinniahatch_config/tests/entry.rs
+++ b/crates/zinniahatch_config/tests/entry.rs
@@ -1,4 +1,4 @@
-//! Settings of an entry VM, as the platform fills them in, and presets.
+//! Tests of the settings of an entry VM, as the platform fills them in, and of serving presets.
 
 use std::time::Duration;
 use test_case::test_case;
@@ -8,7 +8,7 @@
 
 const TEMPLATE: &str = include_str!("../../../platform/entry.ini");
 
-/// The values that the platform gives to the template's names.
+/// Values that the platform substitutes for the template's variables.
 const VALUES: [(&str, &str); 23] = [
     ("node_name", "front-a-1"),
     ("region", "north"),
@@ -35,20 +35,24 @@
     ("bounds.quota_slack", "110000"),
 ];
 
-/// Sections that the platform leaves out where it has no value for them.
+/// Template sections that the platform omits if it has no value for them.
 const OPTIONAL: [&str; 3] = [
     "bounds.strict_revoke",
     "bounds.quota_overrun",
     "bounds.quota_slack",
 ];
 
-/// Gives the template as the platform fills it in, where client accounts are known or not.
-fn filled_for(accounts: bool) -> String {
+/// Returns the template as the platform fills it in, with or without client accounts.
+fn filled_template(accounts: bool) -> String {
     let mut text = TEMPLATE.to_owned();
     for name in OPTIONAL {
         let (begin, end) = (format!("{{{{#{name}}}}}"), format!("{{{{/{name}}}}}"));
-        let from = text.find(&begin).expect("the section begins");
-        let to = text.find(&end).expect("the section ends");
+        let from = text
+            .find(&begin)
+            .expect("the template has the start of the section");
+        let to = text
+            .find(&end)
+            .expect("the template has the end of the section");
         let body = text[from + begin.len()..to].to_owned();
         let body = if accounts { &body } else { "" };
         text.replace_range(from..to + end.len(), body);
@@ -57,7 +61,7 @@
 }
 
 fn filled() -> String {
-    filled_for(false)
+    filled_template(false)
 }
 
 fn fill(text: String) -> String {
@@ -65,8 +69,13 @@
     for (name, value) in VALUES {
         text = text.replace(&format!("{{{{{name}}}}}"), value);
     }
-    let start = text.find("{{#zones}}").expect("the section begins");
-    let end = text.find("{{/zones}}").expect("the section ends") + "{{/zones}}".len();
+    let start = text
+        .find("{{#zones}}")
+        .expect("the template has the start of the section");
+    let end = text
+        .find("{{/zones}}")
+        .expect("the template has the end of the section")
+        + "{{/zones}}".len();
     text.replace_range(start..end, "north-a = north\nsouth-a = south\n");
     text
 }
@@ -74,8 +83,8 @@
 #[test]
 fn parse_filled_template() {
     let text = filled();
-    assert!(!text.contains("{{"), "every name is filled in");
-    assert!(EntrySettings::is_meant(&text));
+    assert!(!text.contains("{{"), "every variable is filled in");
+    assert!(EntrySettings::matches_file(&text));
     let settings = EntrySettings::parse("entry.ini", &text).unwrap();
     assert_eq!(&*settings.name, "front-a-1");
     assert_eq!(settings.strength, 25);
@@ -90,8 +99,8 @@
 
 #[test]
 fn parse_template_with_accounts() {
-    let text = filled_for(true);
-    assert!(!text.contains("{{"), "every name is filled in");
+    let text = filled_template(true);
+    assert!(!text.contains("{{"), "every variable is filled in");
     let settings = EntrySettings::parse("entry.ini", &text).unwrap();
     assert_eq!(settings.bounds.revoke, Some(Duration::from_secs(5)));
     assert!((settings.bounds.quota_overrun - 0.1).abs() < 1e-9);
@@ -112,8 +121,8 @@
     assert!(words.iter().all(|word| text.contains(word)), "{text}");
 }
 
-/// A watch that waited longer than the store keeps its history ended as compacted though nothing had
-/// happened, and its node listed all keys anew and took the store for troubled.
+/// Guards against a watch that waits longer than the store keeps its history. Such a watch ends as
+/// compacted without any change, and the node lists all keys again and takes the store for faulty.
 #[test_case("history = 20s", 14_000; "as_filled")]
 #[test_case("history = 5s", 3_500; "short")]
 #[test_case("history = 90s", 28_000; "long")]
--- a/crates/zinniahatch_config/tests/errors.rs
+++ b/crates/zinniahatch_config/tests/errors.rs
@@ -1,4 +1,4 @@
-//! Each error names file, section and key, and says what would be right.
+//! Tests that each error names the file, section and key, and the remedy.
 
 use test_case::test_case;
 use zinniahatch_config::ClusterConfig;
@@ -9,8 +9,8 @@
 const SETTINGS: &str = "[node]\nname = n1\ndata_centre = d\nregion = r\nlisten = 127.0.0.1:1\npeer_listen = 127.0.0.1:2\nsecret = 0123456789abcdef\n[platform]\nstore = http://127.0.0.1:3\ndirectory = http://127.0.0.1:4\nvm_list = http://127.0.0.1:5\n";
 
 #[test]
-fn settings_parse_right() {
-    let settings = NodeSettings::parse("n.ini", SETTINGS).expect("the settings are right");
+fn settings_parse_valid() {
+    let settings = NodeSettings::parse("n.ini", SETTINGS).expect("the settings are valid");
     assert_eq!(&*settings.name, "n1");
 }
 
@@ -21,9 +21,9 @@
 #[test_case("[platform]", "[limits]\nbody_timeout = 3\n[platform]", "n.ini: [limits] body_timeout: `3` is not a duration; write a whole number and a unit of ms, s, m or h, such as 250ms"; "wrong unit")]
 #[test_case("[platform]", "[plattform]", "n.ini: [plattform] -: unknown section; the sections of this file are: node, platform, translate, routing, limits, reports, log"; "unknown section")]
 #[test_case("[platform]", "[node]", "n.ini: [node] -: the section stands twice; merge the two"; "section twice")]
-fn settings_parse_refuses(from: &str, to: &str, expected: &str) {
+fn settings_parse_invalid(from: &str, to: &str, expected: &str) {
     let text = SETTINGS.replace(from, to);
-    let error = NodeSettings::parse("n.ini", &text).expect_err("the settings are wrong");
+    let error = NodeSettings::parse("n.ini", &text).expect_err("the settings are invalid");
     assert_eq!(error.to_string(), expected);
 }
 
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn cluster_build_right() {
+fn cluster_build_valid() {
     assert!(build(&texts()).is_ok());
 }
 
@@ -64,9 +64,9 @@
 #[test_case("preset-p", "c = 1", "c = 0.5", "preset-p: [classes] -: the shares add up to 0.5000; make them add up to 1"; "shares")]
 #[test_case("preset-p", "interactive = 0.5", "interactive = 2", "preset-p: [work] interactive: 2 is not a share; write a number between 0 and 1"; "no share")]
 #[test_case("preset-p", "retry = 0.1", "retry = 0.1\nretries = 3", "preset-p: [budgets] retries: unknown key; the keys of this section are: hedge, hedge_after, retry, stall_after"; "unknown key")]
-fn cluster_build_refuses(part: &str, from: &str, to: &str, expected: &str) {
+fn cluster_build_invalid(part: &str, from: &str, to: &str, expected: &str) {
     let mut texts = texts();
     let text = texts[part].replace(from, to);
     texts.insert(part.into(), text.into());
-    assert_eq!(build(&texts).expect_err("the part is wrong"), expected);
+    assert_eq!(build(&texts).expect_err("the part is invalid"), expected);
 }
--- a/crates/zinniahatch_config/tests/settings_page.rs
+++ b/crates/zinniahatch_config/tests/settings_page.rs
@@ -1,4 +1,4 @@
-//! The page of settings names every key that the code reads, and no other.
+//! Checks that `docs/SETTINGS.md` lists exactly the keys that the code reads.
 
 use std::collections::BTreeSet;
 use test_case::test_case;
@@ -11,15 +11,15 @@
 
 const PAGE: &str = include_str!("../../../docs/SETTINGS.md");
 
-/// Gives the keys that a section of the page names.
+/// Returns the keys that the page lists for a section.
 fn page_keys(section: &str) -> BTreeSet<String> {
     keys_below(&format!("### `[{section}]`"))
 }
 
-/// Gives the keys that stand below a heading of the page.
+/// Returns the keys listed below a heading of the page.
 fn keys_below(start: &str) -> BTreeSet<String> {
     let mut lines = PAGE.lines().skip_while(|line| *line != start);
-    assert!(lines.next().is_some(), "the page has no part `{start}`");
+    assert!(lines.next().is_some(), "the page has no heading `{start}`");
     lines
         .take_while(|line| !line.starts_with('#'))
         .filter_map(|line| {
@@ -31,7 +31,7 @@
         .collect()
 }
 
-/// Gives the keys that an error about an unknown key lists.
+/// Returns the keys listed in an error about an unknown key.
 fn code_keys(error: &str) -> BTreeSet<String> {
     let list = error
         .rsplit("the keys of this section are: ")
--- a/crates/zinniahatch_daemon/src/run.rs
+++ b/crates/zinniahatch_daemon/src/run.rs
@@ -64,7 +64,7 @@
     let file = settings_file(file)?;
     let file = file.as_str();
     let text = read_file(file)?;
-    if EntrySettings::is_meant(&text) {
+    if EntrySettings::matches_file(&text) {
         let settings = EntrySettings::parse(file, &text)?;
         if check {
             println!("{file}: the settings are right");
--- a/crates/zinniahatch_entry/src/core.rs
+++ b/crates/zinniahatch_entry/src/core.rs
@@ -127,7 +127,7 @@
             settings.regions.values().map(|region| tag_of(region)),
             Instant::now(),
         );
-        let log = DecisionLog::new(settings.name.clone(), settings.log_budget);
+        let log = DecisionLog::new(settings.name.clone(), settings.log_rate_limit);
         let store = KvClient::new(&settings.store.to_string());
         let mut contacts = ContactBook::new(settings.listen.peer, &settings.region);
         for seed in &settings.seeds {
--- a/crates/zinniahatch_entry/src/store/membership.rs
+++ b/crates/zinniahatch_entry/src/store/membership.rs
@@ -79,7 +79,7 @@
         core.log
             .write("lease-lapsed", serde_json::json!({"lease": lease.number}));
     }
-    let time = KEY_TIME.max(core.settings.lease_least);
+    let time = KEY_TIME.max(core.settings.min_lease);
     let granted = core.store.grant(time).await?;
     let key = format!("{NODE_PREFIX}{}", core.settings.name);
     let value = format!("{} {}", core.settings.region, core.settings.listen.peer);
--- a/crates/zinniahatch_entry/src/store/quarantine_keys.rs
+++ b/crates/zinniahatch_entry/src/store/quarantine_keys.rs
@@ -125,7 +125,7 @@
 }
 
 async fn keep(core: &EntryCore, news: &SuspectNews, left: Duration) -> Result<(), KvError> {
-    let time = left.min(LONGEST_LEASE).max(core.settings.lease_least);
+    let time = left.min(LONGEST_LEASE).max(core.settings.min_lease);
     let lease = core.store.grant(time).await?;
     let kept = KeptSuspect::of(news, unix_millis());
     let value = serde_json::to_vec(&kept).unwrap_or_default();
--- a/crates/zinniahatch_gateway/src/admin_change.rs
+++ b/crates/zinniahatch_gateway/src/admin_change.rs
@@ -16,7 +16,7 @@
 use zinniahatch_change::ChangeVerdict;
 use zinniahatch_config::OperatorEntry;
 use zinniahatch_config::OperatorRole;
-use zinniahatch_config::shard_of;
+use zinniahatch_config::account_shard;
 
 /// Bytes of one change; the store holds values up to a megabyte.
 const CHANGE_LIMIT: usize = 8 << 20;
@@ -74,7 +74,7 @@
     };
     let (before, text, shard) = {
         let control = core.control();
-        let shard = shard_of(&ask.account);
+        let shard = account_shard(&ask.account);
         let text = control.ledger().texts().remove(&shard).unwrap_or_default();
         (
             control
