--- a/crates/zinniahatch_entry/src/core.rs
+++ b/crates/zinniahatch_entry/src/core.rs
@@ -1,11 +1,11 @@
-//! What the tasks of one process share.
+//! State shared by all tasks of the process.
 
 use crate::counts::count_desk::CountDesk;
 use crate::decision_log::DecisionLog;
 use crate::metrics::EntryMetrics;
 use crate::nodes::replica_news::ReplicaNews;
 use crate::replicas::end_checks::EndChecks;
-use crate::request::pool::ChannelPool;
+use crate::request::pool::ConnectionPool;
 use crate::store::watch_topic::WatchTopic;
 use crate::who::allowances::limits_of;
 use crate::who::boot_clock::BootClock;
@@ -36,20 +36,20 @@
 use zinniahatch_route::ServingPreset;
 use zinniahatch_route::SuspectTable;
 
-/// How far a process is with stopping.
+/// Progress of the process's graceful shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum StopPhase {
-    /// It serves.
+    /// Normal operation.
     Serving,
-    /// It says that it is not ready, and serves whoever comes all the same.
+    /// Reports itself as not ready but still serves every request.
     Leaving,
-    /// It still takes requests that end soon, since no other node of its region is ready.
+    /// Accepts only non-streaming requests, because no other node of its region is ready.
     PlainOnly,
-    /// It takes no new requests and closes idle channels.
+    /// Accepts no new requests and closes idle connections.
     Closing,
 }
 
-/// The shared state; one thread uses it, so cells and not locks guard it.
+/// The shared state. It is used from a single thread, so cells guard it instead of locks.
 #[derive(Debug)]
 pub(crate) struct EntryCore {
     pub(crate) settings: EntrySettings,
@@ -57,64 +57,65 @@
     pub(crate) started: Instant,
     pub(crate) desired: RefCell<Option<Rc<DesiredState>>>,
     pub(crate) routes: RefCell<Rc<RouteTable>>,
-    /// The client accounts and their keys.
+    /// The client accounts and their API keys.
     pub(crate) identities: RefCell<Rc<AccountTable>>,
-    /// Until when those keys may be trusted.
-    pub(crate) proofs: RefCell<ProofBook>,
+    /// How long those keys may be trusted.
+    pub(crate) key_freshness: RefCell<ProofBook>,
     pub(crate) clock: BootClock,
-    /// The store's revision up to which this node has seen what the operators wrote.
+    /// The store revision up to which this node has seen the operators' writes.
     pub(crate) operator_revision: Cell<Option<StoreRevision>>,
-    /// What the accounts may still use.
+    /// Remaining allowances of the client accounts.
     pub(crate) quotas: RefCell<QuotaBook>,
     pub(crate) preset: RefCell<ServingPreset>,
     pub(crate) replicas: RefCell<ReplicaTable>,
     pub(crate) members: RefCell<MemberTable>,
-    /// Whether requests to other regions arrive there.
-    pub(crate) ways: RefCell<RegionWays>,
-    pub(crate) gate: RefCell<ColdGate>,
-    /// The callers of each service that were told when its replicas take work again.
-    pub(crate) return_lines: RefCell<BTreeMap<ServiceId, ReturnLine>>,
-    /// Requests under which replicas ended.
+    /// Whether requests to other regions get through.
+    pub(crate) region_paths: RefCell<RegionWays>,
+    pub(crate) cold_limiter: RefCell<ColdGate>,
+    /// Spreads the `Retry-After` times of callers of each service whose replicas take no work for
+    /// now.
+    pub(crate) retry_queues: RefCell<BTreeMap<ServiceId, ReturnLine>>,
+    /// Requests that were running on replicas when those ended.
     pub(crate) suspects: RefCell<SuspectTable>,
-    /// Told when one of them began or ceased to be held.
-    pub(crate) quarantined: watch::Sender<()>,
-    /// Those whose key in the store is to be removed.
-    pub(crate) released: RefCell<Vec<ContentDigest>>,
+    /// Signalled when a request enters or leaves quarantine.
+    pub(crate) quarantine_changed: watch::Sender<()>,
+    /// Requests released from quarantine whose key in the store has to be removed.
+    pub(crate) released_requests: RefCell<Vec<ContentDigest>>,
     pub(crate) end_checks: EndChecks,
-    pub(crate) budgets: RefCell<BTreeMap<ServiceId, RepeatBudget>>,
-    /// Where other nodes may listen, from the store and from other nodes.
+    pub(crate) retry_budgets: RefCell<BTreeMap<ServiceId, RepeatBudget>>,
+    /// Peer addresses of other nodes, learned from the store and from other nodes.
     pub(crate) contacts: RefCell<ContactBook>,
     pub(crate) counts: CountDesk,
-    /// News of replicas that the other nodes of the region have not been told.
+    /// Replica updates that have not been sent to the other nodes of the region.
     pub(crate) replica_news: RefCell<ReplicaNews>,
-    /// How what this node knows of each topic compares with what the readers of its region say.
-    pub(crate) covers: RefCell<BTreeMap<WatchTopic, ReaderCover>>,
-    /// Whether this node leaves the reading of the desired state to others.
-    pub(crate) rests: Cell<bool>,
-    pub(crate) pool: ChannelPool,
+    /// For each topic, how this node's state compares with that of its region's store readers.
+    pub(crate) topic_coverage: RefCell<BTreeMap<WatchTopic, ReaderCover>>,
+    /// Whether this node leaves reading the desired state from the store to other nodes.
+    pub(crate) skips_watch: Cell<bool>,
+    pub(crate) pool: ConnectionPool,
     pub(crate) store: KvClient,
-    /// Told when the store failed a call while the watch was waiting.
+    /// Signalled when a store call fails while the watch is waiting.
     pub(crate) store_lost: Notify,
-    /// Whether the store answered the last call of the watch that looks for its return.
-    pub(crate) store_serves: watch::Sender<bool>,
+    /// Whether the store answered the last call of the watch that probes for its recovery.
+    pub(crate) store_reachable: watch::Sender<bool>,
     pub(crate) log: DecisionLog,
     pub(crate) metrics: EntryMetrics,
     pub(crate) phase: watch::Sender<StopPhase>,
-    /// Whether the replicas have been listed, from the store or a peer.
-    listed: Cell<bool>,
-    /// Whether this node has looked in the store who else there is.
-    looked: Cell<bool>,
-    /// Told when the open work of this node changed, or there is news of replicas for its region.
+    /// Whether the list of replicas has been read, from the store or from a peer.
+    replicas_listed: Cell<bool>,
+    /// Whether this node has read the list of members from the store.
+    members_read: Cell<bool>,
+    /// Signalled when this node's in-flight work changes or it has replica updates for its region.
     pub(crate) work_changed: Notify,
-    /// Told when this node learned the desired state, the replicas, or of another node.
-    pub(crate) learned: Notify,
-    /// Requests in progress.
-    pub(crate) open_calls: Cell<usize>,
-    tickets: Cell<u64>,
+    /// Signalled when this node learns the desired state, the replicas or another node.
+    pub(crate) state_learned: Notify,
+    /// Number of requests in flight.
+    pub(crate) in_flight_count: Cell<usize>,
+    last_ticket: Cell<u64>,
 }
 
 impl EntryCore {
-    /// Makes the state of a fresh process.
+    /// Creates the state of a fresh process.
     pub(crate) fn new(
         settings: EntrySettings,
         incarnation: Incarnation,
@@ -140,91 +141,91 @@
             desired: RefCell::default(),
             routes: RefCell::default(),
             identities: RefCell::default(),
-            proofs: RefCell::default(),
+            key_freshness: RefCell::default(),
             clock,
             operator_revision: Cell::default(),
             quotas: RefCell::new(quotas),
             preset: RefCell::default(),
             replicas: RefCell::default(),
             members: RefCell::default(),
-            ways: RefCell::default(),
-            gate: RefCell::default(),
-            return_lines: RefCell::default(),
+            region_paths: RefCell::default(),
+            cold_limiter: RefCell::default(),
+            retry_queues: RefCell::default(),
             suspects: RefCell::default(),
-            quarantined: watch::Sender::new(()),
-            released: RefCell::default(),
+            quarantine_changed: watch::Sender::new(()),
+            released_requests: RefCell::default(),
             end_checks: EndChecks::default(),
-            budgets: RefCell::default(),
+            retry_budgets: RefCell::default(),
             contacts: RefCell::new(contacts),
             counts: CountDesk::default(),
             replica_news: RefCell::default(),
-            covers: RefCell::default(),
-            rests: Cell::new(false),
-            pool: ChannelPool::default(),
+            topic_coverage: RefCell::default(),
+            skips_watch: Cell::new(false),
+            pool: ConnectionPool::default(),
             store,
             store_lost: Notify::new(),
-            store_serves: watch::Sender::new(true),
+            store_reachable: watch::Sender::new(true),
             log,
             metrics,
             phase: watch::Sender::new(StopPhase::Serving),
-            listed: Cell::new(false),
-            looked: Cell::new(false),
+            replicas_listed: Cell::new(false),
+            members_read: Cell::new(false),
             work_changed: Notify::new(),
-            learned: Notify::new(),
-            open_calls: Cell::new(0),
-            tickets: Cell::new(0),
+            state_learned: Notify::new(),
+            in_flight_count: Cell::new(0),
+            last_ticket: Cell::new(0),
             settings,
         }
     }
 
-    /// Gives a number that no other request of this process has.
-    pub(crate) fn ticket(&self) -> u64 {
-        let ticket = self.tickets.get() + 1;
-        self.tickets.set(ticket);
+    /// Returns a number that is unique among the requests of this process.
+    pub(crate) fn next_ticket(&self) -> u64 {
+        let ticket = self.last_ticket.get() + 1;
+        self.last_ticket.set(ticket);
         ticket
     }
 
-    /// Gives the tag by which news of this process's work name it.
+    /// Returns the tag that identifies this process in gossiped work updates.
     pub(crate) fn origin(&self) -> ShortTag {
         origin_tag(&self.settings.name, self.incarnation)
     }
 
-    /// Gives the phase of stopping.
+    /// Returns the shutdown phase.
     pub(crate) fn phase(&self) -> StopPhase {
         *self.phase.borrow()
     }
 
-    /// Tells whether callers should come here.
+    /// Returns whether callers should use this node.
     pub(crate) fn is_ready(&self) -> bool {
         self.stage() == MemberStage::Ready
     }
 
-    /// Tells whether the desired state and the replicas are known.
-    pub(crate) fn knows(&self) -> bool {
-        self.is_listed() && self.desired.borrow().is_some()
+    /// Returns whether the desired state and the replicas are known.
+    pub(crate) fn is_initialized(&self) -> bool {
+        self.has_listed_replicas() && self.desired.borrow().is_some()
     }
 
-    /// Tells whether the replicas have been listed, from the store or a peer.
-    pub(crate) fn is_listed(&self) -> bool {
-        self.listed.get()
+    /// Returns whether the list of replicas has been read, from the store or from a peer.
+    pub(crate) fn has_listed_replicas(&self) -> bool {
+        self.replicas_listed.get()
     }
 
-    /// Notes that the replicas have been listed.
-    pub(crate) fn note_listed(&self) {
-        self.listed.set(true);
-        self.learned.notify_waiters();
+    /// Records that the list of replicas has been read.
+    pub(crate) fn mark_replicas_listed(&self) {
+        self.replicas_listed.set(true);
+        self.state_learned.notify_waiters();
     }
 
-    /// Notes that this node has looked in the store who else there is.
-    pub(crate) fn note_looked(&self) {
-        self.looked.set(true);
-        self.learned.notify_waiters();
+    /// Records that this node has read the list of members from the store.
+    pub(crate) fn mark_members_read(&self) {
+        self.members_read.set(true);
+        self.state_learned.notify_waiters();
     }
 
-    /// Tells how far this node is between its start and its end, as the others are told.
+    /// Returns this node's lifecycle stage, as announced to the other nodes.
     pub(crate) fn stage(&self) -> MemberStage {
         match self.phase() {
-            _ if !self.knows() => MemberStage::Starting,
+            _ if !self.is_initialized() => MemberStage::Starting,
             StopPhase::Serving => MemberStage::Ready,
             StopPhase::Leaving => MemberStage::Leaving,
             StopPhase::PlainOnly => MemberStage::PlainOnly,
@@ -232,16 +233,16 @@
         }
     }
 
-    /// Gives the version of the desired state; 0 while none is known.
+    /// Returns the version of the desired state, 0 while none is known.
     pub(crate) fn version(&self) -> u64 {
         self.routes.borrow().version()
     }
 
-    /// Puts a desired state in force unless it is older than the one in force.
+    /// Puts a desired state in force unless it is older than the current one.
     ///
-    /// Stale reads, late answers and peers that are behind may show an older one; going back
-    /// would serve callers by rules that were already replaced.
-    pub(crate) fn adopt(&self, state: DesiredState, source: &'static str) -> bool {
+    /// Stale reads, delayed responses and peers that lag behind may deliver an older version. Going
+    /// back to it would serve callers by rules that have already been replaced.
+    pub(crate) fn apply_desired_state(&self, state: DesiredState, source: &'static str) -> bool {
         if self.desired.borrow().is_some() && state.version <= self.version() {
             return false;
         }
@@ -257,14 +258,14 @@
         *self.identities.borrow_mut() = Rc::new(identities);
         let limits = limits_of(self, &state);
         self.quotas.borrow_mut().set_limits(&limits, Instant::now());
-        self.proofs.borrow_mut().follow(state.version);
+        self.key_freshness.borrow_mut().follow(state.version);
         *self.routes.borrow_mut() = Rc::new(RouteTable::new(&state));
         *self.desired.borrow_mut() = Some(Rc::new(state));
-        self.learned.notify_waiters();
+        self.state_learned.notify_waiters();
         true
     }
 
-    /// Tells whether the keys that this node knows may be trusted now.
+    /// Returns whether the API keys known to this node may be trusted now.
     pub(crate) fn trusts_keys(&self) -> bool {
         let Some(bound) = self.settings.bounds.revoke else {
             return true;
@@ -272,36 +273,42 @@
         if !self.identities.borrow().is_guarded() {
             return true;
         }
-        !self.may_be_behind() && self.proofs.borrow().is_fresh(bound, self.clock.now())
+        !self.may_be_stale()
+            && self
+                .key_freshness
+                .borrow()
+                .is_fresh(bound, self.clock.now())
     }
 
-    /// Tells whether this node has just started and has not heard yet that no other follows a newer version.
+    /// Returns whether this node has just started and cannot yet rule out that another node follows
+    /// a newer version.
     ///
-    /// Failure: the store comes back from an older copy, in which a key stands that was taken away. A node that starts
-    /// just then reads it there and serves it until it hears of the others, a tenth of a second later.
-    pub(crate) fn may_be_behind(&self) -> bool {
-        let alone = self.looked.get() && self.contacts.borrow().is_empty();
-        if self.started.elapsed() >= ACQUAINT_TIME || alone {
+    /// Guards against a store that is restored from an older backup and still contains a revoked
+    /// key. A node that starts at that moment reads the key and would accept it until it hears from
+    /// the other nodes, a tenth of a second later.
+    pub(crate) fn may_be_stale(&self) -> bool {
+        let alone = self.members_read.get() && self.contacts.borrow().is_empty();
+        if self.started.elapsed() >= DISCOVERY_TIME || alone {
             return false;
         }
         let newest = self.members.borrow().newest_version(Instant::now());
         newest == 0 || newest > self.version()
     }
 
-    /// Gives the time for which proofs count, where callers have to say who they are.
+    /// Returns how long proofs of key freshness remain valid, if callers have to authenticate.
     pub(crate) fn key_bound(&self) -> Option<Duration> {
         let guarded = self.identities.borrow().is_guarded();
         self.settings.bounds.revoke.filter(|_| guarded)
     }
 
-    /// Notes that the store failed a call of this node.
+    /// Records that a store call of this node failed.
     pub(crate) fn note_store_trouble(&self) {
         let mut replicas = self.replicas.borrow_mut();
         replicas.note_store_trouble(Instant::now());
     }
 
-    /// Puts a preset in force unless its switch is older than the one in force.
-    pub(crate) fn adopt_preset(&self, preset: ServingPreset, source: &'static str) {
+    /// Puts a preset in force unless it was switched on before the current one.
+    pub(crate) fn apply_preset(&self, preset: ServingPreset, source: &'static str) {
         if preset.revision <= self.preset.borrow().revision {
             return;
         }
@@ -313,20 +320,20 @@
         *self.preset.borrow_mut() = preset;
     }
 
-    /// Gives what the desired state says of a service.
+    /// Returns the desired state of a service.
     pub(crate) fn service(&self, name: &str) -> Option<DesiredService> {
         let desired = self.desired.borrow();
         desired.as_ref()?.services.get(name).cloned()
     }
 
-    /// Runs a function on the repeat budget of a service.
-    pub(crate) fn with_budget<T>(
+    /// Calls `run` with the retry budget of a service.
+    pub(crate) fn with_retry_budget<T>(
         &self,
         service: &ServiceId,
         run: impl FnOnce(&mut RepeatBudget) -> T,
     ) -> T {
-        let mut budgets = self.budgets.borrow_mut();
-        let budget = budgets.entry(service.clone()).or_insert_with(|| {
+        let mut retry_budgets = self.retry_budgets.borrow_mut();
+        let budget = retry_budgets.entry(service.clone()).or_insert_with(|| {
             let bounds = &self.settings.bounds;
             let members = self.members.borrow().known().count();
             let nodes = members.max(self.contacts.borrow().len()) + 1;
@@ -334,44 +341,47 @@
                 bounds.repeat_window,
                 bounds.repeat_ratio,
                 bounds.repeat_slack,
-                nodes.max(LEAST_NODES),
+                nodes.max(MIN_NODES),
             )
         });
         run(budget)
     }
 
-    /// Gives the bound of a cold replica over all nodes, in requests a second; none for a node that
-    /// has just started, since it cannot know yet who else uses a part of it.
+    /// Returns the rate limit of a cold replica summed over all nodes, in requests per second.
+    ///
+    /// It is zero on a node that has just started, because that node cannot know yet which other
+    /// nodes use a share of it.
     pub(crate) fn cold_bound(&self, rate: f64) -> f64 {
-        if self.started.elapsed() < ACQUAINT_TIME {
+        if self.started.elapsed() < DISCOVERY_TIME {
             return 0.0;
         }
         self.settings.cold_bound(rate)
     }
 
-    /// Gives this node's part of the channels that one replica accepts.
-    pub(crate) fn channel_share(&self, service: &str) -> usize {
-        let most = self.service(service).map_or(0, |entry| entry.max_channels);
-        if most == 0 {
-            return UNBOUNDED_CHANNELS;
+    /// Returns this node's share of the connections that one replica accepts.
+    pub(crate) fn connection_share(&self, service: &str) -> usize {
+        let limit = self.service(service).map_or(0, |entry| entry.max_channels);
+        if limit == 0 {
+            return DEFAULT_MAX_CONNECTIONS;
         }
         let peers = self.members.borrow().names_in(&self.settings.region);
         let nodes = peers.len().max(1) + 1;
-        ((f64::from(most) * CHANNEL_PART / nodes as f64) as usize).max(1)
+        ((f64::from(limit) * CONNECTION_SHARE / nodes as f64) as usize).max(1)
     }
 }
 
-/// Gives the tag by which news of a process name it.
+/// Returns the tag that identifies a process in gossiped updates.
 fn origin_tag(node: &str, incarnation: Incarnation) -> ShortTag {
     tag_of(&format!("{node}@{incarnation}"))
 }
 
-/// Time in which a fresh node gets to know the others; cards come every half second.
-pub(crate) const ACQUAINT_TIME: Duration = Duration::from_secs(2);
-/// Nodes that share a budget at least, before the others are known: a process that has just
-/// started must not take the whole slack for itself.
-const LEAST_NODES: usize = 10;
-/// Part of a replica's channels that nodes use; a restarted node's old ones linger for a while.
-const CHANNEL_PART: f64 = 0.85;
-/// Channels to one replica where the service names no bound.
-const UNBOUNDED_CHANNELS: usize = 1_000;
+/// Time in which a fresh node learns of the others. Heartbeats are sent every half second.
+pub(crate) const DISCOVERY_TIME: Duration = Duration::from_secs(2);
+/// Minimum number of nodes assumed to share a budget. A process that has just started and does not
+/// know the others yet must not take the whole slack for itself.
+const MIN_NODES: usize = 10;
+/// Share of a replica's connections that nodes use. The rest covers the old connections of a
+/// restarted node, which linger for a while.
+const CONNECTION_SHARE: f64 = 0.85;
+/// Connections to one replica if the service sets no limit.
+const DEFAULT_MAX_CONNECTIONS: usize = 1_000;
--- a/crates/zinniahatch_entry/src/counts/counting.rs
+++ b/crates/zinniahatch_entry/src/counts/counting.rs
@@ -6,8 +6,8 @@
 
 use crate::core::EntryCore;
 use crate::nodes::snapshot::ask_peer;
-use crate::request::plan::CallPlan;
-use crate::request::received::ReceivedCall;
+use crate::request::plan::RequestPlan;
+use crate::request::received::ReceivedRequest;
 use rand::RngExt;
 use serde::Deserialize;
 use serde::Serialize;
@@ -67,8 +67,8 @@
 /// A request that was handed over is counted where its caller was answered, once.
 pub(crate) fn count(
     core: &EntryCore,
-    call: &ReceivedCall,
-    plan: &CallPlan,
+    call: &ReceivedRequest,
+    plan: &RequestPlan,
     served: &RegionId,
     code: ResultCode,
     first: Option<Duration>,
--- a/crates/zinniahatch_entry/src/decision_log.rs
+++ b/crates/zinniahatch_entry/src/decision_log.rs
@@ -1,8 +1,9 @@
-//! The decision log: JSON lines on standard output, bounded and never blocking.
+//! The decision log: JSON lines on standard output, bounded and non-blocking.
 //!
-//! Each kind of line has a budget a second; what is left out is counted and told with the next
-//! line of that kind. Lines go through a bounded queue to a writer thread, and a full queue drops
-//! lines and counts them, so that a stuck reader of the output cannot stop a request.
+//! Each kind of line has a budget per second. Lines over budget are counted, and the count is
+//! reported with the next line of that kind. Lines pass through a bounded queue to a writer thread.
+//! A full queue drops and counts lines, so that a stalled reader of the output cannot block
+//! requests.
 
 use serde::Serialize;
 use std::cell::RefCell;
@@ -14,10 +15,10 @@
 use tracing_appender::non_blocking::WorkerGuard;
 use zinniahatch_base::prelude::*;
 
-/// Lines that wait for the writer at most.
-const QUEUED_LINES: usize = 2_000;
+/// Maximum number of lines queued for the writer thread.
+const MAX_QUEUED_LINES: usize = 2_000;
 
-/// The budget of one kind of line.
+/// Budget of one kind of line.
 #[derive(Debug, Default)]
 struct KindBudget {
     second: u64,
@@ -25,7 +26,7 @@
     left_out: u64,
 }
 
-/// The log of one process.
+/// The decision log of one process.
 #[derive(Debug)]
 pub(crate) struct DecisionLog {
     writer: RefCell<NonBlocking>,
@@ -52,10 +53,10 @@
 }
 
 impl DecisionLog {
-    /// Starts the log.
+    /// Starts the writer thread.
     pub(crate) fn new(node: NodeId, budget: u32) -> Self {
         let (writer, guard) = NonBlockingBuilder::default()
-            .buffered_lines_limit(QUEUED_LINES)
+            .buffered_lines_limit(MAX_QUEUED_LINES)
             .lossy(true)
             .thread_name("log")
             .finish(std::io::stdout());
@@ -85,7 +86,7 @@
             return;
         };
         text.push(b'\n');
-        // The writer is lossy by intent; it reports no error for a dropped line.
+        // The writer is lossy by design and reports no error for a dropped line.
         let _ = self.writer.borrow_mut().write_all(&text);
     }
 
@@ -105,7 +106,7 @@
     }
 }
 
-/// Gives the time of day in Unix milliseconds.
+/// Returns the wall-clock time in Unix milliseconds.
 pub(crate) fn unix_millis() -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
     since.map_or(0, |since| since.as_millis() as u64)
--- a/crates/zinniahatch_entry/src/lib.rs
+++ b/crates/zinniahatch_entry/src/lib.rs
@@ -1,22 +1,23 @@
-//! The entry VM on the users' platform.
+//! The entry VM: the process between callers and backend servers.
 //!
-//! `request` serves callers by what `nodes`, `store`, `replicas` and `who` keep in the tables of `core`.
+//! `request` serves callers from the state in `core`, which `nodes`, `store`, `replicas` and `who`
+//! keep up to date.
 
 mod core;
 mod counts;
 mod decision_log;
+mod listeners;
 mod metrics;
 mod nodes;
 mod replicas;
 mod request;
 mod run;
-mod services;
 mod store;
 mod who;
 
-pub use request::channel::AnswerHead;
-pub use request::channel::BackendChannel;
-pub use request::channel::ChannelError;
+pub use request::connection::BackendConnection;
+pub use request::connection::ConnectionError;
+pub use request::connection::ResponseHead;
 pub use request::events::EventSplitter;
 pub use run::EntryError;
 pub use run::run_entry;
--- a/crates/zinniahatch_entry/src/services.rs
+++ b/crates/zinniahatch_entry/src/listeners.rs
@@ -1,12 +1,12 @@
-//! The listeners: callers, other nodes, directory, readiness, control.
+//! Listeners for callers, other nodes, the directory, readiness checks and control requests.
 
-use crate::core::ACQUAINT_TIME;
+use crate::core::DISCOVERY_TIME;
 use crate::core::EntryCore;
 use crate::core::StopPhase;
-use crate::request::answer::AnswerBody;
-use crate::request::ingress::CallerSide;
-use crate::request::ingress::answer;
+use crate::request::ingress::RequestSource;
+use crate::request::ingress::handle_request;
 use crate::request::ingress::limits;
+use crate::request::response_body::ResponseBody;
 use http::HeaderValue;
 use http::Request;
 use http::Response;
@@ -33,25 +33,26 @@
 use zinniahatch_route::NamedNodes;
 use zinniahatch_route::name_nodes;
 
-/// Addresses that one answer of the directory names at most.
-const MOST_ADDRESSES: usize = 64;
-/// Time that an idle channel stays open beyond what callers are told.
+/// Maximum number of addresses in one directory response.
+const MAX_ADDRESSES: usize = 64;
+/// Time for which an idle connection stays open beyond the idle timeout announced to callers.
 const IDLE_SLACK: Duration = Duration::from_secs(2);
-/// Connections that wait to be accepted; a burst beyond it would wait for a second packet.
+/// Length of the accept queue. In a burst beyond it, connections are delayed by a retransmitted
+/// SYN.
 const BACKLOG: u32 = 1024;
 /// Path of the metrics.
 const METRICS_PATH: &str = "/metrics";
-/// Smallest buffer that the HTTP library takes for a head.
-const LEAST_HEAD: usize = 8 << 10;
+/// Smallest head buffer that the HTTP library accepts.
+const MIN_HEAD_BUFFER: usize = 8 << 10;
 
-/// What a listener is for.
+/// What a listener serves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum ListenerDuty {
-    /// Requests.
-    Calls(CallerSide),
+pub(crate) enum ListenerKind {
+    /// Requests of callers or of other nodes.
+    Calls(RequestSource),
     /// Which entry VM to use.
     Directory,
-    /// Whether this one takes callers.
+    /// Whether this entry VM accepts callers.
     Readiness,
     /// Metrics.
     Control,
@@ -61,7 +62,7 @@
 ///
 /// # Errors
 ///
-/// The address cannot be used.
+/// The address cannot be bound.
 pub(crate) fn bind(address: SocketAddrV4) -> std::io::Result<TcpListener> {
     let socket = tokio::net::TcpSocket::new_v4()?;
     socket.set_reuseaddr(true)?;
@@ -70,26 +71,26 @@
 }
 
 /// Accepts connections until the process ends.
-pub(crate) async fn run_listener(core: Rc<EntryCore>, listener: TcpListener, duty: ListenerDuty) {
+pub(crate) async fn run_listener(core: Rc<EntryCore>, listener: TcpListener, kind: ListenerKind) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                tokio::task::spawn_local(run_connection(Rc::clone(&core), stream, duty));
+                tokio::task::spawn_local(run_connection(Rc::clone(&core), stream, kind));
             }
             Err(error) => {
                 core.log.write(
                     "accept-failed",
                     serde_json::json!({"duty": format!("{duty:?}"), "error": error.to_string()}),
                 );
-                // Descriptors may have run out; they come back as connections end.
+                // The process may be out of file descriptors; they become free as connections end.
                 tokio::time::sleep(Duration::from_millis(20)).await;
             }
         }
     }
 }
 
-async fn run_connection(core: Rc<EntryCore>, stream: TcpStream, duty: ListenerDuty) {
-    // A connection without this option would still work, only later.
+async fn run_connection(core: Rc<EntryCore>, stream: TcpStream, kind: ListenerKind) {
+    // Without this option the connection still works, with higher latency.
     let _ = stream.set_nodelay(true);
     let limits = limits(&core);
     let mut phases = core.phase.subscribe();
@@ -97,25 +98,26 @@
         let core = Rc::clone(&core);
         service_fn(move |request| {
             let core = Rc::clone(&core);
-            async move { Ok::<_, Infallible>(respond(core, duty, request).await) }
+            async move { Ok::<_, Infallible>(respond(core, kind, request).await) }
         })
     };
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
         .header_read_timeout(limits.idle_timeout + IDLE_SLACK)
-        .max_buf_size(limits.max_header_bytes.max(LEAST_HEAD) + LEAST_HEAD)
+        .max_buf_size(limits.max_header_bytes.max(MIN_HEAD_BUFFER) + MIN_HEAD_BUFFER)
         .serve_connection(TokioIo::new(stream), service);
     let mut connection = std::pin::pin!(connection);
     let closing = async {
-        // Whoever asks for the directory, readiness or metrics is answered to the end: a directory that
-        // closes on its callers leaves those of a region whose nodes stop in turn without any.
-        if !matches!(duty, ListenerDuty::Calls(_)) {
+        // Connections to the directory, readiness and metrics listeners are never closed from this
+        // side. If directories closed theirs, callers of a region whose nodes stop one after the
+        // other would be left without any.
+        if !matches!(kind, ListenerKind::Calls(_)) {
             std::future::pending::<()>().await;
         }
-        // The sender lives as long as the process.
+        // Cannot fail: the sender lives as long as the process.
         let _ = phases.wait_for(|phase| *phase == StopPhase::Closing).await;
     };
-    // A connection ends with an error when its caller leaves, which is no news.
+    // A connection that ends with an error was closed by its caller, which is not worth logging.
     tokio::select! {
         _ = connection.as_mut() => return,
         () = closing => {}
@@ -126,31 +128,31 @@
 
 async fn respond(
     core: Rc<EntryCore>,
-    duty: ListenerDuty,
+    kind: ListenerKind,
     request: Request<Incoming>,
-) -> Response<AnswerBody> {
-    match duty {
-        ListenerDuty::Calls(side) => answer(core, side, request).await,
-        ListenerDuty::Directory => resolve(&core, &request),
-        ListenerDuty::Readiness => readiness(&core, request.uri().path()),
-        ListenerDuty::Control => control(&core, request.uri().path()),
+) -> Response<ResponseBody> {
+    match kind {
+        ListenerKind::Calls(source) => handle_request(core, source, request).await,
+        ListenerKind::Directory => resolve(&core, &request),
+        ListenerKind::Readiness => readiness(&core, request.uri().path()),
+        ListenerKind::Control => control(&core, request.uri().path()),
     }
 }
 
 fn plain(
     status: StatusCode,
-    kind: &'static str,
+    content_type: &'static str,
     body: impl Into<bytes::Bytes>,
-) -> Response<AnswerBody> {
-    let mut response = Response::new(AnswerBody::whole(body));
+) -> Response<ResponseBody> {
+    let mut response = Response::new(ResponseBody::whole(body));
     *response.status_mut() = status;
     response
         .headers_mut()
-        .insert(header::CONTENT_TYPE, HeaderValue::from_static(kind));
+        .insert(header::CONTENT_TYPE, HeaderValue::from_static(content_type));
     response
 }
 
-fn readiness(core: &EntryCore, path: &str) -> Response<AnswerBody> {
+fn readiness(core: &EntryCore, path: &str) -> Response<ResponseBody> {
     let status = if path != READINESS_PATH {
         StatusCode::NOT_FOUND
     } else if core.is_ready() && core.trusts_keys() {
@@ -161,18 +163,18 @@
     plain(status, "text/plain", "")
 }
 
-fn control(core: &EntryCore, path: &str) -> Response<AnswerBody> {
+fn control(core: &EntryCore, path: &str) -> Response<ResponseBody> {
     if path != METRICS_PATH {
         return plain(StatusCode::NOT_FOUND, "text/plain", "");
     }
-    let age = core.proofs.borrow().age(core.clock.now());
+    let age = core.key_freshness.borrow().age(core.clock.now());
     core.metrics.set_proof_age(age);
-    let text = core.metrics.text(core.pool.open());
+    let text = core.metrics.text(core.pool.open_count());
     plain(StatusCode::OK, "text/plain; version=0.0.4", text)
 }
 
-/// Names the living nodes of the caller's region, or others where it has none.
-fn resolve(core: &EntryCore, request: &Request<Incoming>) -> Response<AnswerBody> {
+/// Responds with live nodes of the caller's region, or of other regions if it has none.
+fn resolve(core: &EntryCore, request: &Request<Incoming>) -> Response<ResponseBody> {
     if request.uri().path() != RESOLVE_PATH {
         return plain(StatusCode::NOT_FOUND, "text/plain", "");
     }
@@ -193,8 +195,9 @@
     let own = &core.settings.region;
     let region = query.region.as_deref().unwrap_or(own);
     let members = core.members.borrow();
-    // It would name itself, though the other region's nodes live; callers ask the next directory.
-    let unacquainted = now.saturating_duration_since(core.started) < ACQUAINT_TIME;
+    // A fresh node that knows no others would name itself although nodes of the other region are
+    // alive. With an empty response, callers ask the next directory.
+    let unacquainted = now.saturating_duration_since(core.started) < DISCOVERY_TIME;
     if **own != *region && unacquainted && members.known().next().is_none() {
         return Vec::new();
     }
@@ -221,6 +224,6 @@
     found.sort_unstable();
     found.dedup();
     found.shuffle(&mut rand::rng());
-    found.truncate(MOST_ADDRESSES);
+    found.truncate(MAX_ADDRESSES);
     found
 }
--- a/crates/zinniahatch_entry/src/nodes/catch_up.rs
+++ b/crates/zinniahatch_entry/src/nodes/catch_up.rs
@@ -12,7 +12,7 @@
 use zinniahatch_route::PupilState;
 
 /// Pause between looks at what the other nodes follow.
-const LOOK_TIME: Duration = Duration::from_millis(200);
+const SILENCE_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 /// Time for which the own watch may be behind the newest version that another node follows: watches
 /// pause up to 1.2 s after each change.
 const BEHIND_TIME: Duration = Duration::from_millis(1500);
@@ -25,7 +25,7 @@
 pub(crate) async fn run_catch_up(core: Rc<EntryCore>) {
     let mut behind_since = None;
     loop {
-        sleep(LOOK_TIME).await;
+        sleep(SILENCE_CHECK_INTERVAL).await;
         let now = Instant::now();
         let sighted = !core.replicas.borrow().in_trouble(now);
         let own = PupilState {
@@ -36,7 +36,7 @@
         };
         let teacher = {
             let members = core.members.borrow();
-            let found = members.teacher(&own, core.ticket(), now);
+            let found = members.teacher(&own, core.next_ticket(), now);
             found.and_then(|card| members.permit(&card.node))
         };
         let Some(peer) = teacher else {
@@ -57,10 +57,10 @@
 
 /// Gives the time for which this node waits for its own watch before it asks a peer.
 fn patience(core: &EntryCore, sighted: bool) -> Duration {
-    if !sighted || !core.knows() {
+    if !sighted || !core.is_initialized() {
         return Duration::ZERO;
     }
-    if !core.rests.get() {
+    if !core.skips_watch.get() {
         return BEHIND_TIME;
     }
     // The nodes that hear of a new version at once do not all ask the few that have it.
--- a/crates/zinniahatch_entry/src/nodes/duty.rs
+++ b/crates/zinniahatch_entry/src/nodes/duty.rs
@@ -1,6 +1,6 @@
 //! Duties that fall to the first few nodes of a region by rank.
 
-use crate::core::ACQUAINT_TIME;
+use crate::core::DISCOVERY_TIME;
 use crate::core::EntryCore;
 use zinniahatch_base::prelude::*;
 use zinniahatch_base::rank_member;
@@ -13,7 +13,7 @@
 /// Tells whether this node has a duty that falls to the first few of its region by rank. One that has
 /// just started has none, since it does not know the others yet and all would take it.
 pub(crate) fn has_duty(core: &EntryCore, duty: &str, nodes: usize) -> bool {
-    if core.started.elapsed() < ACQUAINT_TIME {
+    if core.started.elapsed() < DISCOVERY_TIME {
         return false;
     }
     ranked_above(core, duty) < nodes
--- a/crates/zinniahatch_entry/src/nodes/gossip.rs
+++ b/crates/zinniahatch_entry/src/nodes/gossip.rs
@@ -1,6 +1,6 @@
 //! Datagrams between nodes: who lives, what each region can take, and who has work where.
 
-use crate::core::ACQUAINT_TIME;
+use crate::core::DISCOVERY_TIME;
 use crate::core::EntryCore;
 use crate::counts::counting::note_death;
 use crate::nodes::datagrams::speaks_near;
@@ -84,7 +84,7 @@
                 teller.refresh(&core, &socket).await;
                 tell_news(&core, &socket).await;
                 tell_suspects(&core, &socket, true).await;
-                if cards.period() != CARD_PAUSE && core.started.elapsed() >= ACQUAINT_TIME {
+                if cards.period() != CARD_PAUSE && core.started.elapsed() >= DISCOVERY_TIME {
                     cards = interval(CARD_PAUSE);
                     cards.set_missed_tick_behavior(MissedTickBehavior::Delay);
                     cards.reset();
@@ -119,7 +119,7 @@
         // Read after the time for which the echo was held: the receiver takes that off the age of the proof.
         let sent = core.clock.now();
         gram.stamp = core.clock.stamp(sent);
-        gram.card.proof = core.proofs.borrow().told(sent);
+        gram.card.proof = core.key_freshness.borrow().told(sent);
         let card = NodeGram::Card(gram);
         let bytes = postcard::to_allocvec(&card);
         let NodeGram::Card(back) = card else {
@@ -258,7 +258,7 @@
         note_death(core, &node, incarnation);
     }
     // A node that was heard of while it started tells by a later card that it is ready now.
-    core.learned.notify_waiters();
+    core.state_learned.notify_waiters();
     if fresh {
         core.log.write(
             "member",
@@ -300,6 +300,6 @@
     }
     let sent = Instant::now().checked_sub(now.saturating_sub(asked));
     if let Some(sent) = sent {
-        core.ways.borrow_mut().note_proof(region, sent);
+        core.region_paths.borrow_mut().note_proof(region, sent);
     }
 }
--- a/crates/zinniahatch_entry/src/nodes/own_card.rs
+++ b/crates/zinniahatch_entry/src/nodes/own_card.rs
@@ -14,7 +14,7 @@
 /// Tells whether this node reads for its region what the store says.
 fn reads_for_all(core: &EntryCore, now: Instant) -> bool {
     let served = !core.replicas.borrow().in_trouble(now);
-    served && core.knows() && has_duty(core, READER_DUTY, READERS)
+    served && core.is_initialized() && has_duty(core, READER_DUTY, READERS)
 }
 
 fn read_digest(core: &EntryCore) -> ReadDigest {
@@ -37,8 +37,11 @@
     let told = told
         .into_iter()
         .filter_map(|card| card.read.as_ref().map(part));
-    let mut covers = core.covers.borrow_mut();
-    covers.entry(topic).or_default().judge(own, told, now)
+    let mut topic_coverage = core.topic_coverage.borrow_mut();
+    topic_coverage
+        .entry(topic)
+        .or_default()
+        .judge(own, told, now)
 }
 
 /// Gives what this node tells the others of itcore.
--- a/crates/zinniahatch_entry/src/nodes/snapshot.rs
+++ b/crates/zinniahatch_entry/src/nodes/snapshot.rs
@@ -50,7 +50,7 @@
         replicas: entries.collect(),
         gone: replicas.gone().collect(),
         evacuated: replicas.evacuated().clone(),
-        proof: core.proofs.borrow().told(core.clock.now()),
+        proof: core.key_freshness.borrow().told(core.clock.now()),
     };
     // An empty answer is taken as no snapshot by the reader.
     postcard::to_allocvec(&snapshot).unwrap_or_default()
@@ -70,14 +70,14 @@
     };
     let now = Instant::now();
     if let Some(desired) = snapshot.desired {
-        core.adopt(desired, "peer");
+        core.apply_desired_state(desired, "peer");
     }
     if let Some(told) = snapshot.proof {
         hear_proof(core, told, asked);
     }
-    core.adopt_preset(snapshot.preset, "peer");
+    core.apply_preset(snapshot.preset, "peer");
     let mut replicas = core.replicas.borrow_mut();
-    let first = !core.is_listed();
+    let first = !core.has_listed_replicas();
     replicas.learn(snapshot.replicas, &snapshot.gone, now);
     if first {
         // News of the store that this node reads or hears itself goes before those of a peer.
@@ -86,7 +86,7 @@
     let any = replicas.rows().next().is_some();
     drop(replicas);
     if any {
-        core.note_listed();
+        core.mark_replicas_listed();
     }
     true
 }
@@ -117,7 +117,7 @@
     let address = peer.address();
     let mut channel = core
         .pool
-        .take(address, usize::MAX, Instant::now())
+        .acquire(address, usize::MAX, Instant::now())
         .await
         .ok()?;
     let length = body.len();
@@ -133,6 +133,6 @@
         Some(head.status)
     };
     let status = read.await;
-    core.pool.give(address, channel, Instant::now());
+    core.pool.release(address, channel, Instant::now());
     (status? == StatusCode::OK).then_some(answer)
 }
--- a/crates/zinniahatch_entry/src/replicas/gate.rs
+++ b/crates/zinniahatch_entry/src/replicas/gate.rs
@@ -15,7 +15,7 @@
 ) -> Result<SendClaim, Withheld> {
     let share = cold_share(core, replica, now);
     let mut replicas = core.replicas.borrow_mut();
-    let claimed = replicas.claim(&mut core.gate.borrow_mut(), replica, share, now);
+    let claimed = replicas.claim(&mut core.cold_limiter.borrow_mut(), replica, share, now);
     claimed.inspect_err(|withheld| note_withheld(core, *withheld))
 }
 
--- a/crates/zinniahatch_entry/src/replicas/notice.rs
+++ b/crates/zinniahatch_entry/src/replicas/notice.rs
@@ -3,9 +3,9 @@
 use crate::core::EntryCore;
 use crate::replicas::rate_limit::log_change;
 use crate::replicas::unread_headers::note_unread;
-use crate::request::channel::AnswerHead;
-use crate::request::open_call::OpenCall;
-use crate::request::received::ReceivedCall;
+use crate::request::connection::ResponseHead;
+use crate::request::in_flight::InFlightRequest;
+use crate::request::received::ReceivedRequest;
 use http::StatusCode;
 use zinniahatch_base::prelude::*;
 use zinniahatch_platform::AnswerHeaders;
@@ -18,11 +18,11 @@
 /// Takes what an answer to a request says of the replica that gave it.
 pub(crate) fn hear_answer(
     core: &EntryCore,
-    call: &ReceivedCall,
-    open: &OpenCall,
-    head: &AnswerHead,
+    call: &ReceivedRequest,
+    open: &InFlightRequest,
+    head: &ResponseHead,
 ) {
-    let marks = &head.marks;
+    let marks = &head.parsed_headers;
     note_unread(core, open.replica(), &head.headers);
     let speaker = if head.status == StatusCode::MISDIRECTED_REQUEST {
         other_at(core, open, marks).map(|tag| (tag, AnswerProof::Named))
@@ -45,8 +45,8 @@
 }
 
 /// Takes what the answer to a probe says. It was sent to whoever listens at the address.
-pub(crate) fn hear_probe(core: &EntryCore, life: &ReplicaLife, head: &AnswerHead, sent: Instant) {
-    let marks = &head.marks;
+pub(crate) fn hear_probe(core: &EntryCore, life: &ReplicaLife, head: &ResponseHead, sent: Instant) {
+    let marks = &head.parsed_headers;
     note_unread(core, Some(&life.id), &head.headers);
     let named = marks.replica.as_ref() == Some(&life.id);
     let proof = if named {
@@ -67,12 +67,12 @@
 
 /// Gives the life that took the request, and what shows that it answers: no other one takes a request that names it.
 fn own_speaker(
-    call: &ReceivedCall,
-    open: &OpenCall,
+    call: &ReceivedRequest,
+    open: &InFlightRequest,
     marks: &AnswerHeaders,
 ) -> Option<(ShortTag, AnswerProof)> {
     let mut tag = None;
-    open.with_replica(|belief| tag = Some(belief.tag));
+    open.update_replica(|belief| tag = Some(belief.tag));
     let named = marks.replica.is_some() && marks.replica.as_ref() == open.replica();
     let echoes = marks.attempt.as_deref() == Some(&*call.attempt);
     let proof = match (marks.sealed, named || echoes) {
@@ -84,7 +84,7 @@
 }
 
 /// Gives the life that answered in the place of the one that a request was for, where it is known.
-fn other_at(core: &EntryCore, open: &OpenCall, marks: &AnswerHeaders) -> Option<ShortTag> {
+fn other_at(core: &EntryCore, open: &InFlightRequest, marks: &AnswerHeaders) -> Option<ShortTag> {
     let replicas = core.replicas.borrow();
     let belief = replicas.get(marks.replica.as_deref()?)?;
     (belief.entry.address == open.address()).then_some(belief.tag)
--- a/crates/zinniahatch_entry/src/replicas/probe.rs
+++ b/crates/zinniahatch_entry/src/replicas/probe.rs
@@ -4,8 +4,8 @@
 use crate::replicas::gate::claim_send;
 use crate::replicas::gate::permit_send;
 use crate::replicas::notice::hear_probe;
-use crate::request::channel::AnswerHead;
-use crate::request::channel::BackendChannel;
+use crate::request::connection::BackendConnection;
+use crate::request::connection::ResponseHead;
 use http::Method;
 use std::rc::Rc;
 use tokio::time::sleep;
@@ -71,9 +71,9 @@
 }
 
 /// Asks a replica for an answer; gives what that says, none where there is none.
-async fn ask_sign_of_life(core: &EntryCore, claim: SendClaim, path: &str) -> Option<AnswerHead> {
+async fn ask_sign_of_life(core: &EntryCore, claim: SendClaim, path: &str) -> Option<ResponseHead> {
     let address = claim.address();
-    let mut channel = BackendChannel::connect(address, PROBE_TIME).await.ok()?;
+    let mut channel = BackendConnection::connect(address, PROBE_TIME).await.ok()?;
     let head = format!("GET {path} HTTP/1.1\r\nhost: {address}\r\nconnection: close\r\n\r\n");
     let permit = permit_send(core, claim).ok()?;
     channel.send(permit, head.as_bytes(), &[]).await.ok()?;
--- a/crates/zinniahatch_entry/src/replicas/quarantine.rs
+++ b/crates/zinniahatch_entry/src/replicas/quarantine.rs
@@ -1,7 +1,7 @@
 //! Requests under which replicas end, as this node believes and tells of them.
 
 use crate::core::EntryCore;
-use crate::request::received::ReceivedCall;
+use crate::request::received::ReceivedRequest;
 use crate::request::received::content_text;
 use tokio::time::sleep;
 use zinniahatch_base::prelude::*;
@@ -33,7 +33,7 @@
 /// Notes that a replica has ended under a request of this node.
 pub(crate) fn note_replica_end(
     core: &EntryCore,
-    call: &ReceivedCall,
+    call: &ReceivedRequest,
     replica: &ReplicaId,
     tag: ShortTag,
     ran: Duration,
@@ -57,7 +57,7 @@
 }
 
 /// Notes a whole answer of a replica: what it answers ends no replicas.
-pub(crate) fn note_answered(core: &EntryCore, call: &ReceivedCall) {
+pub(crate) fn note_answered(core: &EntryCore, call: &ReceivedRequest) {
     let now = Instant::now();
     let cleared = core.suspects.borrow_mut().note_answered(call.content, now);
     if !cleared {
@@ -110,12 +110,12 @@
     }
     for change in &changes {
         if change.kept {
-            core.released.borrow_mut().push(change.content);
+            core.released_requests.borrow_mut().push(change.content);
         }
         log_change(core, change);
     }
     core.metrics.set_quarantined(core.suspects.borrow().held());
-    core.quarantined.send_replace(());
+    core.quarantine_changed.send_replace(());
 }
 
 fn log_change(core: &EntryCore, change: &QuarantineChange) {
@@ -131,13 +131,13 @@
 }
 
 /// Gives how much longer a request is held; none where it may run.
-pub(crate) fn hold_left(core: &EntryCore, call: &ReceivedCall) -> Option<Duration> {
+pub(crate) fn hold_left(core: &EntryCore, call: &ReceivedRequest) -> Option<Duration> {
     let suspects = core.suspects.borrow();
     suspects.hold_left(call.content, Instant::now())
 }
 
 /// Waits until it can be judged whether a request is held.
-pub(crate) async fn await_verdict(core: &EntryCore, call: &ReceivedCall) {
+pub(crate) async fn await_verdict(core: &EntryCore, call: &ReceivedRequest) {
     loop {
         let due = core
             .suspects
@@ -151,8 +151,8 @@
 }
 
 /// Waits until a request is held.
-pub(crate) async fn await_hold(core: &EntryCore, call: &ReceivedCall) {
-    let mut changes = core.quarantined.subscribe();
+pub(crate) async fn await_hold(core: &EntryCore, call: &ReceivedRequest) {
+    let mut changes = core.quarantine_changed.subscribe();
     while hold_left(core, call).is_none() {
         // The sender lives as long as the process.
         let _ = changes.changed().await;
--- a/crates/zinniahatch_entry/src/replicas/rate_limit.rs
+++ b/crates/zinniahatch_entry/src/replicas/rate_limit.rs
@@ -1,6 +1,6 @@
 //! The rate limits that replicas name, as this node keeps them and tells of them.
 
-use crate::core::ACQUAINT_TIME;
+use crate::core::DISCOVERY_TIME;
 use crate::core::EntryCore;
 use zinniahatch_base::prelude::*;
 use zinniahatch_route::LimitChange;
@@ -31,7 +31,7 @@
     let region = &core.settings.region;
     let others = core.members.borrow().names_in(region);
     let others = others.iter().map(|name| tag_of(name)).collect();
-    let acquainted = core.started.elapsed() >= ACQUAINT_TIME;
+    let acquainted = core.started.elapsed() >= DISCOVERY_TIME;
     let own = acquainted.then(|| tag_of(&core.settings.name));
     let mut replicas = core.replicas.borrow_mut();
     replicas.limits.set_holders(own, others, now);
--- a/crates/zinniahatch_entry/src/replicas/replica_check.rs
+++ b/crates/zinniahatch_entry/src/replicas/replica_check.rs
@@ -6,10 +6,10 @@
 
 use crate::core::EntryCore;
 use crate::replicas::quarantine::note_replica_end;
-use crate::request::channel::BackendChannel;
-use crate::request::channel::ChannelError;
-use crate::request::open_call::OpenCall;
-use crate::request::received::ReceivedCall;
+use crate::request::connection::BackendConnection;
+use crate::request::connection::ConnectionError;
+use crate::request::in_flight::InFlightRequest;
+use crate::request::received::ReceivedRequest;
 use std::net::SocketAddrV4;
 use std::rc::Rc;
 use zinniahatch_base::prelude::*;
@@ -24,14 +24,14 @@
 /// Notes that a channel broke off under a request; where its replica has ended, the request is suspected.
 pub(crate) async fn note_break(
     core: &Rc<EntryCore>,
-    call: &ReceivedCall,
-    open: &OpenCall,
+    call: &ReceivedRequest,
+    open: &InFlightRequest,
     reason: &str,
 ) {
     let Some(replica) = open.replica() else {
         return;
     };
-    let ran = open.ran();
+    let ran = open.time_in_flight();
     open.log_break(call, reason);
     let life = {
         let replicas = core.replicas.borrow();
@@ -49,18 +49,18 @@
     if !refused {
         return;
     }
-    open.with_replica(|belief| belief.health.note_unreachable(Instant::now()));
+    open.update_replica(|belief| belief.health.note_unreachable(Instant::now()));
     note_replica_end(core, call, replica, tag, ran);
 }
 
 /// Tells whether nobody listens at an address, by a second connection where the first one ends at once.
 async fn has_no_listener(address: SocketAddrV4) -> bool {
-    match BackendChannel::connect(address, CHECK_TIME).await {
-        Err(error) => error == ChannelError::Refused,
-        Ok(channel) if !channel.ends_within(WATCH_TIME).await => false,
+    match BackendConnection::connect(address, CHECK_TIME).await {
+        Err(error) => error == ConnectionError::Refused,
+        Ok(channel) if !channel.closes_within(WATCH_TIME).await => false,
         Ok(_) => {
-            let again = BackendChannel::connect(address, CHECK_TIME).await;
-            again.is_err_and(|error| error == ChannelError::Refused)
+            let again = BackendConnection::connect(address, CHECK_TIME).await;
+            again.is_err_and(|error| error == ConnectionError::Refused)
         }
     }
 }
@@ -68,7 +68,7 @@
 async fn is_refused(core: &Rc<EntryCore>, address: SocketAddrV4) -> bool {
     let refused = has_no_listener(address).await;
     if refused {
-        core.pool.purge(address);
+        core.pool.close_idle(address);
         core.metrics.note_replica_end();
         core.log.write(
             "replica-ended",
--- a/crates/zinniahatch_entry/src/request.rs
+++ b/crates/zinniahatch_entry/src/request.rs
@@ -1,20 +1,21 @@
-//! The way of a request: `ingress` reads it, `serve` plans and tries it, `placing` chooses, `call` sends it through a
-//! `channel` from the `pool`, `answering` and `relay` answer. Each module calls only those after it.
+//! The request path: `ingress` reads a request, `serve` plans and retries it, `placement` chooses
+//! the target, `send` sends it over a `connection` from the `pool`, and `response` and `relay`
+//! respond to the caller. Each module calls only those after it in this order.
 
-pub(crate) mod answer;
-pub(crate) mod answering;
-pub(crate) mod call;
-pub(crate) mod channel;
 pub(crate) mod chunks;
+pub(crate) mod connection;
 pub(crate) mod events;
+pub(crate) mod gateway_response;
+pub(crate) mod in_flight;
 pub(crate) mod ingress;
-pub(crate) mod open_call;
-pub(crate) mod placing;
+pub(crate) mod placement;
 pub(crate) mod plan;
 pub(crate) mod pool;
 pub(crate) mod received;
-pub(crate) mod refusal;
 pub(crate) mod relay;
+pub(crate) mod response;
+pub(crate) mod response_body;
 pub(crate) mod resume;
+pub(crate) mod send;
 pub(crate) mod serve;
-pub(crate) mod starting;
+pub(crate) mod startup;
--- a/crates/zinniahatch_entry/src/request/chunks.rs
+++ b/crates/zinniahatch_entry/src/request/chunks.rs
@@ -1,42 +1,42 @@
-//! The chunked body coding, read incrementally.
+//! Incremental decoder of the chunked transfer coding.
 
 use bytes::Buf;
 use bytes::Bytes;
 use bytes::BytesMut;
 
-/// Longest line of a chunk size or trailer; anything longer is no chunked body.
-const LONGEST_LINE: usize = 8 << 10;
+/// Longest chunk-size or trailer line. A body with a longer one is malformed.
+const MAX_LINE_BYTES: usize = 8 << 10;
 
-/// Where a chunked body stands.
+/// State of the decoder.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ChunkState {
-    /// Before a size line.
+    /// Before a chunk-size line.
     Size,
-    /// Inside a chunk, with so many bytes to come.
+    /// Inside a chunk, with the given number of bytes to come.
     Data(u64),
-    /// Before the line end after a chunk.
+    /// Before the line end that follows a chunk.
     DataEnd,
-    /// In the trailer.
+    /// In the trailer section.
     Trailer,
     /// After the end.
     Done,
 }
 
-/// What could be taken from the buffer.
+/// Result of a decoding step.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) enum ChunkStep {
     /// Bytes of the body.
     Data(Bytes),
-    /// More bytes are needed.
+    /// More input is needed.
     More,
     /// The body is complete.
     End,
-    /// This is no chunked body.
+    /// The input is not a chunked body.
     Malformed,
 }
 
 impl ChunkState {
-    /// Takes what it can from the buffer.
+    /// Decodes as much as possible from the buffer.
     pub(crate) fn step(&mut self, buffer: &mut BytesMut) -> ChunkStep {
         loop {
             match *self {
@@ -49,7 +49,7 @@
                             Self::Data(size)
                         };
                     }
-                    Ok(httparse::Status::Partial) if buffer.len() < LONGEST_LINE => {
+                    Ok(httparse::Status::Partial) if buffer.len() < MAX_LINE_BYTES => {
                         return ChunkStep::More;
                     }
                     _ => return ChunkStep::Malformed,
@@ -81,7 +81,7 @@
                 }
                 Self::Trailer => {
                     let Some(end) = buffer.windows(2).position(|pair| pair == b"\r\n") else {
-                        if buffer.len() > LONGEST_LINE {
+                        if buffer.len() > MAX_LINE_BYTES {
                             return ChunkStep::Malformed;
                         }
                         return ChunkStep::More;
--- a/crates/zinniahatch_entry/src/request/channel.rs
+++ b/crates/zinniahatch_entry/src/request/connection.rs
@@ -1,8 +1,8 @@
-//! One channel to a backend server or another node.
+//! An HTTP/1.1 connection to a backend server or another node.
 //!
-//! At most once rests on what this module knows of a channel: whether a request left, whose
-//! answer arrives, and whether bytes are left over. An HTTP client library hides all three, so
-//! only its parser is used here.
+//! At-most-once execution depends on what this module knows about a connection: whether a request
+//! was sent, which attempt a response belongs to, and whether unread bytes are left. An HTTP client
+//! library hides all three, so only its parser is used here.
 
 use crate::request::chunks::ChunkState;
 use crate::request::chunks::ChunkStep;
@@ -25,105 +25,106 @@
 use zinniahatch_platform::read_answer;
 use zinniahatch_route::SendPermit;
 
-/// Bytes read at once; an event of a stream has well under one.
+/// Bytes per read. An event of a stream is well below this size.
 const READ_BYTES: usize = 8 << 10;
-/// Largest head of an answer.
-const LARGEST_HEAD: usize = 64 << 10;
-/// Headers of an answer at most.
-const MOST_HEADERS: usize = 64;
-/// Time for unacknowledged bytes after which the kernel gives the channel up. A peer behind a
-/// partition answers nothing, and without this the channel would hang for minutes.
-const UNACKED_TIME: Duration = Duration::from_millis(2500);
-/// Idle time after which a channel is closed where the other end names none.
-const DEFAULT_IDLE: Duration = Duration::from_secs(4);
-/// Part of the other end's idle limit that is used: the last part is for bytes on their way.
+/// Maximum size of a response head.
+const MAX_HEAD_BYTES: usize = 64 << 10;
+/// Maximum number of response headers.
+const MAX_HEADERS: usize = 64;
+/// Time after which the kernel closes a connection with unacknowledged bytes. A peer behind a
+/// partition does not respond, and without this limit the connection would hang for minutes.
+const TCP_USER_TIMEOUT: Duration = Duration::from_millis(2500);
+/// Idle time after which a connection is closed if the other side announces none.
+const DEFAULT_IDLE_LIMIT: Duration = Duration::from_secs(4);
+/// Part of the other side's idle timeout that is left unused, as a margin for bytes in transit.
 const IDLE_MARGIN: Duration = Duration::from_millis(700);
 
-/// Why a channel gave no (whole) answer.
+/// Why a connection delivered no response or only part of one.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-pub enum ChannelError {
+pub enum ConnectionError {
     /// No connection was made, so nothing was sent.
     #[error("no connection: {0}")]
     Connect(Box<str>),
-    /// Nobody listens at the address, so nothing was sent.
+    /// The address refused the connection, so nothing was sent.
     #[error("no connection: refused")]
     Refused,
-    /// The channel broke after something may have been sent.
-    #[error("the channel broke: {0}")]
+    /// The connection broke after something may have been sent.
+    #[error("connection lost: {0}")]
     Broken(Box<str>),
-    /// The bytes are no answer in the protocol.
-    #[error("no answer in the protocol: {0}")]
+    /// The bytes received are not a valid response.
+    #[error("malformed response: {0}")]
     Malformed(&'static str),
 }
 
-/// How the end of a body is known.
+/// How the end of a body is determined.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum BodyFrame {
+enum BodyFraming {
     Length(u64),
     Chunked(ChunkState),
     UntilClose,
     Done,
 }
 
-/// The head of an answer.
+/// The head of a response.
 #[derive(Clone, Debug)]
-pub struct AnswerHead {
-    /// Its status.
+pub struct ResponseHead {
+    /// Status code.
     pub status: StatusCode,
-    /// All its headers.
+    /// All headers, unfiltered.
     pub headers: HeaderMap,
-    /// What the headers say.
-    pub marks: AnswerHeaders,
-    /// Length of the body, where it is known beforehand.
+    /// The headers that the gateway interprets, parsed.
+    pub parsed_headers: AnswerHeaders,
+    /// Length of the body, if known in advance.
     pub length: Option<u64>,
 }
 
-/// One channel.
+/// A connection to a backend server or another node.
 #[derive(Debug)]
-pub struct BackendChannel {
+pub struct BackendConnection {
     stream: TcpStream,
     address: SocketAddrV4,
     buffer: BytesMut,
-    frame: BodyFrame,
+    frame: BodyFraming,
     idle_limit: Duration,
     idle_since: Instant,
     reusable: bool,
     used: bool,
 }
 
-impl BackendChannel {
-    /// Connects.
+impl BackendConnection {
+    /// Opens a connection.
     ///
     /// # Errors
     ///
-    /// No connection was made in the time given.
+    /// No connection was made within `limit`.
     #[expect(clippy::disallowed_methods, reason = "the one place that connects")]
-    pub async fn connect(address: SocketAddrV4, limit: Duration) -> Result<Self, ChannelError> {
+    pub async fn connect(address: SocketAddrV4, limit: Duration) -> Result<Self, ConnectionError> {
         let stream = timeout(limit, TcpStream::connect(address))
             .await
-            .map_err(|_| ChannelError::Connect("timed out".into()))?
+            .map_err(|_| ConnectionError::Connect("timed out".into()))?
             .map_err(|error| match error.kind() {
-                ErrorKind::ConnectionRefused => ChannelError::Refused,
-                _ => ChannelError::Connect(error.to_string().into()),
+                ErrorKind::ConnectionRefused => ConnectionError::Refused,
+                _ => ConnectionError::Connect(error.to_string().into()),
             })?;
         let tuned = stream.set_nodelay(true).and_then(|()| {
-            socket2::SockRef::from(&stream).set_tcp_user_timeout(Some(UNACKED_TIME))
+            socket2::SockRef::from(&stream).set_tcp_user_timeout(Some(TCP_USER_TIMEOUT))
         });
-        tuned.map_err(|error| ChannelError::Connect(error.to_string().into()))?;
+        tuned.map_err(|error| ConnectionError::Connect(error.to_string().into()))?;
         Ok(Self {
             stream,
             address,
             buffer: BytesMut::new(),
-            frame: BodyFrame::Done,
-            idle_limit: DEFAULT_IDLE,
+            frame: BodyFraming::Done,
+            idle_limit: DEFAULT_IDLE_LIMIT,
             idle_since: Instant::now(),
             reusable: true,
             used: false,
         })
     }
 
-    /// Waits for so long whether the other side ends a channel on which nothing was sent.
-    pub(crate) async fn ends_within(&self, limit: Duration) -> bool {
+    /// Returns whether the other side closes the connection within `limit`. For connections on
+    /// which nothing was sent.
+    pub(crate) async fn closes_within(&self, limit: Duration) -> bool {
         let ended = async {
             let mut byte = [0_u8; 1];
             loop {
@@ -140,17 +141,17 @@
         timeout(limit, ended).await.unwrap_or(false)
     }
 
-    /// Tells whether the channel carried a request before.
+    /// Returns whether the connection has carried a request before.
     pub fn was_used(&self) -> bool {
         self.used
     }
 
-    /// Tells whether an idle channel may carry another request.
+    /// Returns whether an idle connection may carry another request.
     ///
-    /// Bytes without a request are a late second answer or rubbish, and an end means that the
-    /// other side is leaving; either way a request sent here could get somebody else's answer or
-    /// be lost.
-    pub fn is_fresh(&mut self, now: Instant) -> bool {
+    /// Unsolicited bytes are a late second response or garbage, and an end of file means that the
+    /// other side is leaving. In either case a request sent here could receive another caller's
+    /// response or be lost.
+    pub fn is_usable(&mut self, now: Instant) -> bool {
         if !self.is_reusable() {
             return false;
         }
@@ -165,40 +166,40 @@
         )
     }
 
-    /// Tells whether the answer was read to its end and the channel may be kept.
+    /// Returns whether the response was read to its end and the connection may be kept.
     pub fn is_reusable(&self) -> bool {
-        self.reusable && self.frame == BodyFrame::Done && self.buffer.is_empty()
+        self.reusable && self.frame == BodyFraming::Done && self.buffer.is_empty()
     }
 
-    /// Notes that the channel lies idle from now on.
-    pub fn rest(&mut self, now: Instant) {
+    /// Records that the connection is idle from now on.
+    pub fn mark_idle(&mut self, now: Instant) {
         self.idle_since = now;
-        // A kept channel holds no read buffer; thousands of idle ones would cost memory.
+        // Idle connections hold no read buffer, because thousands of them would cost memory.
         self.buffer = BytesMut::new();
     }
 
-    /// Sends the request that a permit is for.
+    /// Sends the request that `permit` was issued for.
     ///
-    /// The other side may answer before it has read a long body. Then the rest is not sent and
-    /// the channel is closed after the answer: whatever else went out on it would be read as the
-    /// rest of that body.
+    /// The other side may respond before it has read a long body. Then the rest of the body is not
+    /// sent, and the connection is closed after the response. Anything else sent on it would be
+    /// read as the rest of that body.
     ///
     /// # Errors
     ///
-    /// The channel broke; the request may have run all the same.
+    /// The connection broke. The request may have run nevertheless.
     pub async fn send<P: SendPermit>(
         &mut self,
         permit: P,
         head: &[u8],
         body: &[u8],
-    ) -> Result<(), ChannelError> {
+    ) -> Result<(), ConnectionError> {
         if permit.address() != self.address {
-            return Err(ChannelError::Connect(
-                "the permit is for another one".into(),
+            return Err(ConnectionError::Connect(
+                "the permit is for another address".into(),
             ));
         }
         self.used = true;
-        // A short request goes out in one write, which most often is one packet.
+        // A short request is sent in one write, usually as a single packet.
         let joined: Vec<u8> = [head, body].concat();
         let mut rest: &[u8] = &joined;
         while !rest.is_empty() {
@@ -208,14 +209,14 @@
                     match self.stream.try_write(rest) {
                         Ok(count) => rest = &rest[count..],
                         Err(error) if error.kind() == ErrorKind::WouldBlock => {}
-                        Err(error) => return self.early_or(error).await,
+                        Err(error) => return self.early_response_or(error).await,
                     }
                 }
                 read = read_more(&self.stream, &mut self.buffer) => {
                     let count = read.map_err(broken)?;
                     self.reusable = false;
                     if count == 0 {
-                        return Err(ChannelError::Broken("closed while sending".into()));
+                        return Err(ConnectionError::Broken("closed while sending".into()));
                     }
                     return Ok(());
                 }
@@ -224,8 +225,8 @@
         Ok(())
     }
 
-    /// After a failed write, looks whether an early answer had arrived before.
-    async fn early_or(&mut self, error: io::Error) -> Result<(), ChannelError> {
+    /// After a failed write, checks whether an early response had arrived before.
+    async fn early_response_or(&mut self, error: io::Error) -> Result<(), ConnectionError> {
         self.reusable = false;
         match read_more(&self.stream, &mut self.buffer).await {
             Ok(count) if count > 0 => Ok(()),
@@ -233,159 +234,159 @@
         }
     }
 
-    /// Reads the head of the answer to an attempt.
+    /// Reads the head of the response to an attempt.
     ///
-    /// Answers that name another attempt are late second answers to an earlier request; they are
-    /// read to their end and thrown away.
+    /// Responses that name another attempt are late second responses to an earlier request. They
+    /// are read to their end and discarded.
     ///
     /// # Errors
     ///
-    /// The channel broke or carried something that is no answer.
+    /// The connection broke or delivered something that is not a response.
     pub async fn read_head(
         &mut self,
         method: &Method,
         attempt: &str,
-    ) -> Result<AnswerHead, ChannelError> {
+    ) -> Result<ResponseHead, ConnectionError> {
         loop {
             let head = self.read_any_head(method).await?;
             if head.status.is_informational() {
                 continue;
             }
-            let foreign = head
-                .marks
+            let other_attempt = head
+                .parsed_headers
                 .attempt
                 .as_deref()
                 .is_some_and(|named| named != attempt);
-            if !foreign {
+            if !other_attempt {
                 return Ok(head);
             }
             self.reusable = false;
-            if self.frame == BodyFrame::UntilClose {
-                return Err(ChannelError::Malformed(
-                    "an unframed answer of another request",
+            if self.frame == BodyFraming::UntilClose {
+                return Err(ConnectionError::Malformed(
+                    "unframed response to another request",
                 ));
             }
             while self.read_body().await?.is_some() {}
         }
     }
 
-    async fn read_any_head(&mut self, method: &Method) -> Result<AnswerHead, ChannelError> {
+    async fn read_any_head(&mut self, method: &Method) -> Result<ResponseHead, ConnectionError> {
         loop {
             if let Some(head) = self.parse_head(method)? {
                 return Ok(head);
             }
-            if self.buffer.len() > LARGEST_HEAD {
-                return Err(ChannelError::Malformed("the head is too large"));
+            if self.buffer.len() > MAX_HEAD_BYTES {
+                return Err(ConnectionError::Malformed("response head too large"));
             }
             if self.fill().await? == 0 {
-                return Err(ChannelError::Broken("closed without an answer".into()));
+                return Err(ConnectionError::Broken("closed before a response".into()));
             }
         }
     }
 
-    fn parse_head(&mut self, method: &Method) -> Result<Option<AnswerHead>, ChannelError> {
+    fn parse_head(&mut self, method: &Method) -> Result<Option<ResponseHead>, ConnectionError> {
         if self.buffer.is_empty() {
             return Ok(None);
         }
-        let mut lines = [httparse::EMPTY_HEADER; MOST_HEADERS];
+        let mut lines = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut parsed = httparse::Response::new(&mut lines);
         let used = match parsed.parse(&self.buffer) {
             Ok(httparse::Status::Complete(used)) => used,
             Ok(httparse::Status::Partial) => return Ok(None),
-            Err(_) => return Err(ChannelError::Malformed("the head cannot be read")),
+            Err(_) => return Err(ConnectionError::Malformed("invalid response head")),
         };
         let status = parsed
             .code
             .and_then(|code| StatusCode::from_u16(code).ok())
-            .ok_or(ChannelError::Malformed("the status is none"))?;
-        let old_version = parsed.version == Some(0);
+            .ok_or(ConnectionError::Malformed("invalid status code"))?;
+        let is_http_1_0 = parsed.version == Some(0);
         let mut headers = HeaderMap::with_capacity(parsed.headers.len());
         for line in parsed.headers.iter() {
             let name = HeaderName::from_bytes(line.name.as_bytes());
             let value = HeaderValue::from_bytes(line.value);
             let (Ok(name), Ok(value)) = (name, value) else {
-                return Err(ChannelError::Malformed("a header cannot be read"));
+                return Err(ConnectionError::Malformed("invalid header"));
             };
             headers.append(name, value);
         }
         let _ = self.buffer.split_to(used);
-        let marks = read_answer(status, &headers);
-        self.frame = frame_of(method, status, &headers)?;
-        if let Some(limit) = marks.idle_limit {
+        let parsed_headers = read_answer(status, &headers);
+        self.frame = body_framing(method, status, &headers)?;
+        if let Some(limit) = parsed_headers.idle_limit {
             self.idle_limit = limit;
         }
-        if marks.closes || old_version || self.frame == BodyFrame::UntilClose {
+        if parsed_headers.closes || is_http_1_0 || self.frame == BodyFraming::UntilClose {
             self.reusable = false;
         }
         let length = match self.frame {
-            BodyFrame::Length(length) => Some(length),
-            BodyFrame::Done => Some(0),
+            BodyFraming::Length(length) => Some(length),
+            BodyFraming::Done => Some(0),
             _ => None,
         };
-        if self.frame == BodyFrame::Length(0) {
-            self.frame = BodyFrame::Done;
+        if self.frame == BodyFraming::Length(0) {
+            self.frame = BodyFraming::Done;
         }
-        Ok(Some(AnswerHead {
+        Ok(Some(ResponseHead {
             status,
             headers,
-            marks,
+            parsed_headers,
             length,
         }))
     }
 
-    /// Reads some bytes of the body; none at its end.
+    /// Reads some bytes of the body. Returns `None` at its end.
     ///
     /// # Errors
     ///
-    /// The body ended before its end was due.
-    pub async fn read_body(&mut self) -> Result<Option<Bytes>, ChannelError> {
+    /// The connection broke inside the body, or the body is malformed.
+    pub async fn read_body(&mut self) -> Result<Option<Bytes>, ConnectionError> {
         loop {
             match self.frame {
-                BodyFrame::Done => return Ok(None),
-                BodyFrame::Length(left) if !self.buffer.is_empty() => {
+                BodyFraming::Done => return Ok(None),
+                BodyFraming::Length(left) if !self.buffer.is_empty() => {
                     let take = self
                         .buffer
                         .len()
                         .min(usize::try_from(left).unwrap_or(usize::MAX));
                     let rest = left - take as u64;
                     self.frame = if rest == 0 {
-                        BodyFrame::Done
+                        BodyFraming::Done
                     } else {
-                        BodyFrame::Length(rest)
+                        BodyFraming::Length(rest)
                     };
                     return Ok(Some(self.buffer.split_to(take).freeze()));
                 }
-                BodyFrame::UntilClose if !self.buffer.is_empty() => {
+                BodyFraming::UntilClose if !self.buffer.is_empty() => {
                     return Ok(Some(self.buffer.split().freeze()));
                 }
-                BodyFrame::Chunked(mut state) => {
+                BodyFraming::Chunked(mut state) => {
                     let step = state.step(&mut self.buffer);
-                    self.frame = BodyFrame::Chunked(state);
+                    self.frame = BodyFraming::Chunked(state);
                     match step {
                         ChunkStep::Data(bytes) => return Ok(Some(bytes)),
                         ChunkStep::End => {
-                            self.frame = BodyFrame::Done;
+                            self.frame = BodyFraming::Done;
                             return Ok(None);
                         }
                         ChunkStep::Malformed => {
-                            return Err(ChannelError::Malformed("a chunk cannot be read"));
+                            return Err(ConnectionError::Malformed("invalid chunk"));
                         }
                         ChunkStep::More => {}
                     }
                 }
-                BodyFrame::Length(_) | BodyFrame::UntilClose => {}
+                BodyFraming::Length(_) | BodyFraming::UntilClose => {}
             }
             if self.fill().await? == 0 {
-                if self.frame == BodyFrame::UntilClose {
-                    self.frame = BodyFrame::Done;
+                if self.frame == BodyFraming::UntilClose {
+                    self.frame = BodyFraming::Done;
                     return Ok(None);
                 }
-                return Err(ChannelError::Broken("closed inside the body".into()));
+                return Err(ConnectionError::Broken("closed inside the body".into()));
             }
         }
     }
 
-    async fn fill(&mut self) -> Result<usize, ChannelError> {
+    async fn fill(&mut self) -> Result<usize, ConnectionError> {
         read_more(&self.stream, &mut self.buffer)
             .await
             .map_err(broken)
@@ -403,39 +404,39 @@
     }
 }
 
-fn broken(error: io::Error) -> ChannelError {
-    ChannelError::Broken(error.to_string().into())
+fn broken(error: io::Error) -> ConnectionError {
+    ConnectionError::Broken(error.to_string().into())
 }
 
-/// Tells how the body ends, by the rules of HTTP/1.1.
-fn frame_of(
+/// Determines how the body ends, by the rules of HTTP/1.1.
+fn body_framing(
     method: &Method,
     status: StatusCode,
     headers: &HeaderMap,
-) -> Result<BodyFrame, ChannelError> {
+) -> Result<BodyFraming, ConnectionError> {
     let empty = status.is_informational()
         || matches!(status, StatusCode::NO_CONTENT | StatusCode::NOT_MODIFIED)
         || *method == Method::HEAD;
     if empty {
-        return Ok(BodyFrame::Done);
+        return Ok(BodyFraming::Done);
     }
     if let Some(coding) = headers.get(header::TRANSFER_ENCODING) {
         if !coding.as_bytes().eq_ignore_ascii_case(b"chunked") {
-            return Err(ChannelError::Malformed("the transfer coding is not known"));
+            return Err(ConnectionError::Malformed("unknown transfer coding"));
         }
-        return Ok(BodyFrame::Chunked(ChunkState::Size));
+        return Ok(BodyFraming::Chunked(ChunkState::Size));
     }
     let mut lengths = headers.get_all(header::CONTENT_LENGTH).iter();
     let Some(first) = lengths.next() else {
-        return Ok(BodyFrame::UntilClose);
+        return Ok(BodyFraming::UntilClose);
     };
     if lengths.any(|other| other != first) {
-        return Err(ChannelError::Malformed("two lengths"));
+        return Err(ConnectionError::Malformed("conflicting content lengths"));
     }
     first
         .to_str()
         .ok()
         .and_then(|text| text.parse().ok())
-        .map(BodyFrame::Length)
-        .ok_or(ChannelError::Malformed("the length is no number"))
+        .map(BodyFraming::Length)
+        .ok_or(ConnectionError::Malformed("invalid content length"))
 }
--- a/crates/zinniahatch_entry/src/request/events.rs
+++ b/crates/zinniahatch_entry/src/request/events.rs
@@ -1,12 +1,12 @@
-//! Splitting a stream into whole events.
+//! Splits a stream of server-sent events into whole events.
 //!
-//! A replica may break off in the middle of an event. Only whole events go on to the caller of a
-//! stream that can be resumed, so that the next replica's events follow without a torn one.
+//! A replica may fail in the middle of an event. The caller of a resumable stream receives only
+//! whole events, so that the next replica's events can follow without a truncated event in between.
 
 use bytes::Bytes;
 use bytes::BytesMut;
 
-/// Collects bytes and gives whole events.
+/// Buffers bytes and returns whole events.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
     buffer: BytesMut,
@@ -15,7 +15,7 @@
 }
 
 impl EventSplitter {
-    /// Starts after an event that the caller already has.
+    /// Creates a splitter that continues after an event that the caller already has.
     pub fn after(last_id: Option<Box<str>>) -> Self {
         Self {
             last_id,
@@ -23,7 +23,7 @@
         }
     }
 
-    /// Takes bytes and gives those of all events that are complete.
+    /// Adds bytes and returns those of all events that are complete.
     pub fn push(&mut self, bytes: &[u8]) -> Option<Bytes> {
         self.buffer.extend_from_slice(bytes);
         let mut end = 0;
@@ -49,18 +49,18 @@
         Some(whole)
     }
 
-    /// Gives the id of the last whole event.
+    /// Returns the id of the last whole event.
     pub fn last_id(&self) -> Option<&str> {
         self.last_id.as_deref()
     }
 
-    /// Tells whether bytes of an incomplete event are left.
-    pub fn is_torn(&self) -> bool {
+    /// Returns whether bytes of an incomplete event are buffered.
+    pub fn has_partial(&self) -> bool {
         !self.buffer.is_empty()
     }
 
-    /// Throws away an incomplete event, before another replica goes on.
-    pub fn drop_torn(&mut self) {
+    /// Discards an incomplete event, before another replica continues the stream.
+    pub fn discard_partial(&mut self) {
         self.buffer.clear();
         self.scanned = 0;
     }
--- a/crates/zinniahatch_entry/src/request/refusal.rs
+++ b/crates/zinniahatch_entry/src/request/gateway_response.rs
@@ -1,6 +1,6 @@
-//! Answers of our own: refusals and failures.
+//! Responses that the gateway itself generates: refusals and failures.
 
-use crate::request::answer::AnswerBody;
+use crate::request::response_body::ResponseBody;
 use http::HeaderName;
 use http::HeaderValue;
 use http::Response;
@@ -9,17 +9,17 @@
 use zinniahatch_base::prelude::*;
 use zinniahatch_platform::attempt_header;
 
-/// Number of the result, `docs/RESULTS.md`.
+/// Header with the number of the result code, see `docs/RESULTS.md`.
 const CODE: HeaderName = HeaderName::from_static("x-zinnia-code");
-/// Whether the request ran.
+/// Header that tells whether the request ran.
 const EXECUTION: HeaderName = HeaderName::from_static("x-zinnia-execution");
 
-/// Builds an answer of our own.
-pub(crate) fn own_answer(
+/// Builds a response of the gateway itself.
+pub(crate) fn gateway_response(
     code: ResultCode,
     attempt: Option<&str>,
     retry_after: Option<Duration>,
-) -> Response<AnswerBody> {
+) -> Response<ResponseBody> {
     let status = StatusCode::from_u16(code.status()).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
     let text = format!(
         "{{\"code\":{},\"execution\":\"{}\",\"message\":\"{}\"}}\n",
@@ -27,7 +27,7 @@
         code.execution().word(),
         code.text()
     );
-    let mut response = Response::new(AnswerBody::whole(text));
+    let mut response = Response::new(ResponseBody::whole(text));
     *response.status_mut() = status;
     let headers = response.headers_mut();
     headers.insert(
@@ -48,17 +48,18 @@
     response
 }
 
-/// Tells whether an answer of another node says that the request did not run.
-pub(crate) fn says_not_run(headers: &http::HeaderMap) -> bool {
+/// Returns whether another node's response says that the request did not run.
+pub(crate) fn reports_not_run(headers: &http::HeaderMap) -> bool {
     headers
         .get(EXECUTION)
         .is_some_and(|value| value.as_bytes() == Execution::NotRun.word().as_bytes())
 }
 
-/// Gives the result code of an answer that is another node's own; none of a replica's.
-pub(crate) fn own_code(headers: &http::HeaderMap) -> Option<u16> {
+/// Returns the result code of a response that another node generated itself, `None` if the response
+/// comes from a replica.
+pub(crate) fn gateway_code(headers: &http::HeaderMap) -> Option<u16> {
     let code = headers.get(CODE)?;
-    // Only nodes set this header, and only to a code.
+    // Only nodes set this header, and always to a result code.
     Some(
         code.to_str()
             .ok()
@@ -67,7 +68,7 @@
     )
 }
 
-/// Gives the retry hint of an answer.
+/// Returns the time in the `Retry-After` header of a response.
 pub(crate) fn retry_hint(headers: &http::HeaderMap) -> Option<Duration> {
     headers
         .get(header::RETRY_AFTER)
--- /dev/null
+++ b/crates/zinniahatch_entry/src/request/in_flight.rs
@@ -0,0 +1,254 @@
+//! A request in flight: its connection and the load accounting of its replica.
+
+use crate::core::EntryCore;
+use crate::request::connection::BackendConnection;
+use crate::request::connection::ConnectionError;
+use crate::request::connection::ResponseHead;
+use crate::request::received::ReceivedRequest;
+use bytes::Bytes;
+use bytes::BytesMut;
+use std::net::SocketAddrV4;
+use std::rc::Rc;
+use zinniahatch_base::prelude::*;
+use zinniahatch_route::ModelSample;
+use zinniahatch_route::OpenWork;
+use zinniahatch_route::ReplicaBelief;
+use zinniahatch_route::SendPermit;
+
+/// Work that a request puts on a replica, and the estimates made when it was assigned.
+#[derive(Debug)]
+pub(crate) struct AssignedWork {
+    pub(crate) replica: ReplicaId,
+    pub(crate) ticket: u64,
+    pub(crate) work: OpenWork,
+    pub(crate) ahead: u32,
+    pub(crate) queue: Duration,
+    pub(crate) urgent: bool,
+    pub(crate) cold: bool,
+    pub(crate) response_began: bool,
+}
+
+/// A request in flight. Dropping it releases its connection and corrects the load accounting,
+/// however the request ended.
+#[derive(Debug)]
+pub(crate) struct InFlightRequest {
+    core: Rc<EntryCore>,
+    address: SocketAddrV4,
+    pub(crate) assigned: Option<AssignedWork>,
+    service: ServiceId,
+    sent_at: Instant,
+    /// When the last bytes of the response arrived.
+    last_bytes_at: Option<Instant>,
+    pub(crate) connection: Option<BackendConnection>,
+}
+
+impl InFlightRequest {
+    /// Creates the record of a request that goes to an address.
+    pub(crate) fn new(core: &Rc<EntryCore>, address: SocketAddrV4, service: &ServiceId) -> Self {
+        Self {
+            core: Rc::clone(core),
+            address,
+            assigned: None,
+            service: service.clone(),
+            sent_at: Instant::now(),
+            last_bytes_at: None,
+            connection: None,
+        }
+    }
+
+    /// Sends a request and reads the head of its response.
+    pub(crate) async fn exchange<P: SendPermit>(
+        &mut self,
+        permit: P,
+        request: &ReceivedRequest,
+        head: &[u8],
+    ) -> Result<ResponseHead, ConnectionError> {
+        self.sent_at = Instant::now();
+        let Some(connection) = self.connection.as_mut() else {
+            return Err(ConnectionError::Broken("no connection".into()));
+        };
+        connection.send(permit, head, &request.body).await?;
+        connection
+            .read_head(&request.method, &request.attempt)
+            .await
+    }
+
+    /// Reads some bytes of the response body. Returns `None` at its end.
+    pub(crate) async fn read_body(&mut self) -> Result<Option<Bytes>, ConnectionError> {
+        let Some(connection) = self.connection.as_mut() else {
+            return Ok(None);
+        };
+        let chunk = connection.read_body().await;
+        if matches!(chunk, Ok(Some(_))) {
+            self.record_bytes();
+        }
+        chunk
+    }
+
+    /// Reads the whole body.
+    pub(crate) async fn read_whole(&mut self) -> Result<Bytes, ConnectionError> {
+        let mut whole = BytesMut::new();
+        while let Some(chunk) = self.read_body().await? {
+            whole.extend_from_slice(&chunk);
+        }
+        Ok(whole.freeze())
+    }
+
+    /// Records that response bytes arrived. The first of them train the latency model.
+    fn record_bytes(&mut self) {
+        let Some(assigned) = self.assigned.as_mut() else {
+            return;
+        };
+        let now = Instant::now();
+        let previous = self.last_bytes_at.replace(now);
+        let mut replicas = self.core.replicas.borrow_mut();
+        // Only engines have prompt tokens, and only their pauses tell something about the batch.
+        let pause = previous
+            .filter(|_| assigned.work.tokens > 0)
+            .map(|previous| now.saturating_duration_since(previous));
+        let lives = replicas.note_heard(&assigned.replica, assigned.ticket, pause, now);
+        if !lives || assigned.response_began {
+            return;
+        }
+        assigned.response_began = true;
+        replicas.note_first_event(&assigned.replica, assigned.ticket, assigned.work);
+        self.core.work_changed.notify_one();
+        if assigned.cold {
+            return;
+        }
+        let took = now.saturating_duration_since(self.sent_at);
+        let (tokens, ahead) = (assigned.work.tokens, assigned.ahead);
+        let model = replicas.model(&self.service);
+        let expected =
+            model.expect(tokens) + model.waiting(ahead, assigned.urgent) + assigned.queue;
+        model.learn(ModelSample {
+            tokens,
+            ahead,
+            queue: assigned.queue,
+            urgent: assigned.urgent,
+            took,
+        });
+        if let Some(belief) = replicas.get_mut(&assigned.replica) {
+            belief.note_pace(expected, took);
+        }
+    }
+
+    /// Records that the response is complete and returns the connection to the pool.
+    pub(crate) fn finish(mut self, healthy: bool) {
+        self.record_health(healthy);
+        self.return_connection();
+    }
+
+    /// Returns the connection to the pool.
+    pub(crate) fn return_connection(&mut self) {
+        if let Some(connection) = self.connection.take() {
+            self.core
+                .pool
+                .release(self.address, connection, Instant::now());
+        }
+    }
+
+    /// Records a failure of the replica.
+    pub(crate) fn record_failure(&self) {
+        self.record_health(false);
+    }
+
+    fn record_health(&self, healthy: bool) {
+        let Some(assigned) = &self.assigned else {
+            return;
+        };
+        let now = Instant::now();
+        let mut replicas = self.core.replicas.borrow_mut();
+        let Some(belief) = replicas.working_on(&assigned.replica, assigned.ticket) else {
+            return;
+        };
+        if !healthy {
+            belief.health.note_bad(now);
+            return;
+        }
+        belief.health.note_good(now);
+        let duration = now.saturating_duration_since(self.sent_at);
+        replicas.model(&self.service).learn_hold(duration);
+    }
+
+    /// Calls `change` with the belief about the replica, if it is still the same incarnation that
+    /// works on the request.
+    pub(crate) fn update_replica(&self, change: impl FnOnce(&mut ReplicaBelief)) {
+        let Some(assigned) = &self.assigned else {
+            return;
+        };
+        let mut replicas = self.core.replicas.borrow_mut();
+        if let Some(belief) = replicas.working_on(&assigned.replica, assigned.ticket) {
+            change(belief);
+        }
+    }
+
+    /// Returns whether the replica has gone silent on all requests of this node, or has restarted
+    /// since.
+    pub(crate) fn is_suspect(&self) -> bool {
+        let Some(assigned) = &self.assigned else {
+            return false;
+        };
+        let mut replicas = self.core.replicas.borrow_mut();
+        replicas
+            .working_on(&assigned.replica, assigned.ticket)
+            .is_none_or(|belief| belief.health.is_suspect(Instant::now()))
+    }
+
+    /// Returns when the request was sent.
+    pub(crate) fn sent_at(&self) -> Instant {
+        self.sent_at
+    }
+
+    /// Returns the time since the request was sent.
+    pub(crate) fn time_in_flight(&self) -> Duration {
+        self.sent_at.elapsed()
+    }
+
+    /// Logs that the connection broke during the request, and how many requests of this node the
+    /// replica had.
+    pub(crate) fn log_break(&self, request: &ReceivedRequest, reason: &str) {
+        let Some(assigned) = &self.assigned else {
+            return;
+        };
+        let own = {
+            let replicas = self.core.replicas.borrow();
+            replicas.get(&assigned.replica).map(|belief| belief.own)
+        };
+        self.core.log.write(
+            "channel-broke",
+            serde_json::json!({"request": request.attempt, "content": request.content_text(),
+                "replica": assigned.replica, "reason": reason, "began": assigned.response_began,
+                "ran_ms": self.time_in_flight().as_millis() as u64,
+                "own_requests": own.map(|work| work.requests)}),
+        );
+    }
+
+    /// Returns the address that the request was sent to.
+    pub(crate) fn address(&self) -> SocketAddrV4 {
+        self.address
+    }
+
+    /// Returns the replica, if the request was sent to one.
+    pub(crate) fn replica(&self) -> Option<&ReplicaId> {
+        self.assigned.as_ref().map(|assigned| &assigned.replica)
+    }
+}
+
+impl Drop for InFlightRequest {
+    fn drop(&mut self) {
+        if self.connection.take().is_some() {
+            self.core.pool.note_closed(self.address);
+        }
+        let Some(assigned) = &self.assigned else {
+            return;
+        };
+        self.core.replicas.borrow_mut().note_ended(
+            &assigned.replica,
+            assigned.ticket,
+            assigned.work,
+            assigned.response_began,
+        );
+        self.core.work_changed.notify_one();
+    }
+}
--- a/crates/zinniahatch_entry/src/request/ingress.rs
+++ b/crates/zinniahatch_entry/src/request/ingress.rs
@@ -1,4 +1,4 @@
-//! Requests of callers and of other nodes, read whole and handed to `serve`.
+//! Reads requests of callers and of other nodes completely and passes them to `serve`.
 
 use crate::core::EntryCore;
 use crate::core::StopPhase;
@@ -6,17 +6,17 @@
 use crate::counts::counting::take_post;
 use crate::nodes::snapshot::SNAPSHOT_PATH;
 use crate::nodes::snapshot::encode_snapshot;
-use crate::request::answer::AnswerBody;
-use crate::request::call::HOP_ACCOUNT;
-use crate::request::call::HOP_KEY;
-use crate::request::call::HOP_SERVICE;
-use crate::request::call::HOP_SPENT;
-use crate::request::call::HOP_VERSION;
-use crate::request::received::AccountNote;
-use crate::request::received::ForwardNote;
-use crate::request::received::ReceivedCall;
+use crate::request::gateway_response::gateway_response;
+use crate::request::received::ForwardInfo;
+use crate::request::received::ForwardedAccount;
+use crate::request::received::ReceivedRequest;
 use crate::request::received::RequestHop;
-use crate::request::refusal::own_answer;
+use crate::request::response_body::ResponseBody;
+use crate::request::send::HOP_ACCOUNT;
+use crate::request::send::HOP_KEY;
+use crate::request::send::HOP_SERVICE;
+use crate::request::send::HOP_SPENT;
+use crate::request::send::HOP_VERSION;
 use crate::request::serve::serve;
 use bytes::Bytes;
 use http::HeaderMap;
@@ -39,22 +39,22 @@
 use zinniahatch_platform::read_caller;
 use zinniahatch_route::CallerLimits;
 
-/// Time for a body to arrive; callers who take longer hold memory for nothing.
-const BODY_TIME: Duration = Duration::from_secs(10);
+/// Time limit for receiving a body. A caller that takes longer would occupy memory for nothing.
+const BODY_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Largest body of counts; an hour of all sheets that a node keeps is far below it.
-const LARGEST_COUNTS: usize = 4 << 20;
+/// Maximum size of a posted body of counts. One hour of all sheets kept by a node is far below it.
+const MAX_COUNTS_BYTES: usize = 4 << 20;
 
-/// Who speaks on a listener.
+/// Who sends requests to a listener.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum CallerSide {
+pub(crate) enum RequestSource {
     /// Callers.
     Front,
     /// Other nodes.
     Peer,
 }
 
-/// Gives the limits in force.
+/// Returns the caller limits in force.
 pub(crate) fn limits(core: &EntryCore) -> CallerLimits {
     let desired = core.desired.borrow();
     desired
@@ -62,28 +62,28 @@
         .map_or_else(CallerLimits::default, |state| state.limits.clone())
 }
 
-/// Answers one request.
-pub(crate) async fn answer(
+/// Handles one request and returns the response.
+pub(crate) async fn handle_request(
     core: Rc<EntryCore>,
-    side: CallerSide,
+    source: RequestSource,
     request: Request<Incoming>,
-) -> Response<AnswerBody> {
-    if side == CallerSide::Peer {
+) -> Response<ResponseBody> {
+    if source == RequestSource::Peer {
         match request.uri().path() {
-            SNAPSHOT_PATH => return Response::new(AnswerBody::whole(encode_snapshot(&core))),
+            SNAPSHOT_PATH => return Response::new(ResponseBody::whole(encode_snapshot(&core))),
             COUNTS_PATH => return take_counts(&core, request).await,
             _ => {}
         }
     }
     let arrived = Instant::now();
     let limits = limits(&core);
-    let mut response = match receive(side, request, &limits, arrived).await {
-        Ok(call) => serve(&core, call).await,
+    let mut response = match receive(source, request, &limits, arrived).await {
+        Ok(received) => serve(&core, received).await,
         Err(code) => {
             core.metrics.note_answer("", code.name());
             core.log
                 .write("unread", serde_json::json!({"result": code.number()}));
-            own_answer(code, None, None)
+            gateway_response(code, None, None)
         }
     };
     let headers = response.headers_mut();
@@ -96,24 +96,24 @@
     response
 }
 
-async fn take_counts(core: &EntryCore, request: Request<Incoming>) -> Response<AnswerBody> {
+async fn take_counts(core: &EntryCore, request: Request<Incoming>) -> Response<ResponseBody> {
     let (parts, body) = request.into_parts();
-    let body = match read_body(&parts.headers, body, LARGEST_COUNTS).await {
+    let body = match read_body(&parts.headers, body, MAX_COUNTS_BYTES).await {
         Ok(body) => body,
-        Err(code) => return own_answer(code, None, None),
+        Err(code) => return gateway_response(code, None, None),
     };
     match take_post(core, &body) {
-        Some(merged) => Response::new(AnswerBody::whole(merged)),
-        None => own_answer(ResultCode::BadRequest, None, None),
+        Some(merged) => Response::new(ResponseBody::whole(merged)),
+        None => gateway_response(ResultCode::BadRequest, None, None),
     }
 }
 
 async fn receive(
-    side: CallerSide,
+    source: RequestSource,
     request: Request<Incoming>,
     limits: &CallerLimits,
     arrived: Instant,
-) -> Result<ReceivedCall, ResultCode> {
+) -> Result<ReceivedRequest, ResultCode> {
     let (parts, body) = request.into_parts();
     let host: Box<str> = parts
         .headers
@@ -128,25 +128,25 @@
         .map_or("/", |path| path.as_str())
         .into();
     let body = read_body(&parts.headers, body, limits.max_body_bytes).await?;
-    let hop = match side {
-        CallerSide::Front => RequestHop::Direct,
-        CallerSide::Peer => RequestHop::Forwarded(read_note(&parts.headers)),
+    let hop = match source {
+        RequestSource::Front => RequestHop::Direct,
+        RequestSource::Peer => RequestHop::Forwarded(read_forward_info(&parts.headers)),
     };
     let credential = credential(&parts.headers);
     let mut headers = forwarded(&parts.headers);
     for own in [HOP_VERSION, HOP_SERVICE, HOP_SPENT, HOP_ACCOUNT, HOP_KEY] {
         headers.remove(own);
     }
-    // Nothing that goes on bears it by accident.
+    // The credential is kept apart from the headers so that it is never forwarded by accident.
     let authorization = headers.remove(header::AUTHORIZATION);
     let content = digest_fields(&[
         parts.method.as_str().as_bytes(),
         host.as_bytes(),
         path.as_bytes(),
-        who_asks(&hop, &credential, authorization.as_ref()),
+        caller_identity(&hop, &credential, authorization.as_ref()),
         &body,
     ]);
-    Ok(ReceivedCall {
+    Ok(ReceivedRequest {
         attempt: caller.attempt,
         hop,
         method: parts.method,
@@ -164,13 +164,16 @@
     })
 }
 
-/// Gives what tells a caller from others, the same at each node that a request comes to; empty where it says nothing.
-fn who_asks<'a>(
+/// Returns the bytes that identify the caller.
+///
+/// They are the same at each node that the request passes through, and empty if the caller sent no
+/// credential.
+fn caller_identity<'a>(
     hop: &'a RequestHop,
     credential: &'a Credential,
     authorization: Option<&'a HeaderValue>,
 ) -> &'a [u8] {
-    if let RequestHop::Forwarded(ForwardNote {
+    if let RequestHop::Forwarded(ForwardInfo {
         account: Some(account),
         ..
     }) = hop
@@ -183,16 +186,16 @@
     authorization.map_or(&[], HeaderValue::as_bytes)
 }
 
-fn read_note(headers: &HeaderMap) -> ForwardNote {
+fn read_forward_info(headers: &HeaderMap) -> ForwardInfo {
     let text = |name| headers.get(name).and_then(|value| value.to_str().ok());
     let number = |name| text(name).and_then(|value| value.parse().ok()).unwrap_or(0);
-    ForwardNote {
+    ForwardInfo {
         version: number(HOP_VERSION),
         service: text(HOP_SERVICE).unwrap_or_default().into(),
         spent: Duration::from_millis(number(HOP_SPENT)),
         account: text(HOP_ACCOUNT).and_then(|name| {
             let key = KeyDigest::parse(text(HOP_KEY)?)?;
-            Some(AccountNote {
+            Some(ForwardedAccount {
                 name: name.into(),
                 key,
             })
@@ -200,19 +203,19 @@
     }
 }
 
-async fn read_body(headers: &HeaderMap, body: Incoming, most: usize) -> Result<Bytes, ResultCode> {
-    let told = headers
+async fn read_body(headers: &HeaderMap, body: Incoming, limit: usize) -> Result<Bytes, ResultCode> {
+    let declared = headers
         .get(header::CONTENT_LENGTH)
         .and_then(|value| value.to_str().ok())
         .and_then(|text| text.parse::<usize>().ok());
-    if told.is_some_and(|length| length > most) {
+    if declared.is_some_and(|length| length > limit) {
         return Err(ResultCode::BodyTooLarge);
     }
-    let collected = timeout(BODY_TIME, Limited::new(body, most).collect())
+    let collected = timeout(BODY_TIMEOUT, Limited::new(body, limit).collect())
         .await
         .map_err(|_| ResultCode::BodyTooSlow)?;
     match collected {
-        Ok(whole) => Ok(whole.to_bytes()),
+        Ok(collected_body) => Ok(collected_body.to_bytes()),
         Err(error) if error.is::<LengthLimitError>() => Err(ResultCode::BodyTooLarge),
         Err(_) => Err(ResultCode::BadRequest),
     }
--- /dev/null
+++ b/crates/zinniahatch_entry/src/request/placement.rs
@@ -0,0 +1,390 @@
+//! Chooses where the next try of a request goes, and sends it there.
+
+use crate::core::EntryCore;
+use crate::replicas::quarantine::hold_left;
+use crate::request::connection::ResponseHead;
+use crate::request::in_flight::InFlightRequest;
+use crate::request::plan::RequestPlan;
+use crate::request::plan::RequestProgress;
+use crate::request::received::ReceivedRequest;
+use crate::request::send::SendFailure;
+use crate::request::send::forward;
+use crate::request::send::send_local;
+use std::rc::Rc;
+use zinniahatch_base::prelude::*;
+use zinniahatch_route::AdmissionRule;
+use zinniahatch_route::AwayChoice;
+use zinniahatch_route::EarliestReturn;
+use zinniahatch_route::LocalChoice;
+use zinniahatch_route::PlaceAsk;
+use zinniahatch_route::ServingPreset;
+use zinniahatch_route::Verdict;
+use zinniahatch_route::Withheld;
+use zinniahatch_route::all_leave;
+use zinniahatch_route::away_share;
+use zinniahatch_route::choose_away;
+use zinniahatch_route::choose_local;
+use zinniahatch_route::earliest_return;
+
+/// Retry time given to callers when no replica is usable.
+pub(crate) const NO_BACKEND_RETRY: Duration = Duration::from_millis(700);
+
+/// Where the next try goes.
+#[derive(Debug)]
+pub(crate) enum Placement {
+    /// To a replica of this region.
+    Local(LocalChoice),
+    /// To a node of another region.
+    Remote(AwayChoice),
+    /// Nowhere. Carries the result code and the retry time.
+    Refuse(ResultCode, Duration),
+}
+
+impl Placement {
+    /// Returns the expected time to the first event.
+    pub(crate) fn expected(&self) -> Duration {
+        match self {
+            Self::Local(choice) => choice.expected,
+            Self::Remote(choice) => choice.expected,
+            Self::Refuse(..) => Duration::ZERO,
+        }
+    }
+}
+
+/// Chooses where the next try goes, or refuses the request.
+///
+/// With `check_admission`, a request that would exceed its latency target is refused.
+pub(crate) fn choose_placement(
+    core: &EntryCore,
+    request: &ReceivedRequest,
+    plan: &RequestPlan,
+    progress: &RequestProgress,
+    check_admission: bool,
+) -> Placement {
+    if let Some(left) = hold_left(core, request) {
+        return Placement::Refuse(ResultCode::RequestQuarantined, left);
+    }
+    let now = Instant::now();
+    let preset = core.preset.borrow().clone();
+    let rule = admission_rule(request, plan, &preset, now);
+    let peers = core.members.borrow().names_in(&core.settings.region);
+    let ask = place_ask(core, request, plan, &progress.tried, &peers, now);
+    let local = if plan.allows(&core.settings.region) {
+        let replicas = core.replicas.borrow();
+        let limiter = core.cold_limiter.borrow();
+        choose_local(&replicas, &limiter, &core.settings.regions, &ask, now)
+    } else {
+        None
+    };
+    let verdict = local
+        .as_ref()
+        .map(|choice| rule.judge(choice.expected, Duration::ZERO, choice.wait));
+    let exceeds_goal = local
+        .as_ref()
+        .is_some_and(|choice| choice.expected + rule.spent > plan.route.goal);
+    let admitted = !check_admission || verdict == Some(Verdict::Admit);
+    if let Some(choice) = &local
+        && admitted
+        && !exceeds_goal
+    {
+        let faster_region = request
+            .is_direct()
+            .then(|| find_faster_region(core, plan, progress, &ask, choice, preset.away_gain, now))
+            .flatten()
+            .filter(|remote| rule.is_in_time(remote.expected, remote.trip));
+        return faster_region.map_or_else(|| Placement::Local(choice.clone()), Placement::Remote);
+    }
+    let mut slow_remote = None;
+    let remote = request
+        .is_direct()
+        .then(|| find_remote(core, plan, progress, &ask, now))
+        .flatten();
+    if let Some(remote) = remote.clone() {
+        let better = local.as_ref().is_none_or(|choice| {
+            !admitted || remote.expected < choice.expected.mul_f64(preset.away_gain)
+        });
+        match judge_remote(&rule, &remote) {
+            Verdict::Admit if better => return Placement::Remote(remote),
+            Verdict::Admit => {}
+            Verdict::Refuse(after) => slow_remote = Some(after),
+        }
+    }
+    if let Some(choice) = local.clone()
+        && admitted
+    {
+        return Placement::Local(choice);
+    }
+    log_rejected_options(core, request, &rule, local.as_ref(), remote.as_ref());
+    match (local, verdict) {
+        (_, Some(Verdict::Refuse(after))) => Placement::Refuse(ResultCode::WaitTooLong, after),
+        _ if slow_remote.is_some() => {
+            Placement::Refuse(ResultCode::WaitTooLong, slow_remote.unwrap_or_default())
+        }
+        _ => refuse_without_replica(core, plan, &ask, now),
+    }
+}
+
+/// Refuses a request that no replica of this region can take now, with the time until one takes
+/// work again, if that is known.
+fn refuse_without_replica(
+    core: &EntryCore,
+    plan: &RequestPlan,
+    ask: &PlaceAsk<'_>,
+    now: Instant,
+) -> Placement {
+    if !plan.allows(&core.settings.region) {
+        return Placement::Refuse(ResultCode::NoBackend, NO_BACKEND_RETRY);
+    }
+    if let Some(after) = retry_after_unavailable(core, ask, now) {
+        return Placement::Refuse(unavailable_code(after.reason), after.after);
+    }
+    let leaving = all_leave(&core.replicas.borrow(), &core.settings.regions, ask);
+    let code = if leaving {
+        ResultCode::ReplicasLeaving
+    } else {
+        ResultCode::NoBackend
+    };
+    Placement::Refuse(code, NO_BACKEND_RETRY)
+}
+
+fn unavailable_code(reason: Withheld) -> ResultCode {
+    match reason {
+        Withheld::Limited => ResultCode::ReplicasLimited,
+        _ => ResultCode::ReplicasResting,
+    }
+}
+
+/// Returns the retry time of a request whose replicas are all resting or rate limited.
+///
+/// That is when the first of them takes work again, staggered behind the callers that were given
+/// such a time before.
+fn retry_after_unavailable(
+    core: &EntryCore,
+    ask: &PlaceAsk<'_>,
+    now: Instant,
+) -> Option<EarliestReturn> {
+    let replicas = core.replicas.borrow();
+    let first = earliest_return(&replicas, &core.settings.regions, ask, now)?;
+    let hold = replicas.model_of(ask.service).hold();
+    let nodes = ask.peers.len() as u32 + 1;
+    let step = hold * nodes / first.slots.max(1);
+    let mut queues = core.retry_queues.borrow_mut();
+    let queue = queues.entry(ask.service.clone()).or_default();
+    let after = queue.take(first.after, step, now);
+    Some(EarliestReturn { after, ..first })
+}
+
+/// Returns the retry time of a request that a replica refused, if all other replicas are resting or
+/// rate limited too.
+pub(crate) fn retry_after_refusal(
+    core: &EntryCore,
+    request: &ReceivedRequest,
+    plan: &RequestPlan,
+) -> Option<Duration> {
+    let now = Instant::now();
+    let peers = core.members.borrow().names_in(&core.settings.region);
+    let tried = BTreeSet::new();
+    let ask = place_ask(core, request, plan, &tried, &peers, now);
+    retry_after_unavailable(core, &ask, now).map(|first| first.after)
+}
+
+fn place_ask<'a>(
+    core: &'a EntryCore,
+    request: &'a ReceivedRequest,
+    plan: &'a RequestPlan,
+    tried: &'a BTreeSet<ReplicaId>,
+    peers: &'a BTreeSet<NodeId>,
+    now: Instant,
+) -> PlaceAsk<'a> {
+    PlaceAsk {
+        service: &plan.service,
+        region: &core.settings.region,
+        size: &request.size,
+        urgent: plan.urgent,
+        tried,
+        deadline: plan.deadline.saturating_duration_since(now),
+        copy_token: plan.spec.copy_token,
+        cold_bound: plan.cold_bound,
+        draw: rand::random(),
+        node: &core.settings.name,
+        peers,
+    }
+}
+
+/// Logs the options that were rejected: the best placement in this region and elsewhere, and the
+/// latency target.
+fn log_rejected_options(
+    core: &EntryCore,
+    request: &ReceivedRequest,
+    rule: &AdmissionRule,
+    here: Option<&LocalChoice>,
+    remote: Option<&AwayChoice>,
+) {
+    let millis = |time: Duration| time.as_millis() as u64;
+    core.log.write(
+        "weighed",
+        serde_json::json!({"request": request.attempt, "goal_ms": millis(rule.goal),
+            "spent_ms": millis(rule.spent), "tokens_in": request.size.tokens_in,
+            "here_ms": here.map(|choice| millis(choice.expected)),
+            "here_wait_ms": here.map(|choice| millis(choice.wait)),
+            "away": remote.map(|choice| &choice.region),
+            "away_ms": remote.map(|choice| millis(choice.expected)),
+            "away_wait_ms": remote.map(|choice| millis(choice.wait)),
+            "trip_ms": remote.map(|choice| millis(choice.trip))}),
+    );
+}
+
+fn judge_remote(rule: &AdmissionRule, remote: &AwayChoice) -> Verdict {
+    rule.judge(remote.expected, remote.trip, remote.wait)
+}
+
+/// Finds a region that generates the response faster, for the share of the streams that should go
+/// there.
+fn find_faster_region(
+    core: &EntryCore,
+    plan: &RequestPlan,
+    progress: &RequestProgress,
+    ask: &PlaceAsk<'_>,
+    here: &LocalChoice,
+    gain: f64,
+    now: Instant,
+) -> Option<AwayChoice> {
+    if here.answer.is_zero() {
+        return None;
+    }
+    let remote = find_remote(core, plan, progress, ask, now)?;
+    let share = away_share(here.callers_time(), remote.callers_time(), gain);
+    rand::random_bool(share).then_some(remote)
+}
+
+fn find_remote(
+    core: &EntryCore,
+    plan: &RequestPlan,
+    progress: &RequestProgress,
+    ask: &PlaceAsk<'_>,
+    now: Instant,
+) -> Option<AwayChoice> {
+    let members = core.members.borrow();
+    let replicas = core.replicas.borrow();
+    let mut tried = progress.away.clone();
+    tried.regions.extend(core.region_paths.borrow().broken(now));
+    choose_away(
+        &members,
+        &replicas,
+        ask,
+        &plan.homes,
+        &tried,
+        core.next_ticket(),
+        now,
+    )
+}
+
+fn admission_rule(
+    request: &ReceivedRequest,
+    plan: &RequestPlan,
+    preset: &ServingPreset,
+    now: Instant,
+) -> AdmissionRule {
+    AdmissionRule {
+        goal: plan.route.goal,
+        spent: now.saturating_duration_since(request.arrived) + request.spent_before(),
+        left: plan.deadline.saturating_duration_since(request.arrived) + request.spent_before(),
+        favour: if plan.urgent {
+            preset.urgent_favour
+        } else {
+            1.0
+        },
+        goal_margin: preset.goal_margin,
+        least_wait: preset.least_wait,
+    }
+}
+
+/// Sends a request to its placement and reads the head of the response.
+pub(crate) async fn send_to(
+    core: &Rc<EntryCore>,
+    request: &ReceivedRequest,
+    plan: &RequestPlan,
+    placement: &Placement,
+    last_event: Option<&str>,
+) -> Result<(ResponseHead, InFlightRequest), SendFailure> {
+    match placement {
+        Placement::Local(choice) => send_local(core, request, plan, choice, last_event).await,
+        Placement::Remote(choice) => {
+            core.metrics.note_away(&plan.service, &choice.region);
+            forward(core, request, plan, choice, last_event).await
+        }
+        Placement::Refuse(..) => Err(SendFailure::NotSent("the request has no placement".into())),
+    }
+}
+
+fn reported_limit(core: &EntryCore, replica: &str) -> Option<RequestRate> {
+    let replicas = core.replicas.borrow();
+    let tag = replicas.get(replica)?.tag;
+    replicas.limits.rate(tag)
+}
+
+/// Records and logs where a request is sent.
+pub(crate) fn record_try(
+    core: &EntryCore,
+    request: &ReceivedRequest,
+    plan: &RequestPlan,
+    progress: &mut RequestProgress,
+    placement: &Placement,
+) {
+    match placement {
+        Placement::Local(choice) => {
+            let limit = reported_limit(core, &choice.replica);
+            progress.tried.insert(choice.replica.clone());
+            progress.region = None;
+            core.log.write(
+                "placed",
+                serde_json::json!({"request": request.attempt, "content": request.content_text(),
+                    "direct": request.is_direct(), "route": plan.route.name,
+                    "tokens_in": request.size.tokens_in,
+                    "service": plan.service, "replica": choice.replica, "version": plan.version,
+                    "expected_ms": choice.expected.as_millis() as u64,
+                    "answer_ms": choice.answer.as_millis() as u64,
+                    "wait_ms": choice.wait.as_millis() as u64, "costs_ms": choice.cost.named_ms(),
+                    "tokens": choice.tokens, "copy_from": choice.copy_from,
+                    "cold": choice.cold, "limit_per_second": limit, "sends": progress.sends}),
+            );
+        }
+        Placement::Remote(choice) => {
+            progress.away.nodes.insert(choice.node.clone());
+            progress.region = Some(choice.region.clone());
+            core.log.write(
+                "away",
+                serde_json::json!({"request": request.attempt, "content": request.content_text(),
+                    "direct": request.is_direct(), "route": plan.route.name,
+                    "tokens_in": request.size.tokens_in,
+                    "service": plan.service, "to": choice.node, "region": choice.region,
+                    "expected_ms": choice.expected.as_millis() as u64,
+                    "answer_ms": choice.answer.as_millis() as u64,
+                    "version": plan.version, "sends": progress.sends}),
+            );
+        }
+        Placement::Refuse(..) => {}
+    }
+}
+
+/// Logs why a try failed.
+pub(crate) fn log_failure(
+    core: &EntryCore,
+    request: &ReceivedRequest,
+    plan: &RequestPlan,
+    progress: &RequestProgress,
+    placement: &Placement,
+    failure: &SendFailure,
+) {
+    let target = match placement {
+        Placement::Local(choice) => &choice.replica,
+        Placement::Remote(choice) => &choice.node,
+        Placement::Refuse(..) => return,
+    };
+    core.log.write(
+        "try-failed",
+        serde_json::json!({"request": request.attempt, "service": plan.service, "at": target,
+            "failure": format!("{failure:?}"), "sends": progress.sends,
+            "age_ms": request.arrived.elapsed().as_millis() as u64}),
+    );
+}
--- a/crates/zinniahatch_entry/src/request/plan.rs
+++ b/crates/zinniahatch_entry/src/request/plan.rs
@@ -1,8 +1,8 @@
-//! What is fixed about a request before its first try, and what has happened to it since.
+//! What is fixed about a request before its first try, and its progress since.
 
 use crate::core::EntryCore;
 use crate::core::StopPhase;
-use crate::request::received::ReceivedCall;
+use crate::request::received::ReceivedRequest;
 use crate::request::received::RequestHop;
 use crate::who::identity::CallIdentity;
 use crate::who::identity::identify;
@@ -18,68 +18,71 @@
 use zinniahatch_route::common_homes;
 use zinniahatch_route::engine_rank;
 
-/// Time for a repeatable request before it is sent elsewhere, as a multiple of its goal.
-const TRY_PART: f64 = 0.8;
-/// Time for the same, as a multiple of what was expected; a slow answer is not a lost one.
-const TRY_TIMES: u32 = 3;
+/// Time limit of one try of an idempotent request, as a multiple of its latency target.
+const TRY_GOAL_FACTOR: f64 = 0.8;
+/// The same limit as a multiple of the expected time; the longer of the two applies. A slow
+/// response is not a lost one.
+const TRY_EXPECTED_FACTOR: u32 = 3;
 
-/// Connections that are tried for one request at most; each may cost its connect time.
-pub(crate) const MOST_CONNECTS: u32 = 4;
+/// Maximum number of tries of one request that reach no replica. Each may take the full connect
+/// timeout.
+pub(crate) const MAX_UNSENT_TRIES: u32 = 4;
 
 /// What is fixed about a request.
 #[derive(Debug)]
-pub(crate) struct CallPlan {
+pub(crate) struct RequestPlan {
     pub(crate) route: Rc<DesiredRoute>,
     pub(crate) service: ServiceId,
     pub(crate) spec: DesiredService,
     pub(crate) version: u64,
-    /// Who asks; none where that does not matter.
+    /// The caller's client account and key. `None` if the route or deployment requires none.
     pub(crate) identity: Option<CallIdentity>,
-    /// Whether replicas are told the account in place of the credential.
+    /// Whether replicas receive the client account instead of the caller's credential.
     pub(crate) guarded: bool,
-    /// Regions that may serve the request, by its route and its account; empty allows all.
+    /// Regions that may serve the request, by its route and its client account. Empty allows all.
     pub(crate) homes: BTreeSet<RegionId>,
-    /// When the final answer is due.
+    /// When the final response is due.
     pub(crate) deadline: Instant,
-    /// Rank in the engine, for services that are engines.
+    /// Priority rank in the engine, for services that are engines.
     pub(crate) rank: Option<u8>,
-    /// Whether it goes before the common requests in the engine.
+    /// Whether the engine runs the request before ordinary ones.
     pub(crate) urgent: bool,
-    /// Bound of a cold replica over all nodes, requests a second.
+    /// Rate limit of a cold replica over all nodes, in requests per second.
     pub(crate) cold_bound: f64,
-    /// Replicas that this node may send the request to. One for a forwarded request: the first
-    /// node counts its tries, and two nodes that both went to the route's limit would pass it.
-    pub(crate) most_sends: u32,
+    /// Maximum number of sends to replicas by this node. It is 1 for a forwarded request: the first
+    /// node counts the tries, and two nodes that both used the route's limit would exceed it.
+    pub(crate) max_sends: u32,
 }
 
-/// What happened to a request so far.
+/// Progress of a request so far.
 #[derive(Debug, Default)]
-pub(crate) struct CallCourse {
-    /// Replicas that were tried.
+pub(crate) struct RequestProgress {
+    /// Replicas already tried.
     pub(crate) tried: BTreeSet<ReplicaId>,
-    /// Nodes and regions that were tried.
+    /// Nodes and regions already tried.
     pub(crate) away: AwayTried,
-    /// Replicas that it was sent to.
+    /// Number of sends to replicas.
     pub(crate) sends: u32,
-    /// Tries in which nothing was sent.
-    pub(crate) connects: u32,
-    /// Whether some replica may have run it.
-    pub(crate) maybe_ran: bool,
-    /// When the last region that refused it would have room.
+    /// Number of tries that did not reach the intended replica, and of failed tries to resume a
+    /// stream.
+    pub(crate) unsent_tries: u32,
+    /// Whether a replica may have run the request.
+    pub(crate) may_have_run: bool,
+    /// When the last region that refused the request expects to have capacity.
     pub(crate) retry_hint: Option<Duration>,
-    /// The region that the last try went to, where that is another one.
+    /// The region of the last try, if it is another one.
     pub(crate) region: Option<RegionId>,
 }
 
-/// Counts a request as in progress as long as it lives.
+/// Counts a request as in flight while it lives.
 #[derive(Debug)]
-pub(crate) struct CallCount {
+pub(crate) struct InFlightGuard {
     core: Rc<EntryCore>,
 }
 
-impl CallPlan {
-    /// Finds the route and fixes the deadline.
-    pub(crate) fn new(core: &EntryCore, call: &ReceivedCall) -> Result<Self, ResultCode> {
+impl RequestPlan {
+    /// Finds the route, authenticates the caller and fixes the deadline.
+    pub(crate) fn new(core: &EntryCore, request: &ReceivedRequest) -> Result<Self, ResultCode> {
         if core.phase() == StopPhase::Closing {
             return Err(ResultCode::NodeLeaving);
         }
@@ -87,43 +90,44 @@
         let desired = desired.ok_or(ResultCode::NodeStarting)?;
         let routes = core.routes.borrow().clone();
         let route = routes
-            .find(&call.host, &call.path)
+            .find(&request.host, &request.path)
             .ok_or(ResultCode::NoRoute)?;
         if core.phase() == StopPhase::PlainOnly && route.repeat == RepeatKind::Streaming {
             return Err(ResultCode::NodeLeaving);
         }
-        let identity = identify(core, call, &route)?;
+        let identity = identify(core, request, &route)?;
         let account = identity.as_ref().map(|identity| &*identity.account);
         let homes = common_homes(&route, account).ok_or(ResultCode::NoCommonHome)?;
         let priority = account
             .and_then(|account| account.priority)
             .unwrap_or(route.priority);
-        let service = match &call.hop {
-            // A node with newer rules decides by them; one that is behind trusts the one before.
-            RequestHop::Forwarded(note) if note.version > routes.version() => note.service.clone(),
+        let service = match &request.hop {
+            // A node with a newer desired state decides by its own; one that lags behind follows
+            // the first node's choice.
+            RequestHop::Forwarded(info) if info.version > routes.version() => info.service.clone(),
             _ => route
-                .target(&call.attempt)
+                .target(&request.attempt)
                 .map(|target| target.service.clone())
                 .ok_or(ResultCode::NoBackend)?,
         };
         let spec = desired.services.get(&service).cloned();
         let spec = spec.ok_or(ResultCode::NoBackend)?;
-        let timeout = route.timeout.saturating_sub(call.spent_before());
-        let left = call.time_left.map_or(timeout, |left| left.min(timeout));
+        let timeout = route.timeout.saturating_sub(request.spent_before());
+        let left = request.time_left.map_or(timeout, |left| left.min(timeout));
         let engine = spec.kv_tokens > 0;
         let urgent = engine && priority == 0;
-        let most_sends = if call.is_direct() {
+        let max_sends = if request.is_direct() {
             route.max_attempts
         } else {
             1
         };
         Ok(Self {
             version: routes.version(),
-            deadline: call.arrived + left,
+            deadline: request.arrived + left,
             rank: engine.then(|| engine_rank(priority)),
             urgent,
             cold_bound: core.cold_bound(spec.cold_rate),
-            most_sends,
+            max_sends,
             guarded: core.identities.borrow().is_guarded(),
             identity,
             homes,
@@ -133,63 +137,68 @@
         })
     }
 
-    /// Tells whether a region may serve the request.
+    /// Returns whether a region may serve the request.
     pub(crate) fn allows(&self, region: &str) -> bool {
         self.homes.is_empty() || self.homes.contains(region)
     }
 
-    /// Gives the account as replicas and reports name it.
+    /// Returns the client account as replicas and reports name it.
     pub(crate) fn account_name(&self) -> Option<&str> {
         let identity = self.identity.as_ref()?;
         Some(&identity.account.name)
     }
 
-    /// Gives the caller's headers that go on. Its credential is among them only where replicas judge it.
-    pub(crate) fn sent_headers<'a>(&self, call: &'a ReceivedCall) -> Cow<'a, HeaderMap> {
-        let Some(authorization) = call.authorization.as_ref().filter(|_| !self.guarded) else {
-            return Cow::Borrowed(&call.headers);
+    /// Returns the caller's headers to pass on. They include its credential only if replicas check
+    /// it.
+    pub(crate) fn upstream_headers<'a>(&self, request: &'a ReceivedRequest) -> Cow<'a, HeaderMap> {
+        let Some(authorization) = request.authorization.as_ref().filter(|_| !self.guarded) else {
+            return Cow::Borrowed(&request.headers);
         };
-        let mut headers = call.headers.clone();
+        let mut headers = request.headers.clone();
         headers.insert(header::AUTHORIZATION, authorization.clone());
         Cow::Owned(headers)
     }
 
-    /// Gives the deadline as the runtime takes it.
+    /// Returns the deadline as the runtime's instant type.
     pub(crate) fn deadline_tokio(&self) -> tokio::time::Instant {
         self.deadline.into()
     }
 
-    /// Cuts a time to come back to what callers heed, a third of the time they have left.
-    pub(crate) fn cap_retry(&self, after: Duration) -> Duration {
+    /// Limits a retry time to what callers respect, a third of their remaining time.
+    pub(crate) fn cap_retry_after(&self, after: Duration) -> Duration {
         let left = self.deadline.saturating_duration_since(Instant::now());
         after.min(left / 3)
     }
 
-    /// Gives the time until which one try may take.
+    /// Returns the deadline of one try.
     ///
-    /// A request that may be repeated leaves a replica that hangs while there is time for another;
-    /// all others wait until the end, since a second run is not allowed.
-    pub(crate) fn try_limit(&self, course: &CallCourse, expected: Duration) -> Instant {
-        let once_more =
-            self.route.repeat == RepeatKind::Idempotent && course.sends + 1 < self.most_sends;
-        if !once_more {
+    /// An idempotent request abandons a hanging replica while there is time for another one. All
+    /// others wait until the request's deadline, because a second run is not allowed.
+    pub(crate) fn try_deadline(&self, progress: &RequestProgress, expected: Duration) -> Instant {
+        let has_retry_left =
+            self.route.repeat == RepeatKind::Idempotent && progress.sends + 1 < self.max_sends;
+        if !has_retry_left {
             return self.deadline;
         }
-        let part = self.route.goal.mul_f64(TRY_PART).max(expected * TRY_TIMES);
-        self.deadline.min(Instant::now() + part)
+        let try_time = self
+            .route
+            .goal
+            .mul_f64(TRY_GOAL_FACTOR)
+            .max(expected * TRY_EXPECTED_FACTOR);
+        self.deadline.min(Instant::now() + try_time)
     }
 
-    /// Tells whether the request may be sent once more, and takes that from the budget.
-    pub(crate) fn may_go_on(
+    /// Returns whether the request may be sent once more, and takes that retry from the budget.
+    pub(crate) fn take_retry(
         &self,
         core: &EntryCore,
-        course: &CallCourse,
+        progress: &RequestProgress,
         reason: &'static str,
     ) -> bool {
-        if course.sends >= self.most_sends {
+        if progress.sends >= self.max_sends {
             return false;
         }
-        let granted = core.with_budget(&self.service, |budget| budget.take(Instant::now()));
+        let granted = core.with_retry_budget(&self.service, |budget| budget.take(Instant::now()));
         if granted {
             core.metrics.note_repeat(&self.service, reason);
         }
@@ -197,26 +206,28 @@
     }
 }
 
-impl CallCourse {
-    /// Gives the region that served, or that refused.
-    pub(crate) fn served(&self, core: &EntryCore) -> RegionId {
+impl RequestProgress {
+    /// Returns the region that served or refused the request.
+    pub(crate) fn serving_region(&self, core: &EntryCore) -> RegionId {
         let own = &core.settings.region;
         self.region.clone().unwrap_or_else(|| own.clone())
     }
 }
 
-impl CallCount {
-    /// Counts a request.
+impl InFlightGuard {
+    /// Counts one more request in flight.
     pub(crate) fn new(core: &Rc<EntryCore>) -> Self {
-        core.open_calls.set(core.open_calls.get() + 1);
+        core.in_flight_count.set(core.in_flight_count.get() + 1);
         Self {
             core: Rc::clone(core),
         }
     }
 }
 
-impl Drop for CallCount {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
-        self.core.open_calls.set(self.core.open_calls.get() - 1);
+        self.core
+            .in_flight_count
+            .set(self.core.in_flight_count.get() - 1);
     }
 }
--- a/crates/zinniahatch_entry/src/request/pool.rs
+++ b/crates/zinniahatch_entry/src/request/pool.rs
@@ -1,146 +1,152 @@
-//! Kept channels, by the address that they lead to.
+//! Pool of reusable connections by address.
 //!
-//! A replica accepts a bounded number of channels from all callers together and resets those
-//! beyond it, so each node keeps to its part of that bound without asking the others.
+//! A replica accepts a limited number of connections from all callers together and resets those
+//! beyond it. Each node therefore keeps to its own share of that limit, without asking the others.
 
-use crate::request::channel::BackendChannel;
-use crate::request::channel::ChannelError;
+use crate::request::connection::BackendConnection;
+use crate::request::connection::ConnectionError;
 use std::cell::RefCell;
 use std::net::SocketAddrV4;
 use zinniahatch_base::prelude::*;
 
-/// Time for a connection inside a region; three lost packets in a row take longer.
-const CONNECT_TIME: Duration = Duration::from_millis(700);
-/// Idle channels kept for one address at most.
-const MOST_IDLE: usize = 64;
+/// Time limit for connecting inside a region. Three lost packets in a row take longer.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(700);
+/// Maximum number of idle connections per address.
+const MAX_IDLE: usize = 64;
 
-/// Channels to one address.
+/// Connections to one address.
 #[derive(Debug, Default)]
-struct PoolRow {
-    idle: Vec<BackendChannel>,
+struct AddressPool {
+    idle: Vec<BackendConnection>,
     open: usize,
 }
 
-/// All channels of a node.
+/// All outgoing connections of a node.
 #[derive(Debug, Default)]
-pub(crate) struct ChannelPool {
-    rows: RefCell<BTreeMap<SocketAddrV4, PoolRow>>,
+pub(crate) struct ConnectionPool {
+    rows: RefCell<BTreeMap<SocketAddrV4, AddressPool>>,
 }
 
-/// Why no channel was to be had.
+/// Why no connection is available.
 #[derive(Debug)]
 pub(crate) enum PoolError {
-    /// This node's part of the bound is in use.
+    /// This node's share of the connections is in use.
     Full,
     /// No connection was made.
-    Unreached(ChannelError),
+    Unreached(ConnectionError),
 }
 
-impl ChannelPool {
-    /// Takes a kept channel, the last used first, so that the others reach their idle limit.
-    fn take_idle(&self, address: SocketAddrV4, now: Instant) -> Option<BackendChannel> {
+impl ConnectionPool {
+    /// Takes an idle connection, the most recently used first, so that the others reach their idle
+    /// limit.
+    fn acquire_idle(&self, address: SocketAddrV4, now: Instant) -> Option<BackendConnection> {
         let mut rows = self.rows.borrow_mut();
         let row = rows.get_mut(&address)?;
-        while let Some(mut channel) = row.idle.pop() {
-            if channel.is_fresh(now) {
-                return Some(channel);
+        while let Some(mut connection) = row.idle.pop() {
+            if connection.is_usable(now) {
+                return Some(connection);
             }
             row.open = row.open.saturating_sub(1);
         }
         None
     }
 
-    /// Takes a kept channel or makes a new one, `most` in all for the address.
-    pub(crate) async fn take(
+    /// Takes an idle connection or opens a new one, up to `limit` connections to the address.
+    pub(crate) async fn acquire(
         &self,
         address: SocketAddrV4,
-        most: usize,
+        limit: usize,
         now: Instant,
-    ) -> Result<BackendChannel, PoolError> {
-        if let Some(channel) = self.take_idle(address, now) {
-            return Ok(channel);
+    ) -> Result<BackendConnection, PoolError> {
+        if let Some(connection) = self.acquire_idle(address, now) {
+            return Ok(connection);
         }
         {
             let mut rows = self.rows.borrow_mut();
             let row = rows.entry(address).or_default();
-            if row.open >= most {
+            if row.open >= limit {
                 return Err(PoolError::Full);
             }
             row.open += 1;
         }
-        let place = OpenPlace {
+        let pending = PendingConnect {
             pool: self,
             address,
-            kept: false,
+            confirmed: false,
         };
-        let channel = BackendChannel::connect(address, CONNECT_TIME)
+        let connection = BackendConnection::connect(address, CONNECT_TIMEOUT)
             .await
             .map_err(PoolError::Unreached)?;
-        place.keep();
-        Ok(channel)
+        pending.confirm();
+        Ok(connection)
     }
 
-    /// Gives a channel back; it is kept if its answer was read whole.
-    pub(crate) fn give(&self, address: SocketAddrV4, mut channel: BackendChannel, now: Instant) {
+    /// Returns a connection to the pool. It is kept if its response was read completely.
+    pub(crate) fn release(
+        &self,
+        address: SocketAddrV4,
+        mut connection: BackendConnection,
+        now: Instant,
+    ) {
         let mut rows = self.rows.borrow_mut();
         let row = rows.entry(address).or_default();
-        if channel.is_reusable() && row.idle.len() < MOST_IDLE {
-            channel.rest(now);
-            row.idle.push(channel);
+        if connection.is_reusable() && row.idle.len() < MAX_IDLE {
+            connection.mark_idle(now);
+            row.idle.push(connection);
             return;
         }
         row.open = row.open.saturating_sub(1);
     }
 
-    /// Notes that a channel that was taken is closed.
-    pub(crate) fn lose(&self, address: SocketAddrV4) {
+    /// Records that an acquired connection was closed.
+    pub(crate) fn note_closed(&self, address: SocketAddrV4) {
         if let Some(row) = self.rows.borrow_mut().get_mut(&address) {
             row.open = row.open.saturating_sub(1);
         }
     }
 
-    /// Closes all kept channels to an address: when one went silent, the others may be too.
-    pub(crate) fn purge(&self, address: SocketAddrV4) {
+    /// Closes all idle connections to an address. If one went silent, the others may have too.
+    pub(crate) fn close_idle(&self, address: SocketAddrV4) {
         if let Some(row) = self.rows.borrow_mut().get_mut(&address) {
             row.open = row.open.saturating_sub(row.idle.len());
             row.idle.clear();
         }
     }
 
-    /// Closes what has been idle too long and forgets addresses without channels.
-    pub(crate) fn tick(&self, now: Instant) {
+    /// Closes connections that have been idle too long and removes addresses without connections.
+    pub(crate) fn evict_idle(&self, now: Instant) {
         let mut rows = self.rows.borrow_mut();
         for row in rows.values_mut() {
             let before = row.idle.len();
-            row.idle.retain_mut(|channel| channel.is_fresh(now));
+            row.idle.retain_mut(|connection| connection.is_usable(now));
             row.open = row.open.saturating_sub(before - row.idle.len());
         }
         rows.retain(|_, row| row.open > 0);
     }
 
-    /// Gives the number of open channels.
-    pub(crate) fn open(&self) -> usize {
+    /// Returns the number of open connections.
+    pub(crate) fn open_count(&self) -> usize {
         self.rows.borrow().values().map(|row| row.open).sum()
     }
 }
 
-/// Gives the place of a connection back if its caller leaves while it is being made.
-struct OpenPlace<'a> {
-    pool: &'a ChannelPool,
+/// Frees the reserved place of a connection if its caller leaves while it is being opened.
+struct PendingConnect<'a> {
+    pool: &'a ConnectionPool,
     address: SocketAddrV4,
-    kept: bool,
+    confirmed: bool,
 }
 
-impl OpenPlace<'_> {
-    fn keep(mut self) {
-        self.kept = true;
+impl PendingConnect<'_> {
+    fn confirm(mut self) {
+        self.confirmed = true;
     }
 }
 
-impl Drop for OpenPlace<'_> {
+impl Drop for PendingConnect<'_> {
     fn drop(&mut self) {
-        if !self.kept {
-            self.pool.lose(self.address);
+        if !self.confirmed {
+            self.pool.note_closed(self.address);
         }
     }
 }
--- a/crates/zinniahatch_entry/src/request/received.rs
+++ b/crates/zinniahatch_entry/src/request/received.rs
@@ -1,4 +1,4 @@
-//! One typed request, whichever interface it came by.
+//! A request read whole, in the same form for all listeners.
 
 use bytes::Bytes;
 use http::HeaderMap;
@@ -11,90 +11,90 @@
 /// How a request reached this node.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum RequestHop {
-    /// From its caller.
+    /// Directly from its caller.
     Direct,
-    /// From another node, which chose this region. It is placed here or refused: nothing that was
-    /// forwarded is forwarded again, so that no request goes round in a loop.
-    Forwarded(ForwardNote),
+    /// From another node, which chose this region. The request is placed here or refused. A
+    /// forwarded request is never forwarded again, so that no request travels in a loop.
+    Forwarded(ForwardInfo),
 }
 
-/// What the first node says of a request that it forwards.
+/// What the first node tells about a request that it forwards.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub(crate) struct ForwardNote {
-    /// The version of the desired state by which it chose.
+pub(crate) struct ForwardInfo {
+    /// The version of the desired state by which the first node chose.
     pub(crate) version: u64,
     /// The service that it chose.
     pub(crate) service: ServiceId,
-    /// Time spent there, which counts towards the goal.
+    /// Time spent at the first node, which counts towards the latency target.
     pub(crate) spent: Duration,
-    /// The account for which it serves the request; none where callers need not say who they are.
-    pub(crate) account: Option<AccountNote>,
+    /// The client account of the request. `None` if callers need not authenticate.
+    pub(crate) account: Option<ForwardedAccount>,
 }
 
-/// What the first node says of who asks; the key itself stays there.
+/// The client account as told by the first node. The API key itself is not forwarded.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) struct AccountNote {
-    /// The account.
+pub(crate) struct ForwardedAccount {
+    /// Name of the account.
     pub(crate) name: AccountId,
-    /// The digest of the key.
+    /// Digest of the API key.
     pub(crate) key: KeyDigest,
 }
 
 /// A request that was read whole.
 #[derive(Clone, Debug)]
-pub(crate) struct ReceivedCall {
+pub(crate) struct ReceivedRequest {
     /// Id of this attempt of the caller.
     pub(crate) attempt: RequestId,
-    /// How it came.
+    /// How the request reached this node.
     pub(crate) hop: RequestHop,
-    /// Its method.
+    /// The HTTP method.
     pub(crate) method: Method,
-    /// The host that it names.
+    /// The value of the `Host` header.
     pub(crate) host: Box<str>,
     /// Path and query, as they were sent.
     pub(crate) path: Box<str>,
-    /// The headers that go on to a replica.
+    /// The headers that are passed on to a replica.
     pub(crate) headers: HeaderMap,
-    /// Who the caller says it is.
+    /// The caller's credential, parsed.
     pub(crate) credential: Credential,
-    /// The same as it was sent, for deployments in which replicas judge it.
+    /// The `Authorization` header as it was sent, for deployments in which replicas check it.
     pub(crate) authorization: Option<HeaderValue>,
     /// The body.
     pub(crate) body: Bytes,
-    /// Digest of what it asks for and who asks. Each repeat of a caller has an id of its own, and this in
-    /// common with those before.
+    /// Digest of the request's content and its caller. Each retry by a caller has its own attempt
+    /// id but the same digest.
     pub(crate) content: ContentDigest,
-    /// When it arrived.
+    /// Time of arrival.
     pub(crate) arrived: Instant,
-    /// How long the caller will wait from then.
+    /// How long the caller is willing to wait, counted from the arrival.
     pub(crate) time_left: Option<Duration>,
-    /// Tokens and prompt parts.
+    /// Number of tokens and parts of the prompt.
     pub(crate) size: PromptSize,
-    /// The last event that the caller has.
+    /// Id of the last event that the caller has received.
     pub(crate) last_event: Option<Box<str>>,
 }
 
-impl ReceivedCall {
-    /// Gives the time spent on the request at the node before this one.
+impl ReceivedRequest {
+    /// Returns the time spent on the request at the previous node.
     pub(crate) fn spent_before(&self) -> Duration {
         match &self.hop {
             RequestHop::Direct => Duration::ZERO,
-            RequestHop::Forwarded(note) => note.spent,
+            RequestHop::Forwarded(info) => info.spent,
         }
     }
 
-    /// Gives the digest of its content as log lines and counters show it.
+    /// Returns the content digest as it is written to log lines and counters.
     pub(crate) fn content_text(&self) -> Box<str> {
         content_text(self.content)
     }
 
-    /// Tells whether it may be forwarded.
+    /// Returns whether the request came directly from its caller and may therefore be forwarded.
     pub(crate) fn is_direct(&self) -> bool {
         self.hop == RequestHop::Direct
     }
 }
 
-/// Gives a content as log lines and keys show it.
+/// Formats a content digest as it is written to log lines and store keys.
 pub(crate) fn content_text(content: ContentDigest) -> Box<str> {
     format!("{content:016x}").into()
 }
--- a/crates/zinniahatch_entry/src/request/relay.rs
+++ b/crates/zinniahatch_entry/src/request/relay.rs
@@ -1,15 +1,15 @@
-//! Passing a stream on as it arrives, and resuming it at another replica where that is allowed.
+//! Forwards a stream as it arrives and resumes it at another replica if the route allows that.
 
 use crate::core::EntryCore;
 use crate::counts::counting::count;
 use crate::replicas::quarantine::note_answered;
 use crate::replicas::replica_check::note_break;
 use crate::request::events::EventSplitter;
-use crate::request::open_call::OpenCall;
-use crate::request::plan::CallCount;
-use crate::request::plan::CallCourse;
-use crate::request::plan::CallPlan;
-use crate::request::received::ReceivedCall;
+use crate::request::in_flight::InFlightRequest;
+use crate::request::plan::InFlightGuard;
+use crate::request::plan::RequestPlan;
+use crate::request::plan::RequestProgress;
+use crate::request::received::ReceivedRequest;
 use crate::request::resume::resume;
 use bytes::Bytes;
 use std::cell::Cell;
@@ -19,71 +19,72 @@
 use tokio::time::timeout_at;
 use zinniahatch_base::prelude::*;
 
-/// How often a stream looks whether its replica has gone silent.
-const LOOK_TIME: Duration = Duration::from_millis(250);
+/// How often a stream checks whether its replica has gone silent.
+const SILENCE_CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// A stream on its way to its caller.
+/// A stream being forwarded to its caller.
 pub(crate) struct StreamRelay {
     pub(crate) core: Rc<EntryCore>,
-    pub(crate) call: Rc<ReceivedCall>,
-    pub(crate) plan: Rc<CallPlan>,
-    pub(crate) course: CallCourse,
+    pub(crate) request: Rc<ReceivedRequest>,
+    pub(crate) plan: Rc<RequestPlan>,
+    pub(crate) progress: RequestProgress,
     pub(crate) sender: Sender<Bytes>,
-    /// Tells the answer's body whether what was sent is all.
-    pub(crate) whole: Rc<Cell<bool>>,
-    /// Counts the stream as in progress until it ends.
-    pub(crate) guard: CallCount,
-    /// Time from arrival to the first event.
-    pub(crate) first: Option<Duration>,
+    /// Tells the response body whether the chunks sent so far form the complete stream.
+    pub(crate) complete: Rc<Cell<bool>>,
+    /// Counts the stream as in flight until it ends.
+    pub(crate) guard: InFlightGuard,
+    /// Time from the request's arrival to the first event.
+    pub(crate) first_event: Option<Duration>,
     /// Longest pause between events so far.
-    pub(crate) pause: Duration,
-    /// When the last event came.
-    pub(crate) last: Option<Instant>,
-    /// Pieces passed on so far, about one for each event.
+    pub(crate) longest_pause: Duration,
+    /// Time of the last event.
+    pub(crate) last_event_at: Option<Instant>,
+    /// Number of chunks forwarded so far, about one per event.
     pub(crate) events: u32,
 }
 
 /// Why a stream stopped.
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum RelayEnd {
-    /// It is whole.
+    /// The stream is complete.
     Whole,
-    /// The caller left.
+    /// The caller closed its connection.
     CallerGone,
-    /// Its time is over.
+    /// The deadline passed.
     Deadline,
-    /// The replica broke off.
+    /// The connection to the replica broke.
     Broken(Box<str>),
     /// The replica went silent.
     Silent,
 }
 
 impl StreamRelay {
-    /// Passes on a stream to its end.
-    pub(crate) async fn run(mut self, mut open: OpenCall) {
-        let mut splitter = EventSplitter::after(self.call.last_event.clone());
+    /// Forwards a stream to its end.
+    pub(crate) async fn run(mut self, mut in_flight: InFlightRequest) {
+        let mut splitter = EventSplitter::after(self.request.last_event.clone());
         let end = loop {
-            let end = self.pass(&mut open, &mut splitter).await;
+            let end = self.forward_events(&mut in_flight, &mut splitter).await;
             let reason: Box<str> = match &end {
                 RelayEnd::Broken(reason) => reason.clone(),
-                RelayEnd::Silent => "the replica is silent".into(),
+                RelayEnd::Silent => "the replica went silent".into(),
                 _ => break end,
             };
-            open.fail();
+            in_flight.record_failure();
             if end != RelayEnd::Silent {
-                note_break(&self.core, &self.call, &open, &reason).await;
+                note_break(&self.core, &self.request, &in_flight, &reason).await;
             }
             if !self.plan.route.resumable {
                 break end;
             }
-            splitter.drop_torn();
-            // The old run must stop before another goes on: its channel is closed first.
-            drop(open);
+            splitter.discard_partial();
+            // The previous run must stop before another replica continues, so its connection is
+            // closed first.
+            drop(in_flight);
             let resumed = resume(
                 &self.core,
-                &self.call,
+                &self.request,
                 &self.plan,
-                &mut self.course,
+                &mut self.progress,
                 splitter.last_id(),
                 &reason,
             )
@@ -92,14 +93,14 @@
                 self.finish(&end);
                 return;
             };
-            open = next;
+            in_flight = next;
         };
         if end == RelayEnd::Whole {
-            self.note_length();
-            note_answered(&self.core, &self.call);
-            open.finish(true);
+            self.record_length();
+            note_answered(&self.core, &self.request);
+            in_flight.finish(true);
         } else {
-            drop(open);
+            drop(in_flight);
         }
         self.finish(&end);
     }
@@ -114,69 +115,80 @@
         self.core
             .metrics
             .note_answer(&self.plan.service, result.name());
-        let served = self.course.served(&self.core);
+        let served = self.progress.serving_region(&self.core);
         count(
-            &self.core, &self.call, &self.plan, &served, result, self.first,
+            &self.core,
+            &self.request,
+            &self.plan,
+            &served,
+            result,
+            self.first_event,
         );
         let millis = |time: Duration| time.as_millis() as u64;
         self.core.log.write(
             "stream-end",
-            serde_json::json!({"request": self.call.attempt, "direct": self.call.is_direct(),
+            serde_json::json!({"request": self.request.attempt, "direct": self.request.is_direct(),
                 "route": self.plan.route.name, "result": result.number(),
-                "end": format!("{end:?}"), "sends": self.course.sends, "events": self.events,
-                "first_ms": self.first.map(millis), "pause_ms": millis(self.pause),
-                "took_ms": millis(self.call.arrived.elapsed()),
+                "end": format!("{end:?}"), "sends": self.progress.sends, "events": self.events,
+                "first_ms": self.first_event.map(millis), "pause_ms": millis(self.longest_pause),
+                "took_ms": millis(self.request.arrived.elapsed()),
                 "goal_ms": millis(self.plan.route.goal),
                 "pause_limit_ms": millis(self.plan.route.pause_limit)}),
         );
-        self.whole.set(*end == RelayEnd::Whole);
+        self.complete.set(*end == RelayEnd::Whole);
         drop(self.guard);
     }
 
-    /// Learns how long answers are, from one that did not begin in the middle.
-    fn note_length(&self) {
-        if self.call.last_event.is_none() {
+    /// Updates the estimate of response lengths, unless this stream began in the middle.
+    fn record_length(&self) {
+        if self.request.last_event.is_none() {
             let mut replicas = self.core.replicas.borrow_mut();
-            replicas.note_length(&self.plan.service, &self.call.size, self.events);
+            replicas.note_length(&self.plan.service, &self.request.size, self.events);
         }
     }
 
-    /// Notes that an event goes on to the caller.
-    fn note_event(&mut self) {
+    /// Records that an event is forwarded to the caller.
+    fn record_event(&mut self) {
         let now = Instant::now();
         self.events += 1;
-        if let Some(last) = self.last.replace(now) {
-            self.pause = self.pause.max(now.saturating_duration_since(last));
+        if let Some(last_event_at) = self.last_event_at.replace(now) {
+            self.longest_pause = self
+                .longest_pause
+                .max(now.saturating_duration_since(last_event_at));
             return;
         }
-        let first = now.saturating_duration_since(self.call.arrived);
-        self.first = Some(first);
+        let first_event = now.saturating_duration_since(self.request.arrived);
+        self.first_event = Some(first_event);
         self.core
             .metrics
-            .note_first_event(&self.plan.service, first);
+            .note_first_event(&self.plan.service, first_event);
     }
 
-    async fn pass(&mut self, open: &mut OpenCall, splitter: &mut EventSplitter) -> RelayEnd {
+    async fn forward_events(
+        &mut self,
+        in_flight: &mut InFlightRequest,
+        splitter: &mut EventSplitter,
+    ) -> RelayEnd {
         let resumable = self.plan.route.resumable;
-        let mut look = Instant::now() + LOOK_TIME;
+        let mut next_check = Instant::now() + SILENCE_CHECK_INTERVAL;
         loop {
-            let piece = tokio::select! {
+            let chunk = tokio::select! {
                 biased;
                 () = self.sender.closed() => return RelayEnd::CallerGone,
-                piece = open.read_body() => piece,
+                chunk = in_flight.read_body() => chunk,
                 () = sleep_until(self.plan.deadline_tokio()) => return RelayEnd::Deadline,
-                () = sleep_until(look.into()), if resumable => {
-                    look = Instant::now() + LOOK_TIME;
-                    if open.is_suspect() {
+                () = sleep_until(next_check.into()), if resumable => {
+                    next_check = Instant::now() + SILENCE_CHECK_INTERVAL;
+                    if in_flight.is_suspect() {
                         return RelayEnd::Silent;
                     }
                     continue;
                 }
             };
-            let bytes = match piece {
+            let bytes = match chunk {
                 Ok(Some(bytes)) => bytes,
-                Ok(None) if resumable && splitter.is_torn() => {
-                    return RelayEnd::Broken("ended inside an event".into());
+                Ok(None) if resumable && splitter.has_partial() => {
+                    return RelayEnd::Broken("the stream ended inside an event".into());
                 }
                 Ok(None) => return RelayEnd::Whole,
                 Err(error) => return RelayEnd::Broken(error.to_string().into()),
@@ -189,7 +201,7 @@
             let Some(ready) = ready else {
                 continue;
             };
-            self.note_event();
+            self.record_event();
             match timeout_at(self.plan.deadline_tokio(), self.sender.send(ready)).await {
                 Ok(Ok(())) => {}
                 Ok(Err(_)) => return RelayEnd::CallerGone,
--- /dev/null
+++ b/crates/zinniahatch_entry/src/request/response.rs
@@ -0,0 +1,156 @@
+//! Responses to callers: a replica's buffered response, the start of a stream, or a refusal.
+
+use crate::core::EntryCore;
+use crate::counts::counting::count;
+use crate::replicas::quarantine::note_answered;
+use crate::replicas::replica_check::note_break;
+use crate::request::connection::ResponseHead;
+use crate::request::gateway_response::gateway_response;
+use crate::request::in_flight::InFlightRequest;
+use crate::request::plan::InFlightGuard;
+use crate::request::plan::RequestPlan;
+use crate::request::plan::RequestProgress;
+use crate::request::received::ReceivedRequest;
+use crate::request::relay::StreamRelay;
+use crate::request::response_body::ResponseBody;
+use crate::request::response_body::StreamBody;
+use http::Response;
+use http::StatusCode;
+use std::cell::Cell;
+use std::rc::Rc;
+use tokio::sync::mpsc;
+use tokio::time::timeout_at;
+use zinniahatch_base::prelude::*;
+use zinniahatch_platform::returned;
+
+/// Number of chunks of a stream that are queued for a caller that reads slowly.
+const STREAM_QUEUE: usize = 8;
+
+/// Builds the response to a request that this node gives up on.
+pub(crate) fn refuse(
+    core: &EntryCore,
+    request: &ReceivedRequest,
+    plan: &RequestPlan,
+    progress: &RequestProgress,
+    code: ResultCode,
+    retry: Option<Duration>,
+) -> Response<ResponseBody> {
+    // Once a request may have run, the response must not claim that it did not.
+    let code = if progress.may_have_run && code.execution() == Execution::NotRun {
+        ResultCode::OutcomeUnknown
+    } else {
+        code
+    };
+    core.metrics.note_answer(&plan.service, code.name());
+    count(core, request, plan, &core.settings.region, code, None);
+    core.log.write(
+        "refused",
+        serde_json::json!({"request": request.attempt, "content": request.content_text(),
+            "direct": request.is_direct(), "route": plan.route.name,
+            "tokens_in": request.size.tokens_in,
+            "service": plan.service, "result": code.number(), "sends": progress.sends,
+            "connects": progress.unsent_tries,
+            "retry_ms": retry.map(|after| after.as_millis() as u64),
+            "age_ms": request.arrived.elapsed().as_millis() as u64, "version": plan.version}),
+    );
+    gateway_response(code, Some(&request.attempt), retry)
+}
+
+fn build_response(head: &ResponseHead, body: ResponseBody) -> Response<ResponseBody> {
+    let mut response = Response::new(body);
+    *response.status_mut() = head.status;
+    *response.headers_mut() = returned(&head.headers);
+    response
+}
+
+/// Buffers the whole response of a replica, so that another replica can be tried if the connection
+/// breaks before the end.
+///
+/// Also returns whether the response is final, i.e. not a server error that should be retried.
+pub(crate) async fn buffer_response(
+    core: &Rc<EntryCore>,
+    request: &ReceivedRequest,
+    plan: &RequestPlan,
+    progress: &RequestProgress,
+    limit: Instant,
+    head: ResponseHead,
+    mut in_flight: InFlightRequest,
+) -> Result<(Response<ResponseBody>, bool), Box<str>> {
+    let body = match timeout_at(limit.into(), in_flight.read_whole()).await {
+        Ok(Ok(body)) => body,
+        Ok(Err(error)) => {
+            in_flight.record_failure();
+            note_break(core, request, &in_flight, &error.to_string()).await;
+            return Err(error.to_string().into());
+        }
+        Err(_) => return Err("response not complete in time".into()),
+    };
+    let failed = head.status.is_server_error();
+    let at = in_flight.replica().cloned();
+    in_flight.finish(!failed);
+    note_answered(core, request);
+    let took = request.arrived.elapsed();
+    core.metrics.note_first_event(&plan.service, took);
+    let result = if failed {
+        ResultCode::BackendError
+    } else {
+        ResultCode::Answered
+    };
+    core.metrics.note_answer(&plan.service, result.name());
+    count(
+        core,
+        request,
+        plan,
+        &progress.serving_region(core),
+        result,
+        Some(took),
+    );
+    core.log.write(
+        "answered",
+        serde_json::json!({"request": request.attempt, "content": request.content_text(),
+            "direct": request.is_direct(), "route": plan.route.name,
+            "status": head.status.as_u16(), "replica": at,
+            "took_ms": took.as_millis() as u64, "goal_ms": plan.route.goal.as_millis() as u64}),
+    );
+    let again = failed && plan.route.may_repeat() && head.status != StatusCode::GATEWAY_TIMEOUT;
+    Ok((build_response(&head, ResponseBody::whole(body)), !again))
+}
+
+/// Forwards a stream as it arrives, in a task of its own.
+pub(crate) fn start_stream(
+    core: &Rc<EntryCore>,
+    request: &Rc<ReceivedRequest>,
+    plan: &Rc<RequestPlan>,
+    progress: RequestProgress,
+    head: &ResponseHead,
+    in_flight: InFlightRequest,
+    guard: InFlightGuard,
+) -> Response<ResponseBody> {
+    let (sender, receiver) = mpsc::channel(STREAM_QUEUE);
+    let complete = Rc::new(Cell::new(false));
+    let relay = StreamRelay {
+        core: Rc::clone(core),
+        request: Rc::clone(request),
+        plan: Rc::clone(plan),
+        progress,
+        sender,
+        complete: Rc::clone(&complete),
+        guard,
+        first_event: None,
+        longest_pause: Duration::ZERO,
+        last_event_at: None,
+        events: 0,
+    };
+    let length = if plan.route.resumable {
+        None
+    } else {
+        head.length
+    };
+    tokio::task::spawn_local(relay.run(in_flight));
+    let body = StreamBody {
+        chunks: receiver,
+        length,
+        complete,
+    };
+    build_response(head, ResponseBody::Stream(body))
+}
--- a/crates/zinniahatch_entry/src/request/answer.rs
+++ b/crates/zinniahatch_entry/src/request/response_body.rs
@@ -1,4 +1,4 @@
-//! The body of an answer to a caller.
+//! The body of a response to a caller.
 
 use bytes::Bytes;
 use hyper::body::Body;
@@ -13,52 +13,55 @@
 use thiserror::Error;
 use tokio::sync::mpsc::Receiver;
 
-/// The stream ended early; the channel to the caller is broken off, so that the answer does not look complete.
+/// The stream ended early.
+///
+/// This error closes the connection to the caller, so that the response does not look complete.
 #[derive(Clone, Copy, Debug, Error)]
-#[error("the answer was cut off")]
-pub(crate) struct CutOff;
+#[error("the response was truncated")]
+pub(crate) struct TruncatedBody;
 
-/// A body that is passed on as it arrives.
+/// A body that is forwarded as it arrives.
 #[derive(Debug)]
 pub(crate) struct StreamBody {
-    pub(crate) pieces: Receiver<Bytes>,
-    /// Its length, where that is known.
+    pub(crate) chunks: Receiver<Bytes>,
+    /// Length of the body, if known.
     pub(crate) length: Option<u64>,
-    /// Whether the pieces that were sent are all. However else their sender ends, the answer is cut off.
-    pub(crate) whole: Rc<Cell<bool>>,
+    /// Whether the chunks sent so far form the complete body. If the sender is dropped while this
+    /// is false, the response is truncated.
+    pub(crate) complete: Rc<Cell<bool>>,
 }
 
-/// The body of an answer.
+/// The body of a response.
 #[derive(Debug)]
-pub(crate) enum AnswerBody {
-    /// A whole body, taken once.
+pub(crate) enum ResponseBody {
+    /// A complete body, which is taken once.
     Whole(Option<Bytes>),
-    /// A body that is passed on as it arrives.
+    /// A body that is forwarded as it arrives.
     Stream(StreamBody),
 }
 
-impl AnswerBody {
-    /// Makes a whole body.
+impl ResponseBody {
+    /// Creates a complete body.
     pub(crate) fn whole(bytes: impl Into<Bytes>) -> Self {
         let bytes = bytes.into();
         Self::Whole((!bytes.is_empty()).then_some(bytes))
     }
 }
 
-impl Body for AnswerBody {
+impl Body for ResponseBody {
     type Data = Bytes;
-    type Error = CutOff;
+    type Error = TruncatedBody;
 
     fn poll_frame(
         self: Pin<&mut Self>,
         context: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, CutOff>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, TruncatedBody>>> {
         match self.get_mut() {
             Self::Whole(bytes) => Poll::Ready(bytes.take().map(|bytes| Ok(Frame::data(bytes)))),
-            Self::Stream(body) => match ready!(body.pieces.poll_recv(context)) {
-                Some(piece) => Poll::Ready(Some(Ok(Frame::data(piece)))),
-                None if body.whole.get() => Poll::Ready(None),
-                None => Poll::Ready(Some(Err(CutOff))),
+            Self::Stream(body) => match ready!(body.chunks.poll_recv(context)) {
+                Some(chunk) => Poll::Ready(Some(Ok(Frame::data(chunk)))),
+                None if body.complete.get() => Poll::Ready(None),
+                None => Poll::Ready(Some(Err(TruncatedBody))),
             },
         }
     }
--- a/crates/zinniahatch_entry/src/request/resume.rs
+++ b/crates/zinniahatch_entry/src/request/resume.rs
@@ -1,59 +1,59 @@
-//! Going on with a broken stream at another replica.
+//! Resumes a broken stream at another replica.
 
 use crate::core::EntryCore;
 use crate::replicas::quarantine::await_verdict;
-use crate::request::call::SendFailure;
-use crate::request::open_call::OpenCall;
-use crate::request::placing::NextPlace;
-use crate::request::placing::next_place;
-use crate::request::placing::note_failure;
-use crate::request::placing::note_tried;
-use crate::request::placing::send_to;
-use crate::request::plan::CallCourse;
-use crate::request::plan::CallPlan;
-use crate::request::plan::MOST_CONNECTS;
-use crate::request::received::ReceivedCall;
+use crate::request::in_flight::InFlightRequest;
+use crate::request::placement::Placement;
+use crate::request::placement::choose_placement;
+use crate::request::placement::log_failure;
+use crate::request::placement::record_try;
+use crate::request::placement::send_to;
+use crate::request::plan::MAX_UNSENT_TRIES;
+use crate::request::plan::RequestPlan;
+use crate::request::plan::RequestProgress;
+use crate::request::received::ReceivedRequest;
+use crate::request::send::SendFailure;
 use std::rc::Rc;
 use tokio::time::timeout_at;
 use zinniahatch_base::prelude::*;
 
-/// Goes on with a broken stream at another replica, after the last event that the caller has.
+/// Resumes a broken stream at another replica, after the last event that the caller has.
 pub(crate) async fn resume(
     core: &Rc<EntryCore>,
-    call: &ReceivedCall,
-    plan: &CallPlan,
-    course: &mut CallCourse,
+    request: &ReceivedRequest,
+    plan: &RequestPlan,
+    progress: &mut RequestProgress,
     last_event: Option<&str>,
     reason: &str,
-) -> Option<OpenCall> {
+) -> Option<InFlightRequest> {
     loop {
-        if Instant::now() >= plan.deadline || course.connects >= MOST_CONNECTS {
+        if Instant::now() >= plan.deadline || progress.unsent_tries >= MAX_UNSENT_TRIES {
             return None;
         }
-        await_verdict(core, call).await;
-        let place = next_place(core, call, plan, course, false);
-        let refused = matches!(place, NextPlace::Refuse(..));
-        if refused || !plan.may_go_on(core, course, "resumed") {
+        await_verdict(core, request).await;
+        let placement = choose_placement(core, request, plan, progress, false);
+        let refused = matches!(placement, Placement::Refuse(..));
+        if refused || !plan.take_retry(core, progress, "resumed") {
             return None;
         }
         core.log.write(
             "resume",
-            serde_json::json!({"request": call.attempt, "after_event": last_event,
-                "reason": reason, "sends": course.sends}),
+            serde_json::json!({"request": request.attempt, "after_event": last_event,
+                "reason": reason, "sends": progress.sends}),
         );
-        note_tried(core, call, plan, course, &place);
-        let sending = send_to(core, call, plan, &place, last_event);
+        record_try(core, request, plan, progress, &placement);
+        let sending = send_to(core, request, plan, &placement, last_event);
         let sent = timeout_at(plan.deadline_tokio(), sending).await;
         match sent {
-            Ok(Ok((head, open))) if head.status.is_success() => {
-                course.sends += 1;
-                return Some(open);
+            Ok(Ok((head, in_flight))) if head.status.is_success() => {
+                progress.sends += 1;
+                return Some(in_flight);
             }
             Ok(Err(failure)) => {
-                note_failure(core, call, plan, course, &place, &failure);
-                course.connects += 1;
+                log_failure(core, request, plan, progress, &placement, &failure);
+                progress.unsent_tries += 1;
                 if matches!(failure, SendFailure::Unknown(_)) {
-                    course.sends += 1;
+                    progress.sends += 1;
                 }
             }
             _ => return None,
--- /dev/null
+++ b/crates/zinniahatch_entry/src/request/send.rs
@@ -0,0 +1,352 @@
+//! Sends a request to a replica or to another node.
+
+use crate::core::EntryCore;
+use crate::replicas::gate::claim_send;
+use crate::replicas::gate::permit_send;
+use crate::replicas::notice::hear_answer;
+use crate::replicas::quarantine::await_hold;
+use crate::replicas::quarantine::hold_left;
+use crate::replicas::replica_check::note_break;
+use crate::request::connection::ResponseHead;
+use crate::request::gateway_response::gateway_code;
+use crate::request::gateway_response::reports_not_run;
+use crate::request::gateway_response::retry_hint;
+use crate::request::in_flight::AssignedWork;
+use crate::request::in_flight::InFlightRequest;
+use crate::request::plan::RequestPlan;
+use crate::request::pool::PoolError;
+use crate::request::received::ReceivedRequest;
+use crate::who::identity::still_counts;
+use http::StatusCode;
+use std::rc::Rc;
+use zinniahatch_base::prelude::*;
+use zinniahatch_platform::CallHeaders;
+use zinniahatch_platform::write_call;
+use zinniahatch_platform::write_forward;
+use zinniahatch_route::AwayChoice;
+use zinniahatch_route::LeaveReason;
+use zinniahatch_route::LocalChoice;
+use zinniahatch_route::OpenWork;
+use zinniahatch_route::SendPermit;
+use zinniahatch_route::Withheld;
+
+/// Header of a forwarded request: version of the desired state by which the sending node chose.
+pub(crate) const HOP_VERSION: &str = "zinnia-version";
+/// Header of a forwarded request: the chosen service.
+pub(crate) const HOP_SERVICE: &str = "zinnia-service";
+/// Header of a forwarded request: the client account it is served for.
+pub(crate) const HOP_ACCOUNT: &str = "zinnia-account";
+/// Header of a forwarded request: digest of the API key by which the account was found.
+pub(crate) const HOP_KEY: &str = "zinnia-key";
+/// Header of a forwarded request: milliseconds spent on it so far.
+pub(crate) const HOP_SPENT: &str = "zinnia-spent-ms";
+/// Maximum number of connections to one other node.
+const MAX_PEER_CONNECTIONS: usize = 500;
+
+/// Why a request got no response.
+#[derive(Clone, Debug, PartialEq)]
+pub(crate) enum SendFailure {
+    /// Nothing was sent.
+    NotSent(Box<str>),
+    /// The other side guarantees that it did not run the request. May carry a retry hint.
+    NotRun(Option<Duration>),
+    /// A different replica answers at the address. It did not run the request.
+    WrongReplica,
+    /// The caller's API key has been revoked, so the request was not sent.
+    KeyRevoked,
+    /// Replicas ended while running the request, so it was not sent. It stays quarantined for the
+    /// given time.
+    Quarantined(Duration),
+    /// The request may have run.
+    Unknown(Box<str>),
+}
+
+/// A forwarded request whose response has not begun.
+///
+/// Dropping it records that this node gave up waiting.
+struct PendingForward<'a> {
+    core: &'a EntryCore,
+    region: &'a RegionId,
+    ticket: u64,
+}
+
+impl<'a> PendingForward<'a> {
+    fn new(core: &'a EntryCore, region: &'a RegionId) -> Self {
+        let ticket = core.next_ticket();
+        let mut paths = core.region_paths.borrow_mut();
+        paths.note_sent(region, ticket, Instant::now());
+        Self {
+            core,
+            region,
+            ticket,
+        }
+    }
+
+    fn note_response(&self) {
+        let mut paths = self.core.region_paths.borrow_mut();
+        paths.note_answer(self.region, self.ticket, Instant::now());
+    }
+}
+
+impl Drop for PendingForward<'_> {
+    fn drop(&mut self) {
+        let mut paths = self.core.region_paths.borrow_mut();
+        paths.note_given_up(self.region, self.ticket);
+    }
+}
+
+/// Sends a request to a replica of this region and reads the head of the response.
+pub(crate) async fn send_local(
+    core: &Rc<EntryCore>,
+    request: &ReceivedRequest,
+    plan: &RequestPlan,
+    choice: &LocalChoice,
+    last_event: Option<&str>,
+) -> Result<(ResponseHead, InFlightRequest), SendFailure> {
+    let now = Instant::now();
+    let claim = claim_send(core, &choice.replica, now).map_err(not_sent)?;
+    let address = claim.address();
+    let copy_from = {
+        let replicas = core.replicas.borrow();
+        let source = choice.copy_from.as_ref().and_then(|id| replicas.get(id));
+        source.map(|source| source.entry.address)
+    };
+    let mut in_flight = InFlightRequest::new(core, address, &plan.service);
+    in_flight.assigned = Some(assign(core, request, plan, choice, now));
+    let limit = core.connection_share(&plan.service);
+    let connection = match core.pool.acquire(address, limit, now).await {
+        Ok(connection) => connection,
+        Err(error) => return Err(connect_failure(core, &in_flight, &error)),
+    };
+    let headers = plan.upstream_headers(request);
+    let head = write_call(
+        &request.method,
+        &request.path,
+        &headers,
+        &CallHeaders {
+            time_left: plan.deadline.saturating_duration_since(Instant::now()),
+            replica: &choice.replica,
+            rank: plan.rank,
+            account: plan.account_name(),
+            last_event,
+            copy_from,
+        },
+        request.body.len(),
+    );
+    let used = connection.was_used();
+    in_flight.connection = Some(connection);
+    // The key may have been revoked while the request waited for the connection.
+    if !still_counts(core, plan.identity.as_ref()) {
+        return Err(SendFailure::KeyRevoked);
+    }
+    if let Some(left) = hold_left(core, request) {
+        return Err(SendFailure::Quarantined(left));
+    }
+    let permit = match permit_send(core, claim) {
+        Ok(permit) => permit,
+        Err(withheld) => {
+            in_flight.return_connection();
+            return Err(not_sent(withheld));
+        }
+    };
+    let exchanged = tokio::select! {
+        biased;
+        exchanged = in_flight.exchange(permit, request, &head) => exchanged,
+        // The request is still in the replica's queue and would end yet another replica if it ran
+        // there. Replicas discard queued requests whose connection closes.
+        () = await_hold(core, request) => {
+            return Err(SendFailure::Unknown("quarantined while queued at the replica".into()));
+        }
+    };
+    match exchanged {
+        Ok(head) => classify_response(core, request, choice, head, in_flight),
+        Err(error) => {
+            // A break of a reused connection says little about the replica, which may have closed
+            // it as idle.
+            if !used {
+                in_flight.record_failure();
+            }
+            note_break(core, request, &in_flight, &error.to_string()).await;
+            core.pool.close_idle(address);
+            Err(SendFailure::Unknown(error.to_string().into()))
+        }
+    }
+}
+
+fn not_sent(withheld: Withheld) -> SendFailure {
+    SendFailure::NotSent(format!("withheld: {}", withheld.name()).into())
+}
+
+fn assign(
+    core: &Rc<EntryCore>,
+    request: &ReceivedRequest,
+    plan: &RequestPlan,
+    choice: &LocalChoice,
+    now: Instant,
+) -> AssignedWork {
+    let ticket = core.next_ticket();
+    let mut replicas = core.replicas.borrow_mut();
+    let ahead = replicas
+        .get(&choice.replica)
+        .map_or(0, |belief| belief.all_work(now).ahead(plan.urgent));
+    let work = OpenWork {
+        requests: 1,
+        tokens: choice.tokens,
+        urgent_requests: u32::from(plan.urgent),
+        urgent_tokens: if plan.urgent { choice.tokens } else { 0 },
+    };
+    replicas.note_sent(
+        &choice.replica,
+        ticket,
+        &request.size,
+        work,
+        plan.spec.kv_tokens,
+        now,
+    );
+    core.work_changed.notify_one();
+    AssignedWork {
+        replica: choice.replica.clone(),
+        ticket,
+        work,
+        ahead,
+        queue: choice.queue,
+        urgent: plan.urgent,
+        cold: choice.cold,
+        response_began: false,
+    }
+}
+
+fn connect_failure(
+    core: &EntryCore,
+    in_flight: &InFlightRequest,
+    error: &PoolError,
+) -> SendFailure {
+    match error {
+        PoolError::Full => {
+            SendFailure::NotSent("this node's share of the connections is in use".into())
+        }
+        PoolError::Unreached(error) => {
+            let now = Instant::now();
+            in_flight.update_replica(|belief| belief.health.note_unreachable(now));
+            core.log.write(
+                "replica-unreached",
+                serde_json::json!({"replica": in_flight.replica(), "error": error.to_string()}),
+            );
+            SendFailure::NotSent(error.to_string().into())
+        }
+    }
+}
+
+/// Separates response heads that guarantee that the request did not run from all others.
+fn classify_response(
+    core: &Rc<EntryCore>,
+    request: &ReceivedRequest,
+    choice: &LocalChoice,
+    head: ResponseHead,
+    in_flight: InFlightRequest,
+) -> Result<(ResponseHead, InFlightRequest), SendFailure> {
+    let now = Instant::now();
+    hear_answer(core, request, &in_flight, &head);
+    if head.status == StatusCode::MISDIRECTED_REQUEST {
+        in_flight.update_replica(|belief| belief.leaving = Some(LeaveReason::Replaced));
+        core.log.write(
+            "replica-replaced",
+            serde_json::json!({"replica": choice.replica,
+                "answered_by": head.parsed_headers.replica}),
+        );
+        return Err(SendFailure::WrongReplica);
+    }
+    in_flight.update_replica(|belief| belief.health.note_heard(now));
+    if head.parsed_headers.not_run {
+        // The `Retry-After` of a 503 concerns this replica only. Others may be free.
+        let refused = head.status == StatusCode::SERVICE_UNAVAILABLE;
+        let hint = retry_hint(&head.headers).filter(|_| !refused);
+        if head.status == StatusCode::BAD_REQUEST {
+            return Ok((head, in_flight));
+        }
+        return Err(SendFailure::NotRun(hint));
+    }
+    Ok((head, in_flight))
+}
+
+/// Forwards a request to a node of another region and reads the head of the response.
+pub(crate) async fn forward(
+    core: &Rc<EntryCore>,
+    request: &ReceivedRequest,
+    plan: &RequestPlan,
+    choice: &AwayChoice,
+    last_event: Option<&str>,
+) -> Result<(ResponseHead, InFlightRequest), SendFailure> {
+    let now = Instant::now();
+    let permit = core.members.borrow().permit(&choice.node);
+    let permit = permit.ok_or_else(|| SendFailure::NotSent("the node is gone".into()))?;
+    let address = permit.address();
+    let mut in_flight = InFlightRequest::new(core, address, &plan.service);
+    let connection = match core.pool.acquire(address, MAX_PEER_CONNECTIONS, now).await {
+        Ok(connection) => connection,
+        Err(error) => {
+            core.members
+                .borrow_mut()
+                .note_unreachable(&choice.node, now);
+            return Err(SendFailure::NotSent(format!("{error:?}").into()));
+        }
+    };
+    if !still_counts(core, plan.identity.as_ref()) {
+        core.pool.release(address, connection, now);
+        return Err(SendFailure::KeyRevoked);
+    }
+    let spent = now.saturating_duration_since(request.arrived);
+    let mut hop_headers: Vec<(&'static str, Box<str>)> = vec![
+        (HOP_VERSION, plan.version.to_string().into()),
+        (HOP_SERVICE, plan.service.clone()),
+        (HOP_SPENT, spent.as_millis().to_string().into()),
+    ];
+    if let Some(identity) = &plan.identity {
+        hop_headers.push((HOP_ACCOUNT, identity.account.name.clone()));
+        hop_headers.push((HOP_KEY, identity.key.hex()));
+    }
+    let headers = plan.upstream_headers(request);
+    let head = write_forward(
+        &request.method,
+        &request.path,
+        &headers,
+        plan.deadline.saturating_duration_since(Instant::now()),
+        last_event,
+        &hop_headers,
+        request.body.len(),
+    );
+    in_flight.connection = Some(connection);
+    let pending = PendingForward::new(core, &choice.region);
+    let response = in_flight.exchange(permit, request, &head).await;
+    if response.is_ok() {
+        pending.note_response();
+    }
+    let head = match response {
+        Ok(head) => head,
+        Err(error) => {
+            core.pool.close_idle(address);
+            return Err(SendFailure::Unknown(error.to_string().into()));
+        }
+    };
+    if gateway_code(&head.headers).is_none() {
+        return Ok((head, in_flight));
+    }
+    let hint = retry_hint(&head.headers);
+    let not_run = reports_not_run(&head.headers);
+    // The short body is read so that the connection can be reused.
+    if in_flight.read_whole().await.is_ok() {
+        in_flight.finish(true);
+    }
+    if not_run && gateway_code(&head.headers) == Some(ResultCode::RequestQuarantined.number()) {
+        return Err(SendFailure::Quarantined(hint.unwrap_or_default()));
+    }
+    if not_run && gateway_code(&head.headers) == Some(ResultCode::BadCredential.number()) {
+        return Err(SendFailure::KeyRevoked);
+    }
+    if not_run {
+        return Err(SendFailure::NotRun(hint));
+    }
+    Err(SendFailure::Unknown(
+        "outcome unknown to the other node".into(),
+    ))
+}
