--- a/crates/zinniahatch_entry/src/request/serve.rs
+++ b/crates/zinniahatch_entry/src/request/serve.rs
@@ -1,29 +1,29 @@
-//! The way of a request: planned, tried until it is answered or there is nothing left to try.
+//! Serves a request: plans it, then tries it until there is a response or nothing left to try.
 
 use crate::core::EntryCore;
 use crate::replicas::quarantine::await_verdict;
-use crate::request::answer::AnswerBody;
-use crate::request::answering::finish_whole;
-use crate::request::answering::refuse;
-use crate::request::answering::start_stream;
-use crate::request::call::SendFailure;
-use crate::request::channel::AnswerHead;
-use crate::request::open_call::OpenCall;
-use crate::request::placing::NO_BACKEND_RETRY;
-use crate::request::placing::NextPlace;
-use crate::request::placing::next_place;
-use crate::request::placing::note_failure;
-use crate::request::placing::note_tried;
-use crate::request::placing::send_to;
-use crate::request::placing::turned_away_for;
-use crate::request::plan::CallCount;
-use crate::request::plan::CallCourse;
-use crate::request::plan::CallPlan;
-use crate::request::plan::MOST_CONNECTS;
-use crate::request::received::ReceivedCall;
-use crate::request::refusal::own_answer;
-use crate::request::starting::await_members;
-use crate::request::starting::await_rules;
+use crate::request::connection::ResponseHead;
+use crate::request::gateway_response::gateway_response;
+use crate::request::in_flight::InFlightRequest;
+use crate::request::placement::NO_BACKEND_RETRY;
+use crate::request::placement::Placement;
+use crate::request::placement::choose_placement;
+use crate::request::placement::log_failure;
+use crate::request::placement::record_try;
+use crate::request::placement::retry_after_refusal;
+use crate::request::placement::send_to;
+use crate::request::plan::InFlightGuard;
+use crate::request::plan::MAX_UNSENT_TRIES;
+use crate::request::plan::RequestPlan;
+use crate::request::plan::RequestProgress;
+use crate::request::received::ReceivedRequest;
+use crate::request::response::buffer_response;
+use crate::request::response::refuse;
+use crate::request::response::start_stream;
+use crate::request::response_body::ResponseBody;
+use crate::request::send::SendFailure;
+use crate::request::startup::wait_for_members;
+use crate::request::startup::wait_for_state;
 use crate::who::allowances::TakenUnits;
 use crate::who::allowances::take_units;
 use http::Response;
@@ -32,212 +32,229 @@
 use zinniahatch_base::prelude::*;
 use zinniahatch_route::RepeatKind;
 
-/// Time that a caller is told to wait where this node does not know the desired state. A start takes
-/// a few ms beside the store and 0.4 s from another region; where it takes longer, the store is away.
+/// Retry time given to callers when this node does not know the desired state. A start takes a few
+/// ms if the store is in the same region and 0.4 s if it is in another. If it takes longer, the
+/// store is unavailable.
 const STARTING_RETRY: Duration = Duration::from_millis(600);
-const AWAY_RETRY: Duration = Duration::from_secs(2);
-/// The same where this node cannot show that its keys are good; most others can, and callers draw one anew.
-const PROOF_RETRY: Duration = Duration::from_millis(300);
+const STORE_DOWN_RETRY: Duration = Duration::from_secs(2);
+/// Retry time when this node cannot prove that its keys are current. Most other nodes can, and
+/// callers pick a node anew for each try.
+const UNPROVEN_KEYS_RETRY: Duration = Duration::from_millis(300);
 
-/// Why a request is given up, and when to come back.
-type GivenUp = (ResultCode, Option<Duration>);
+/// Why a request is given up, and the retry time.
+type Refusal = (ResultCode, Option<Duration>);
 
 /// Serves a request.
-pub(crate) async fn serve(core: &Rc<EntryCore>, call: ReceivedCall) -> Response<AnswerBody> {
-    await_rules(core, &call).await;
-    let plan = match CallPlan::new(core, &call) {
+pub(crate) async fn serve(
+    core: &Rc<EntryCore>,
+    request: ReceivedRequest,
+) -> Response<ResponseBody> {
+    wait_for_state(core, &request).await;
+    let plan = match RequestPlan::new(core, &request) {
         Ok(plan) => Rc::new(plan),
-        Err(code) => return unrouted(core, &call, code),
+        Err(code) => return refuse_unrouted(core, &request, code),
     };
-    core.with_budget(&plan.service, |budget| {
-        if call.is_direct() {
+    core.with_retry_budget(&plan.service, |budget| {
+        if request.is_direct() {
             budget.note_first(Instant::now());
         }
     });
-    let mut runner = TryRunner {
+    let mut runner = RequestRunner {
         core,
-        call: Rc::new(call),
+        request: Rc::new(request),
         plan,
-        course: CallCourse::default(),
-        spare: None,
+        progress: RequestProgress::default(),
+        fallback: None,
         units: None,
     };
-    let guard = CallCount::new(core);
+    let guard = InFlightGuard::new(core);
     match runner.run(guard).await {
-        Ok(answer) => answer,
+        Ok(response) => response,
         Err((code, retry)) => refuse(
             core,
-            &runner.call,
+            &runner.request,
             &runner.plan,
-            &runner.course,
+            &runner.progress,
             code,
             retry,
         ),
     }
 }
 
-fn unrouted(core: &EntryCore, call: &ReceivedCall, code: ResultCode) -> Response<AnswerBody> {
+fn refuse_unrouted(
+    core: &EntryCore,
+    request: &ReceivedRequest,
+    code: ResultCode,
+) -> Response<ResponseBody> {
     const UNAVAILABLE: u16 = 503;
     core.metrics.note_answer("", code.name());
     core.log.write(
         "unrouted",
-        serde_json::json!({"request": call.attempt, "result": code.number(),
+        serde_json::json!({"request": request.attempt, "result": code.number(),
             "version": core.version()}),
     );
     let after = if code == ResultCode::KeysUnproven {
-        PROOF_RETRY
+        UNPROVEN_KEYS_RETRY
     } else if core.started.elapsed() < STARTING_RETRY {
         STARTING_RETRY
     } else {
-        AWAY_RETRY
+        STORE_DOWN_RETRY
     };
-    let left = call.time_left.unwrap_or(after * 3);
+    let left = request.time_left.unwrap_or(after * 3);
     let retry = (code.status() == UNAVAILABLE).then(|| after.min(left / 3));
-    own_answer(code, Some(&call.attempt), retry)
+    gateway_response(code, Some(&request.attempt), retry)
 }
 
-/// One request on its way.
-struct TryRunner<'a> {
+/// The tries of one request.
+struct RequestRunner<'a> {
     core: &'a Rc<EntryCore>,
-    call: Rc<ReceivedCall>,
-    plan: Rc<CallPlan>,
-    course: CallCourse,
-    /// A failure that a replica answered with, given out where no other try does better.
-    spare: Option<Response<AnswerBody>>,
-    /// What it takes of its account's allowance.
+    request: Rc<ReceivedRequest>,
+    plan: Rc<RequestPlan>,
+    progress: RequestProgress,
+    /// A replica's error response, returned if no other try does better.
+    fallback: Option<Response<ResponseBody>>,
+    /// The units taken from the account's allowance.
     units: Option<TakenUnits>,
 }
 
-/// What came of one try.
+/// Result of one try.
 enum TryOutcome {
-    /// The final answer.
-    Answered(Response<AnswerBody>),
+    /// The final response.
+    Answered(Response<ResponseBody>),
     /// Another try follows.
     Again,
     /// The try failed.
     Failed(SendFailure),
 }
 
-impl TryRunner<'_> {
-    async fn run(&mut self, guard: CallCount) -> Result<Response<AnswerBody>, GivenUp> {
+impl RequestRunner<'_> {
+    async fn run(&mut self, guard: InFlightGuard) -> Result<Response<ResponseBody>, Refusal> {
         let mut guard = Some(guard);
-        match take_units(self.core, &self.call, &self.plan) {
+        match take_units(self.core, &self.request, &self.plan) {
             Ok(units) => self.units = units,
-            // Coming back sooner would be in vain, so that the caller hears the whole.
+            // An earlier retry would be refused again, so the time is not capped.
             Err(after) => return Err((ResultCode::OverAllowance, Some(after))),
         }
         loop {
-            let (core, call) = (self.core, &self.call);
-            await_verdict(core, call).await;
-            let first = self.course.sends == 0;
-            let place = next_place(core, call, &self.plan, &self.course, first);
-            if matches!(place, NextPlace::Refuse(ResultCode::NoBackend, _))
+            let (core, request) = (self.core, &self.request);
+            await_verdict(core, request).await;
+            let first = self.progress.sends == 0;
+            let placement = choose_placement(core, request, &self.plan, &self.progress, first);
+            if matches!(placement, Placement::Refuse(ResultCode::NoBackend, _))
                 && first
-                && await_members(core, call).await
+                && wait_for_members(core, request).await
             {
                 continue;
             }
-            if let NextPlace::Refuse(code, after) = place {
+            if let Placement::Refuse(code, after) = placement {
                 return self.give_up(self.refusal(code, after));
             }
-            note_tried(core, call, &self.plan, &mut self.course, &place);
-            self.note_units(true);
-            let failure = match self.try_once(&place, &mut guard).await {
-                TryOutcome::Answered(answer) => return Ok(answer),
+            record_try(core, request, &self.plan, &mut self.progress, &placement);
+            self.mark_units_used(true);
+            let failure = match self.run_try(&placement, &mut guard).await {
+                TryOutcome::Answered(response) => return Ok(response),
                 TryOutcome::Again => continue,
                 TryOutcome::Failed(failure) => failure,
             };
-            let outcome = self.take_failure(&place, failure);
-            self.note_units(self.course.maybe_ran);
-            if let Err(given_up) = outcome {
-                return self.give_up(given_up);
+            let outcome = self.handle_failure(&placement, failure);
+            self.mark_units_used(self.progress.may_have_run);
+            if let Err(refused) = outcome {
+                return self.give_up(refused);
             }
         }
     }
 
-    /// Notes whether a replica may run the request, or may have run it.
-    fn note_units(&mut self, used: bool) {
+    /// Records whether a replica may run, or may have run, the request.
+    fn mark_units_used(&mut self, used: bool) {
         if let Some(units) = &mut self.units {
             units.used = used;
         }
     }
 
-    /// Gives a refusal with the time to come back.
-    fn refusal(&self, code: ResultCode, after: Duration) -> GivenUp {
-        let hint = self.course.retry_hint;
+    /// Returns a refusal with its retry time.
+    fn refusal(&self, code: ResultCode, after: Duration) -> Refusal {
+        let hint = self.progress.retry_hint;
         match code {
-            // Coming back sooner would be in vain, so that the caller hears the whole.
+            // An earlier retry would be refused again, so the time is not capped.
             ResultCode::RequestQuarantined => (code, Some(after)),
             ResultCode::ReplicasLimited | ResultCode::ReplicasResting => {
                 (code, Some(hint.map_or(after, |hint| hint.min(after))))
             }
-            _ => (code, Some(self.plan.cap_retry(hint.unwrap_or(after)))),
+            _ => (code, Some(self.plan.cap_retry_after(hint.unwrap_or(after)))),
         }
     }
 
-    /// Ends with a replica's own failure where there is one, else with ours.
-    fn give_up(&mut self, given_up: GivenUp) -> Result<Response<AnswerBody>, GivenUp> {
-        self.spare.take().ok_or(given_up)
+    /// Ends with a replica's own error response if there is one, otherwise with the refusal.
+    fn give_up(&mut self, refused: Refusal) -> Result<Response<ResponseBody>, Refusal> {
+        self.fallback.take().ok_or(refused)
     }
 
-    async fn try_once(&mut self, place: &NextPlace, guard: &mut Option<CallCount>) -> TryOutcome {
-        let limit = self.plan.try_limit(&self.course, place.expected());
-        let last_event = self.call.last_event.as_deref();
-        let sending = send_to(self.core, &self.call, &self.plan, place, last_event);
+    async fn run_try(
+        &mut self,
+        placement: &Placement,
+        guard: &mut Option<InFlightGuard>,
+    ) -> TryOutcome {
+        let limit = self.plan.try_deadline(&self.progress, placement.expected());
+        let last_event = self.request.last_event.as_deref();
+        let sending = send_to(self.core, &self.request, &self.plan, placement, last_event);
         match timeout_at(limit.into(), sending).await {
-            Ok(Ok((head, open))) => {
-                self.course.sends += 1;
-                self.take_answer(head, open, limit, guard).await
+            Ok(Ok((head, in_flight))) => {
+                self.progress.sends += 1;
+                self.handle_response(head, in_flight, limit, guard).await
             }
             Ok(Err(failure)) => {
                 if matches!(failure, SendFailure::NotRun(_) | SendFailure::Unknown(_)) {
-                    self.course.sends += 1;
+                    self.progress.sends += 1;
                 }
                 TryOutcome::Failed(failure)
             }
             Err(_) => {
-                self.course.sends += 1;
-                TryOutcome::Failed(SendFailure::Unknown("no answer in time".into()))
+                self.progress.sends += 1;
+                TryOutcome::Failed(SendFailure::Unknown("no response in time".into()))
             }
         }
     }
 
-    async fn take_answer(
+    async fn handle_response(
         &mut self,
-        head: AnswerHead,
-        open: OpenCall,
+        head: ResponseHead,
+        in_flight: InFlightRequest,
         limit: Instant,
-        guard: &mut Option<CallCount>,
+        guard: &mut Option<InFlightGuard>,
     ) -> TryOutcome {
-        let (core, call, plan) = (self.core, &self.call, &self.plan);
+        let (core, request, plan) = (self.core, &self.request, &self.plan);
         if plan.route.repeat == RepeatKind::Streaming
             && head.status.is_success()
             && let Some(guard) = guard.take()
         {
-            let course = std::mem::take(&mut self.course);
-            let answer = start_stream(core, call, plan, course, &head, open, guard);
-            return TryOutcome::Answered(answer);
+            let progress = std::mem::take(&mut self.progress);
+            let response = start_stream(core, request, plan, progress, &head, in_flight, guard);
+            return TryOutcome::Answered(response);
         }
-        match finish_whole(core, call, plan, &self.course, limit, head, open).await {
-            Ok((answer, good)) if good || !plan.may_go_on(core, &self.course, "status") => {
-                TryOutcome::Answered(answer)
+        match buffer_response(core, request, plan, &self.progress, limit, head, in_flight).await {
+            Ok((response, good)) if good || !plan.take_retry(core, &self.progress, "status") => {
+                TryOutcome::Answered(response)
             }
-            Ok((answer, _)) => {
-                self.course.maybe_ran = true;
-                self.spare = Some(answer);
+            Ok((response, _)) => {
+                self.progress.may_have_run = true;
+                self.fallback = Some(response);
                 TryOutcome::Again
             }
             Err(reason) => TryOutcome::Failed(SendFailure::Unknown(reason)),
         }
     }
 
-    /// Notes a failed try and tells whether another may follow.
-    fn take_failure(&mut self, place: &NextPlace, failure: SendFailure) -> Result<(), GivenUp> {
-        let (core, call, plan) = (self.core, &self.call, &self.plan);
-        note_failure(core, call, plan, &self.course, place, &failure);
-        self.course.maybe_ran |= matches!(failure, SendFailure::Unknown(_));
+    /// Records a failed try and returns whether another may follow.
+    fn handle_failure(
+        &mut self,
+        placement: &Placement,
+        failure: SendFailure,
+    ) -> Result<(), Refusal> {
+        let (core, request, plan) = (self.core, &self.request, &self.plan);
+        log_failure(core, request, plan, &self.progress, placement, &failure);
+        self.progress.may_have_run |= matches!(failure, SendFailure::Unknown(_));
         if Instant::now() >= plan.deadline {
-            let code = if self.course.maybe_ran {
+            let code = if self.progress.may_have_run {
                 ResultCode::DeadlineRunning
             } else {
                 ResultCode::DeadlinePassed
@@ -245,20 +262,21 @@
             return Err((code, None));
         }
         match failure {
-            SendFailure::NotSent(_) => self.take_miss(true),
+            SendFailure::NotSent(_) => self.handle_unsent(true),
             SendFailure::KeyRevoked => Err((ResultCode::BadCredential, None)),
             SendFailure::Quarantined(left) => {
                 Err(self.refusal(ResultCode::RequestQuarantined, left))
             }
             SendFailure::WrongReplica => {
-                // It arrived somewhere, so another try is a repeat: where many addresses are used
-                // again at once, free tries would pass the bound of all nodes.
-                let granted = plan.may_go_on(core, &self.course, "replaced");
-                self.take_miss(granted)
+                // The request reached some replica, so another try counts as a retry. If many
+                // addresses were reassigned at once, uncounted tries would exceed the retry limit
+                // over all nodes.
+                let granted = plan.take_retry(core, &self.progress, "replaced");
+                self.handle_unsent(granted)
             }
-            SendFailure::NotRun(hint) => self.take_refusal(place, hint),
+            SendFailure::NotRun(hint) => self.handle_not_run(placement, hint),
             SendFailure::Unknown(_) => {
-                if plan.route.may_repeat() && plan.may_go_on(core, &self.course, "broken") {
+                if plan.route.may_repeat() && plan.take_retry(core, &self.progress, "broken") {
                     return Ok(());
                 }
                 Err((ResultCode::OutcomeUnknown, None))
@@ -266,29 +284,34 @@
         }
     }
 
-    /// Notes a try that ran nowhere; `granted` tells whether another is within the budget.
-    fn take_miss(&mut self, granted: bool) -> Result<(), GivenUp> {
-        self.course.connects += 1;
-        if granted && self.course.connects < MOST_CONNECTS {
+    /// Records a try that ran nowhere. `granted` tells whether another is within the budget.
+    fn handle_unsent(&mut self, granted: bool) -> Result<(), Refusal> {
+        self.progress.unsent_tries += 1;
+        if granted && self.progress.unsent_tries < MAX_UNSENT_TRIES {
             return Ok(());
         }
-        let after = self.plan.cap_retry(NO_BACKEND_RETRY);
+        let after = self.plan.cap_retry_after(NO_BACKEND_RETRY);
         Err((ResultCode::NoBackend, Some(after)))
     }
 
-    fn take_refusal(&mut self, place: &NextPlace, hint: Option<Duration>) -> Result<(), GivenUp> {
-        if let NextPlace::Away(choice) = place {
-            self.course.retry_hint = hint.or(self.course.retry_hint);
-            // A refusal of another node cost no replica anything.
-            self.course.away.regions.insert(choice.region.clone());
-            self.course.sends -= 1;
+    fn handle_not_run(
+        &mut self,
+        placement: &Placement,
+        hint: Option<Duration>,
+    ) -> Result<(), Refusal> {
+        if let Placement::Remote(choice) = placement {
+            self.progress.retry_hint = hint.or(self.progress.retry_hint);
+            // A refusal by another node cost no replica any work.
+            self.progress.away.regions.insert(choice.region.clone());
+            self.progress.sends -= 1;
             return Ok(());
         }
-        if self.plan.may_go_on(self.core, &self.course, "refused") {
+        if self.plan.take_retry(self.core, &self.progress, "refused") {
             return Ok(());
         }
-        let held = turned_away_for(self.core, &self.call, &self.plan);
-        let after = held.unwrap_or_else(|| self.plan.cap_retry(hint.unwrap_or(NO_BACKEND_RETRY)));
+        let retry = retry_after_refusal(self.core, &self.request, &self.plan);
+        let after =
+            retry.unwrap_or_else(|| self.plan.cap_retry_after(hint.unwrap_or(NO_BACKEND_RETRY)));
         Err((ResultCode::BackendRefused, Some(after)))
     }
 }
--- a/crates/zinniahatch_entry/src/run.rs
+++ b/crates/zinniahatch_entry/src/run.rs
@@ -6,6 +6,9 @@
 use crate::counts::counting::run_merging;
 use crate::counts::counting::run_sealing;
 use crate::counts::counting::settle;
+use crate::listeners::ListenerKind;
+use crate::listeners::bind;
+use crate::listeners::run_listener;
 use crate::metrics::EntryMetrics;
 use crate::nodes::catch_up::run_catch_up;
 use crate::nodes::gossip::run_gossip;
@@ -14,10 +17,7 @@
 use crate::replicas::probe::run_probes;
 use crate::replicas::quarantine::review;
 use crate::replicas::rate_limit::share_limits;
-use crate::request::ingress::CallerSide;
-use crate::services::ListenerDuty;
-use crate::services::bind;
-use crate::services::run_listener;
+use crate::request::ingress::RequestSource;
 use crate::store::membership::run_membership;
 use crate::store::quarantine_keys::run_key_reader;
 use crate::store::quarantine_keys::run_key_writer;
@@ -139,12 +139,16 @@
         (
             "front",
             listen.front,
-            ListenerDuty::Calls(CallerSide::Front),
+            ListenerKind::Calls(RequestSource::Front),
         ),
-        ("peer", listen.peer, ListenerDuty::Calls(CallerSide::Peer)),
-        ("directory", listen.directory, ListenerDuty::Directory),
-        ("readiness", listen.readiness, ListenerDuty::Readiness),
-        ("control", listen.control, ListenerDuty::Control),
+        (
+            "peer",
+            listen.peer,
+            ListenerKind::Calls(RequestSource::Peer),
+        ),
+        ("directory", listen.directory, ListenerKind::Directory),
+        ("readiness", listen.readiness, ListenerKind::Readiness),
+        ("control", listen.control, ListenerKind::Control),
     ];
     for (key, address, duty) in duties {
         let listener = bind(address).map_err(|error| EntryError::Listen {
@@ -193,7 +197,7 @@
         let now = Instant::now();
         let dropped = core.replicas.borrow_mut().tick(now);
         for replica in dropped {
-            core.gate.borrow_mut().forget(&replica);
+            core.cold_limiter.borrow_mut().forget(&replica);
             core.log
                 .write("replica-dropped", serde_json::json!({"replica": replica}));
         }
@@ -208,7 +212,7 @@
                 .write("member-gone", serde_json::json!({"member": card.node}));
             note_death(&core, &card.node, card.incarnation);
         }
-        core.pool.tick(now);
+        core.pool.evict_idle(now);
         share_limits(&core, now);
         count_notices(&core);
         core.suspects.borrow_mut().tick(now);
@@ -265,7 +269,7 @@
     let last = began + core.settings.bounds.grace.saturating_sub(EXIT_TIME);
     core.log.write(
         "stop",
-        serde_json::json!({"open_calls": core.open_calls.get()}),
+        serde_json::json!({"open_calls": core.in_flight_count.get()}),
     );
     core.phase.send_replace(StopPhase::Leaving);
     if let Ok(socket) = UdpSocket::bind("0.0.0.0:0").await {
@@ -276,14 +280,14 @@
     serve_alone(core, began).await;
     core.phase.send_replace(StopPhase::Closing);
     sleep(DRAIN_LOOK * 2).await;
-    while core.open_calls.get() > 0 && Instant::now() < last {
+    while core.in_flight_count.get() > 0 && Instant::now() < last {
         sleep(DRAIN_LOOK).await;
     }
     // What cannot be handed over in time is named as a gap in the report.
     let _ = timeout(SETTLE_TIME, settle(core)).await;
     core.log.write(
         "stopped",
-        serde_json::json!({"open_calls": core.open_calls.get(),
+        serde_json::json!({"open_calls": core.in_flight_count.get(),
             "took_ms": began.elapsed().as_millis() as u64}),
     );
     sleep(DRAIN_LOOK).await;
--- a/crates/zinniahatch_entry/src/store/membership.rs
+++ b/crates/zinniahatch_entry/src/store/membership.rs
@@ -108,7 +108,7 @@
         contacts.note(address, Some(&region));
     }
     drop(contacts);
-    core.note_looked();
+    core.mark_members_read();
     Ok(())
 }
 
--- a/crates/zinniahatch_entry/src/store/news.rs
+++ b/crates/zinniahatch_entry/src/store/news.rs
@@ -55,7 +55,7 @@
             for (entry, change) in changes {
                 note_change(core, &entry, change);
             }
-            core.note_listed();
+            core.mark_replicas_listed();
         }
         WatchTopic::Preset => {}
     }
@@ -134,7 +134,7 @@
         EntryChange::None => return,
         EntryChange::Belief => "replica",
         EntryChange::NewLife(before) => {
-            core.pool.purge(before);
+            core.pool.close_idle(before);
             "replica-reborn"
         }
     };
@@ -225,7 +225,7 @@
     match decode_desired(&item.value) {
         Ok(state) => match unknown_home(core, &state) {
             None => {
-                core.adopt(state, "store");
+                core.apply_desired_state(state, "store");
             }
             Some(problem) => reject(core, &problem),
         },
@@ -264,7 +264,7 @@
     }
     let text = String::from_utf8_lossy(&item.value);
     match parse_serving_preset(PRESET_KEY, &text) {
-        Ok(preset) => core.adopt_preset(preset, "store"),
+        Ok(preset) => core.apply_preset(preset, "store"),
         Err(error) => reject(core, &error.to_string()),
     }
 }
--- a/crates/zinniahatch_entry/src/store/quarantine_keys.rs
+++ b/crates/zinniahatch_entry/src/store/quarantine_keys.rs
@@ -70,7 +70,7 @@
 
 /// Keeps what this node holds in the store, until the process ends.
 pub(crate) async fn run_key_writer(core: Rc<EntryCore>) {
-    let mut changes = core.quarantined.subscribe();
+    let mut changes = core.quarantine_changed.subscribe();
     loop {
         // The sender lives as long as the process.
         let _ = changes.changed().await;
@@ -108,12 +108,14 @@
 
 async fn write_keys(core: &EntryCore) -> Result<(), KvError> {
     loop {
-        let released = core.released.borrow().last().copied();
+        let released = core.released_requests.borrow().last().copied();
         if let Some(content) = released {
             let commit = StoreCommit::new().remove(&key_of(content));
             core.store.commit(&commit).await?;
             core.metrics.note_store("quarantine", "removed");
-            core.released.borrow_mut().retain(|other| *other != content);
+            core.released_requests
+                .borrow_mut()
+                .retain(|other| *other != content);
             continue;
         }
         let unkept = core.suspects.borrow().unkept(Instant::now());
--- a/crates/zinniahatch_entry/src/store/store_return.rs
+++ b/crates/zinniahatch_entry/src/store/store_return.rs
@@ -67,7 +67,7 @@
     core.replicas.borrow_mut().note_return(now);
     core.operator_revision.set(None);
     sleep(SPREAD_TIME.mul_f64(rand::rng().random())).await;
-    core.quarantined.send_replace(());
+    core.quarantine_changed.send_replace(());
     restore_preset(core).await;
     core.log.write(
         "store-rewritten",
--- a/crates/zinniahatch_entry/src/store/watch.rs
+++ b/crates/zinniahatch_entry/src/store/watch.rs
@@ -1,6 +1,6 @@
 //! Following the store: desired state, evacuations, replicas, the preset.
 
-use crate::core::ACQUAINT_TIME;
+use crate::core::DISCOVERY_TIME;
 use crate::core::EntryCore;
 use crate::nodes::duty::READER_DUTY;
 use crate::nodes::duty::READERS;
@@ -128,7 +128,7 @@
         self.revision = Some(next);
         self.retry = RETRY_LEAST;
         if self.topic == WatchTopic::SCOUT {
-            self.core.store_serves.send_replace(true);
+            self.core.store_reachable.send_replace(true);
         }
         if self.topic == WatchTopic::Operator {
             self.core.operator_revision.set(Some(next));
@@ -148,7 +148,7 @@
         self.fine = false;
         let is_scout = self.topic == WatchTopic::SCOUT;
         if is_scout {
-            self.core.store_serves.send_replace(false);
+            self.core.store_reachable.send_replace(false);
         }
         let jitter = rand::rng().random_range(RETRY_JITTER);
         sleep(self.retry.mul_f64(jitter)).await;
@@ -179,7 +179,7 @@
 /// A change wakes each watch that waits: 195 nodes made 28 calls each in 34 s, most of them for news that
 /// they had from other nodes already.
 async fn rest(core: &EntryCore, topic: WatchTopic) -> RestEnd {
-    let young = core.started.elapsed() < ACQUAINT_TIME;
+    let young = core.started.elapsed() < DISCOVERY_TIME;
     if young || topic.digest().is_none() || has_duty(core, READER_DUTY, READERS) {
         return RestEnd::NoRest;
     }
@@ -202,7 +202,7 @@
 
 fn note_rest(core: &EntryCore, topic: WatchTopic, rests: bool) {
     if topic == WatchTopic::Operator {
-        core.rests.set(rests);
+        core.skips_watch.set(rests);
     }
 }
 
@@ -235,7 +235,7 @@
         Ok((listing, sent))
     };
     let mut asks = FuturesUnordered::from_iter([ask()]);
-    let mut serves = core.store_serves.subscribe();
+    let mut serves = core.store_reachable.subscribe();
     loop {
         let goes_on = topic == WatchTopic::SCOUT || *serves.borrow_and_update();
         tokio::select! {
@@ -250,7 +250,7 @@
             },
             () = sleep(LIST_PAUSE), if goes_on => {
                 if topic == WatchTopic::SCOUT {
-                    core.store_serves.send_replace(false);
+                    core.store_reachable.send_replace(false);
                 }
                 asks.push(ask());
             }
@@ -268,7 +268,7 @@
 
 /// Waits until the scout found the store serving; each further call to a store that is away has its price.
 pub(crate) async fn wait_for_store(core: &EntryCore) {
-    let mut serves = core.store_serves.subscribe();
+    let mut serves = core.store_reachable.subscribe();
     // The sender lives as long as the process, so that there is no other end of this wait.
     let _ = serves.wait_for(|serves| *serves).await;
 }
--- a/crates/zinniahatch_entry/src/who/allowances.rs
+++ b/crates/zinniahatch_entry/src/who/allowances.rs
@@ -1,8 +1,8 @@
 //! Allowances of client accounts on the way of a request.
 
 use crate::core::EntryCore;
-use crate::request::plan::CallPlan;
-use crate::request::received::ReceivedCall;
+use crate::request::plan::RequestPlan;
+use crate::request::received::ReceivedRequest;
 use std::rc::Rc;
 use zinniahatch_base::account_tag;
 use zinniahatch_base::prelude::*;
@@ -44,8 +44,8 @@
 /// Gives the time after which the account has room again.
 pub(crate) fn take_units(
     core: &Rc<EntryCore>,
-    call: &ReceivedCall,
-    plan: &CallPlan,
+    call: &ReceivedRequest,
+    plan: &RequestPlan,
 ) -> Result<Option<TakenUnits>, Duration> {
     // One that was forwarded was counted where it came in.
     let identity = plan.identity.as_ref().filter(|_| call.is_direct());
--- a/crates/zinniahatch_entry/src/who/identity.rs
+++ b/crates/zinniahatch_entry/src/who/identity.rs
@@ -1,8 +1,8 @@
 //! Who asks: the client account of a request, and whether its key still counts.
 
 use crate::core::EntryCore;
-use crate::request::received::AccountNote;
-use crate::request::received::ReceivedCall;
+use crate::request::received::ForwardedAccount;
+use crate::request::received::ReceivedRequest;
 use crate::request::received::RequestHop;
 use std::rc::Rc;
 use zinniahatch_base::prelude::*;
@@ -24,7 +24,7 @@
 /// Finds who asks; none where the route or the deployment does not ask for that.
 pub(crate) fn identify(
     core: &EntryCore,
-    call: &ReceivedCall,
+    call: &ReceivedRequest,
     route: &DesiredRoute,
 ) -> Result<Option<CallIdentity>, ResultCode> {
     let table = core.identities.borrow().clone();
@@ -45,7 +45,7 @@
 
 fn identify_caller(
     core: &EntryCore,
-    call: &ReceivedCall,
+    call: &ReceivedRequest,
     route: &DesiredRoute,
     table: &AccountTable,
 ) -> Result<Option<CallIdentity>, ResultCode> {
@@ -85,7 +85,7 @@
 /// Takes the word of the node before, unless this one follows a version that is as new and says otherwise.
 fn identify_forwarded(
     core: &EntryCore,
-    note: &AccountNote,
+    note: &ForwardedAccount,
     version: u64,
     table: &AccountTable,
 ) -> Result<CallIdentity, ResultCode> {
--- a/crates/zinniahatch_entry/src/who/proofs.rs
+++ b/crates/zinniahatch_entry/src/who/proofs.rs
@@ -18,7 +18,7 @@
 use zinniahatch_route::ToldProof;
 
 /// Pause between looks at the age of the proof.
-const LOOK_TIME: Duration = Duration::from_millis(100);
+const SILENCE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 /// Age of a proof, as a part of the operators' bound, at which the first node asks for another: of 5 s, 1.25 s.
 const ASK_PART: f64 = 0.25;
 /// The same that each node waits longer than the one ranked before it, of 5 s 0.6 s: it has to hear first what that
@@ -38,7 +38,7 @@
 /// Asks for proofs until the process ends.
 pub(crate) async fn run_prover(core: Rc<EntryCore>) {
     loop {
-        sleep(LOOK_TIME).await;
+        sleep(SILENCE_CHECK_INTERVAL).await;
         if !is_due(&core) {
             continue;
         }
@@ -60,7 +60,7 @@
 }
 
 fn age_ms(core: &EntryCore) -> Option<u64> {
-    let age = core.proofs.borrow().age(core.clock.now())?;
+    let age = core.key_freshness.borrow().age(core.clock.now())?;
     Some(age.as_millis() as u64)
 }
 
@@ -72,7 +72,7 @@
     if !core.identities.borrow().is_guarded() {
         return false;
     }
-    let Some(age) = core.proofs.borrow().age(core.clock.now()) else {
+    let Some(age) = core.key_freshness.borrow().age(core.clock.now()) else {
         return true;
     };
     let above = ranked_above(core, PROVER_DUTY) as f64;
@@ -121,12 +121,12 @@
     // A store that came back from an older copy shows an older version as the newest; who follows a newer one
     // knows better.
     let heard = core.members.borrow().newest_version(Instant::now());
-    let mut proofs = core.proofs.borrow_mut();
+    let mut proofs = core.key_freshness.borrow_mut();
     proofs.note(version.max(heard), sent, version);
 }
 
 /// Takes a proof that another node told; `asked` is when this one had asked it.
 pub(crate) fn hear_proof(core: &EntryCore, told: ToldProof, asked: Duration) {
     let version = core.version();
-    core.proofs.borrow_mut().hear(told, asked, version);
+    core.key_freshness.borrow_mut().hear(told, asked, version);
 }
--- a/crates/zinniahatch_entry/tests/channel.rs
+++ b/crates/zinniahatch_entry/tests/connection.rs
@@ -1,4 +1,5 @@
-//! A channel against a hostile backend server: whose answer is it, is it whole, may it be kept?
+//! `BackendConnection` against misbehaving backend servers: responses to other attempts, truncated
+//! bodies, reuse.
 
 use http::Method;
 use proptest::prelude::*;
@@ -11,21 +12,22 @@
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpListener;
 use zinniahatch_base::prelude::StoreRevision;
-use zinniahatch_entry::BackendChannel;
-use zinniahatch_entry::ChannelError;
+use zinniahatch_entry::BackendConnection;
+use zinniahatch_entry::ConnectionError;
 use zinniahatch_route::ColdGate;
 use zinniahatch_route::ReplicaEntry;
 use zinniahatch_route::ReplicaPermit;
 use zinniahatch_route::ReplicaTable;
 
-const LIMIT: Duration = Duration::from_secs(5);
+const CONNECT_LIMIT: Duration = Duration::from_secs(5);
 const REQUEST: &[u8] = b"GET /x HTTP/1.1\r\nhost: h\r\n\r\n";
 const WHOLE: &str = "HTTP/1.1 200 OK\r\nx-attempt-id: mine\r\ncontent-length: 5\r\n\r\nhello";
 const FOREIGN: &str = "HTTP/1.1 200 OK\r\nx-attempt-id: other\r\ncontent-length: 5\r\n\r\nwrong";
 const CHUNKED: &str = "HTTP/1.1 200 OK\r\nx-attempt-id: mine\r\ntransfer-encoding: chunked\r\n\r\n2\r\nhe\r\n3\r\nllo\r\n0\r\n\r\n";
 
-/// Serves one connection: reads a request, writes the bytes, and closes or stays.
-async fn stand(answer: Vec<u8>, closes: bool) -> SocketAddrV4 {
+/// Serves one connection: reads a request, writes `response`, then closes the connection or keeps it
+/// open.
+async fn serve_once(response: Vec<u8>, closes: bool) -> SocketAddrV4 {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let SocketAddr::V4(address) = listener.local_addr().unwrap() else {
         unreachable!("an IPv4 address was bound")
@@ -34,7 +36,7 @@
         let (mut stream, _) = listener.accept().await.unwrap();
         let mut request = vec![0; 4096];
         let _ = stream.read(&mut request).await;
-        let _ = stream.write_all(&answer).await;
+        let _ = stream.write_all(&response).await;
         if !closes {
             std::future::pending::<()>().await;
         }
@@ -42,7 +44,7 @@
     address
 }
 
-/// Gives leave to write a request to a replica at an address.
+/// Returns a permit to send a request to a replica at an address.
 fn permit(address: SocketAddrV4) -> ReplicaPermit {
     let now = Instant::now();
     let mut table = ReplicaTable::default();
@@ -63,19 +65,21 @@
     table.permit(claim.unwrap(), now).unwrap()
 }
 
-async fn exchange(address: SocketAddrV4) -> (Result<Vec<u8>, ChannelError>, BackendChannel) {
-    let mut channel = BackendChannel::connect(address, LIMIT).await.unwrap();
+async fn exchange(address: SocketAddrV4) -> (Result<Vec<u8>, ConnectionError>, BackendConnection) {
+    let mut connection = BackendConnection::connect(address, CONNECT_LIMIT)
+        .await
+        .unwrap();
     let result = async {
-        channel.send(permit(address), REQUEST, &[]).await?;
-        channel.read_head(&Method::GET, "mine").await?;
+        connection.send(permit(address), REQUEST, &[]).await?;
+        connection.read_head(&Method::GET, "mine").await?;
         let mut body = Vec::new();
-        while let Some(piece) = channel.read_body().await? {
-            body.extend_from_slice(&piece);
+        while let Some(chunk) = connection.read_body().await? {
+            body.extend_from_slice(&chunk);
         }
         Ok(body)
     }
     .await;
-    (result, channel)
+    (result, connection)
 }
 
 #[test_case(WHOLE, true; "length")]
@@ -83,44 +87,46 @@
 #[test_case("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nx-attempt-id: mine\r\ncontent-length: 5\r\n\r\nhello", true; "after_an_interim_answer")]
 #[test_case("HTTP/1.1 200 OK\r\nx-attempt-id: mine\r\nconnection: close\r\ncontent-length: 5\r\n\r\nhello", false; "closing_is_not_kept")]
 #[tokio::test]
-async fn read_whole_answer(answer: &str, kept: bool) {
-    let address = stand(answer.into(), false).await;
-    let (body, channel) = exchange(address).await;
+async fn read_complete_response(response: &str, kept: bool) {
+    let address = serve_once(response.into(), false).await;
+    let (body, connection) = exchange(address).await;
     assert_eq!(body.unwrap(), b"hello");
-    assert_eq!(channel.is_reusable(), kept);
+    assert_eq!(connection.is_reusable(), kept);
 }
 
-/// An answer without a length ends with its channel. Closed, it is whole; the channel is spent.
+/// A response without a length ends when its connection closes. It is complete, but the connection
+/// cannot be reused.
 #[tokio::test]
-async fn read_unframed_answer() {
+async fn read_unframed_response() {
     let text = "HTTP/1.1 200 OK\r\nx-attempt-id: mine\r\n\r\nhello";
-    let address = stand(text.into(), true).await;
-    let (body, channel) = exchange(address).await;
+    let address = serve_once(text.into(), true).await;
+    let (body, connection) = exchange(address).await;
     assert_eq!(body.unwrap(), b"hello");
-    assert!(!channel.is_reusable());
+    assert!(!connection.is_reusable());
 }
 
-/// A caller got another caller's record: the replica answered an earlier request a second time,
-/// just where the next answer was due. The late one names another attempt and is thrown away.
+/// Guards against a caller receiving another caller's response. It happens when a replica answers
+/// an earlier request a second time, just where the next response is due. The late response names
+/// another attempt and is discarded.
 #[tokio::test]
-async fn read_head_skips_a_late_second_answer() {
-    let address = stand(format!("{FOREIGN}{WHOLE}").into(), false).await;
-    let (body, channel) = exchange(address).await;
+async fn read_head_skips_late_second_response() {
+    let address = serve_once(format!("{FOREIGN}{WHOLE}").into(), false).await;
+    let (body, connection) = exchange(address).await;
     assert_eq!(body.unwrap(), b"hello");
     assert!(
-        !channel.is_reusable(),
-        "what else it may send belongs to nobody"
+        !connection.is_reusable(),
+        "any further bytes belong to no request"
     );
 }
 
-/// A second answer right behind the first made the channel's next request end with it. Surplus
-/// bytes end the channel.
+/// Guards against reuse of a connection on which a second response directly follows the first,
+/// since the next request would receive it. Surplus bytes make the connection unusable.
 #[tokio::test]
 async fn is_reusable_with_surplus_bytes() {
-    let address = stand(format!("{WHOLE}{FOREIGN}").into(), false).await;
-    let (body, mut channel) = exchange(address).await;
+    let address = serve_once(format!("{WHOLE}{FOREIGN}").into(), false).await;
+    let (body, mut connection) = exchange(address).await;
     assert_eq!(body.unwrap(), b"hello");
-    assert!(!channel.is_reusable() || !channel.is_fresh(Instant::now()));
+    assert!(!connection.is_reusable() || !connection.is_usable(Instant::now()));
 }
 
 #[test_case("HTTP/1.1 200 OK\r\ncontent-length: 5\r\ncontent-length: 6\r\n\r\nhello"; "two_lengths")]
@@ -130,28 +136,33 @@
 #[test_case("HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\nzz\r\nhello"; "bad_chunk")]
 #[test_case("HTTP/1.1 200 OK\r\nx-attempt-id: other\r\n\r\nhello"; "unframed_answer_of_another")]
 #[tokio::test]
-async fn read_malformed_answer(answer: &str) {
-    let address = stand(answer.into(), true).await;
-    let (body, channel) = exchange(address).await;
-    assert!(matches!(body, Err(ChannelError::Malformed(_))), "{body:?}");
-    assert!(!channel.is_reusable());
+async fn read_malformed_response(response: &str) {
+    let address = serve_once(response.into(), true).await;
+    let (body, connection) = exchange(address).await;
+    assert!(
+        matches!(body, Err(ConnectionError::Malformed(_))),
+        "{body:?}"
+    );
+    assert!(!connection.is_reusable());
 }
 
 #[tokio::test]
-async fn connect_to_nobody_sends_nothing() {
+async fn connect_without_listener_sends_nothing() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let SocketAddr::V4(address) = listener.local_addr().unwrap() else {
         unreachable!("an IPv4 address was bound")
     };
     drop(listener);
-    let error = BackendChannel::connect(address, LIMIT).await.unwrap_err();
-    assert_eq!(error, ChannelError::Refused);
+    let error = BackendConnection::connect(address, CONNECT_LIMIT)
+        .await
+        .unwrap_err();
+    assert_eq!(error, ConnectionError::Refused);
 }
 
-/// A replica refused a long dossier before it had read it, and kept the channel. The rest of the
-/// body, or the next request, would have been read as the rest of the first.
+/// Guards against reuse of a connection whose replica refused a long request before it had read the
+/// body. The replica would read the rest of the body, or the next request, as part of the first.
 #[tokio::test]
-async fn send_stops_at_an_early_answer() {
+async fn send_stops_at_early_response() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let SocketAddr::V4(address) = listener.local_addr().unwrap() else {
         unreachable!("an IPv4 address was bound")
@@ -163,21 +174,26 @@
         stream.write_all(WHOLE.as_bytes()).await.unwrap();
         std::future::pending::<()>().await;
     });
-    let mut channel = BackendChannel::connect(address, LIMIT).await.unwrap();
+    let mut connection = BackendConnection::connect(address, CONNECT_LIMIT)
+        .await
+        .unwrap();
     let long = vec![b'x'; 64 << 20];
-    channel.send(permit(address), REQUEST, &long).await.unwrap();
-    let head = channel.read_head(&Method::POST, "mine").await.unwrap();
+    connection
+        .send(permit(address), REQUEST, &long)
+        .await
+        .unwrap();
+    let head = connection.read_head(&Method::POST, "mine").await.unwrap();
     assert_eq!(head.status, 200);
-    while channel.read_body().await.unwrap().is_some() {}
-    assert!(!channel.is_reusable());
+    while connection.read_body().await.unwrap().is_some() {}
+    assert!(!connection.is_reusable());
 }
 
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(60))]
 
-    /// The oracle: an answer cut anywhere is never taken for a whole one.
+    /// A response truncated at any byte is never taken for a complete one.
     #[test]
-    fn read_answer_cut_at_each_byte(cut in 0_usize..CHUNKED.len(), chunked in any::<bool>()) {
+    fn read_response_truncated_at_each_byte(cut in 0_usize..CHUNKED.len(), chunked in any::<bool>()) {
         let whole = if chunked { CHUNKED } else { WHOLE };
         let cut = cut.min(whole.len() - 1);
         let runtime = tokio::runtime::Builder::new_current_thread()
@@ -185,7 +201,7 @@
             .build()
             .unwrap();
         let body = runtime.block_on(async {
-            let address = stand(whole.as_bytes()[..cut].to_vec(), true).await;
+            let address = serve_once(whole.as_bytes()[..cut].to_vec(), true).await;
             exchange(address).await.0
         });
         prop_assert!(body.is_err(), "cut at {cut}: {body:?}");
--- a/crates/zinniahatch_entry/tests/events.rs
+++ b/crates/zinniahatch_entry/tests/events.rs
@@ -1,22 +1,22 @@
-//! Splitting streams into whole events.
+//! Splitting of streams into whole events.
 
 use proptest::prelude::*;
 use zinniahatch_entry::EventSplitter;
 
-/// A replica crashed in the middle of an event, the next one went on after the last whole event,
-/// and the caller got a torn event joined to a whole one. Only whole events are passed on.
+/// Guards against a truncated event joined to a whole one: a replica crashes in the middle of an
+/// event and the next one continues after the last whole event. Only whole events are forwarded.
 #[test]
-fn push_holds_back_a_torn_event() {
+fn push_holds_back_partial_event() {
     let mut splitter = EventSplitter::default();
     let ready = splitter.push(b"id: 1\ndata: a\n\nid: 2\nda");
     assert_eq!(ready.as_deref(), Some(&b"id: 1\ndata: a\n\n"[..]));
     assert_eq!(splitter.last_id(), Some("1"));
-    assert!(splitter.is_torn());
-    splitter.drop_torn();
+    assert!(splitter.has_partial());
+    splitter.discard_partial();
     let ready = splitter.push(b"id: 2\ndata: b\n\n");
     assert_eq!(ready.as_deref(), Some(&b"id: 2\ndata: b\n\n"[..]));
     assert_eq!(splitter.last_id(), Some("2"));
-    assert!(!splitter.is_torn());
+    assert!(!splitter.has_partial());
 }
 
 #[test]
@@ -26,13 +26,13 @@
 }
 
 proptest! {
-    /// The oracle: however the bytes arrive, what comes out is what went in, cut between events.
+    /// However the bytes arrive, the output equals the input, cut only between events.
     #[test]
-    fn push_in_any_pieces(
+    fn push_bytes_split_anywhere(
         cuts in prop::collection::vec(1_usize..9, 1..60),
-        carriage in any::<bool>(),
+        crlf in any::<bool>(),
     ) {
-        let end = if carriage { "\r\n" } else { "\n" };
+        let end = if crlf { "\r\n" } else { "\n" };
         let parts: Vec<String> = (1..12).map(|id| format!("id: {id}{end}data: x{id}{end}{end}")).collect();
         let text = parts.concat();
         let mut splitter = EventSplitter::default();
