--- a/crates/zinniahatch_entry/src/core.rs
+++ b/crates/zinniahatch_entry/src/core.rs
@@ -81,13 +81,13 @@
     pub(crate) quarantine_changed: watch::Sender<()>,
     /// Requests released from quarantine whose key in the store has to be removed.
     pub(crate) released_requests: RefCell<Vec<ContentDigest>>,
-    pub(crate) end_checks: EndChecks,
+    pub(crate) crash_checks: EndChecks,
     pub(crate) retry_budgets: RefCell<BTreeMap<ServiceId, RepeatBudget>>,
     /// Peer addresses of other nodes, learned from the store and from other nodes.
-    pub(crate) contacts: RefCell<ContactBook>,
+    pub(crate) heartbeat_targets: RefCell<ContactBook>,
     pub(crate) counts: CountDesk,
     /// Replica updates that have not been sent to the other nodes of the region.
-    pub(crate) replica_news: RefCell<ReplicaNews>,
+    pub(crate) replica_updates: RefCell<ReplicaNews>,
     /// For each topic, how this node's state compares with that of its region's store readers.
     pub(crate) topic_coverage: RefCell<BTreeMap<WatchTopic, ReaderCover>>,
     /// Whether this node leaves reading the desired state from the store to other nodes.
@@ -130,10 +130,10 @@
         );
         let log = DecisionLog::new(settings.name.clone(), settings.log_budget);
         let store = KvClient::new(&settings.store.to_string());
-        let mut contacts = ContactBook::new(settings.listen.peer, &settings.region);
+        let mut heartbeat_targets = ContactBook::new(settings.listen.peer, &settings.region);
         for seed in &settings.seeds {
             let port = settings.listen.peer.port();
-            contacts.note(SocketAddrV4::new(*seed.ip(), port), None);
+            heartbeat_targets.note(SocketAddrV4::new(*seed.ip(), port), None);
         }
         Self {
             incarnation,
@@ -154,11 +154,11 @@
             suspects: RefCell::default(),
             quarantine_changed: watch::Sender::new(()),
             released_requests: RefCell::default(),
-            end_checks: EndChecks::default(),
+            crash_checks: EndChecks::default(),
             retry_budgets: RefCell::default(),
-            contacts: RefCell::new(contacts),
+            heartbeat_targets: RefCell::new(heartbeat_targets),
             counts: CountDesk::default(),
-            replica_news: RefCell::default(),
+            replica_updates: RefCell::default(),
             topic_coverage: RefCell::default(),
             skips_watch: Cell::new(false),
             pool: ConnectionPool::default(),
@@ -287,7 +287,7 @@
     /// key. A node that starts at that moment reads the key and would accept it until it hears from
     /// the other nodes, a tenth of a second later.
     pub(crate) fn may_be_stale(&self) -> bool {
-        let alone = self.members_read.get() && self.contacts.borrow().is_empty();
+        let alone = self.members_read.get() && self.heartbeat_targets.borrow().is_empty();
         if self.started.elapsed() >= DISCOVERY_TIME || alone {
             return false;
         }
@@ -336,7 +336,7 @@
         let budget = retry_budgets.entry(service.clone()).or_insert_with(|| {
             let bounds = &self.settings.bounds;
             let members = self.members.borrow().known().count();
-            let nodes = members.max(self.contacts.borrow().len()) + 1;
+            let nodes = members.max(self.heartbeat_targets.borrow().len()) + 1;
             RepeatBudget::new(
                 bounds.repeat_window,
                 bounds.repeat_ratio,
--- a/crates/zinniahatch_entry/src/nodes/catch_up.rs
+++ b/crates/zinniahatch_entry/src/nodes/catch_up.rs
@@ -12,7 +12,7 @@
 use zinniahatch_route::PupilState;
 
 /// Pause between looks at what the other nodes follow.
-const SILENCE_CHECK_INTERVAL: Duration = Duration::from_millis(200);
+const LOOK_TIME: Duration = Duration::from_millis(200);
 /// Time for which the own watch may be behind the newest version that another node follows: watches
 /// pause up to 1.2 s after each change.
 const BEHIND_TIME: Duration = Duration::from_millis(1500);
@@ -25,7 +25,7 @@
 pub(crate) async fn run_catch_up(core: Rc<EntryCore>) {
     let mut behind_since = None;
     loop {
-        sleep(SILENCE_CHECK_INTERVAL).await;
+        sleep(LOOK_TIME).await;
         let now = Instant::now();
         let sighted = !core.replicas.borrow().in_trouble(now);
         let own = PupilState {
--- a/crates/zinniahatch_entry/src/nodes/gossip.rs
+++ b/crates/zinniahatch_entry/src/nodes/gossip.rs
@@ -160,7 +160,7 @@
         .askers(now)
         .map(|address| (address, false))
         .collect();
-    for address in core.contacts.borrow_mut().round(now) {
+    for address in core.heartbeat_targets.borrow_mut().round(now) {
         found.insert(address, true);
     }
     found
@@ -238,7 +238,7 @@
     let now = Instant::now();
     echoes.insert(node.clone(), (gram.stamp, now));
     {
-        let mut contacts = core.contacts.borrow_mut();
+        let mut contacts = core.heartbeat_targets.borrow_mut();
         contacts.note_heard(gram.card.peer, &gram.card.region, now);
         for (address, region) in &gram.hints {
             contacts.note(*address, Some(region));
--- a/crates/zinniahatch_entry/src/nodes/news_teller.rs
+++ b/crates/zinniahatch_entry/src/nodes/news_teller.rs
@@ -23,7 +23,7 @@
 /// Tells the nodes of the region what this one learned of replicas, a few at a time.
 pub(crate) async fn tell_news(core: &EntryCore, socket: &UdpSocket) {
     loop {
-        let part = core.replica_news.borrow_mut().take_part(MOST_NEWS);
+        let part = core.replica_updates.borrow_mut().take_part(MOST_NEWS);
         if part == ReplicaNews::default() {
             return;
         }
--- a/crates/zinniahatch_entry/src/nodes/own_card.rs
+++ b/crates/zinniahatch_entry/src/nodes/own_card.rs
@@ -37,11 +37,8 @@
     let told = told
         .into_iter()
         .filter_map(|card| card.read.as_ref().map(part));
-    let mut topic_coverage = core.topic_coverage.borrow_mut();
-    topic_coverage
-        .entry(topic)
-        .or_default()
-        .judge(own, told, now)
+    let mut covers = core.topic_coverage.borrow_mut();
+    covers.entry(topic).or_default().judge(own, told, now)
 }
 
 /// Gives what this node tells the others of itcore.
--- a/crates/zinniahatch_entry/src/replicas/notice.rs
+++ b/crates/zinniahatch_entry/src/replicas/notice.rs
@@ -130,7 +130,7 @@
     if effect.leaving {
         log_leaving(core, replica, source, request);
         if let Some(life) = life {
-            core.replica_news.borrow_mut().leaving.push(life);
+            core.replica_updates.borrow_mut().leaving.push(life);
             core.work_changed.notify_one();
         }
     }
--- a/crates/zinniahatch_entry/src/replicas/replica_check.rs
+++ b/crates/zinniahatch_entry/src/replicas/replica_check.rs
@@ -44,7 +44,7 @@
     let Some((tag, address)) = life else {
         return;
     };
-    let check = core.end_checks.check(address, Instant::now());
+    let check = core.crash_checks.check(address, Instant::now());
     let refused = *check.get_or_init(|| is_refused(core, address)).await;
     if !refused {
         return;
--- a/crates/zinniahatch_entry/src/store/membership.rs
+++ b/crates/zinniahatch_entry/src/store/membership.rs
@@ -99,7 +99,7 @@
 async fn find_others(core: &Rc<EntryCore>) -> Result<(), KvError> {
     let listing = core.store.items(NODE_PREFIX, LIST_TIME).await?;
     core.metrics.note_store("nodes", "done");
-    let mut contacts = core.contacts.borrow_mut();
+    let mut contacts = core.heartbeat_targets.borrow_mut();
     for item in listing.items {
         let Some((region, address)) = parse_place(&item.value) else {
             reject(core, &format!("key `{}`: not `REGION IP:port`", item.key));
--- a/crates/zinniahatch_entry/src/store/news.rs
+++ b/crates/zinniahatch_entry/src/store/news.rs
@@ -178,7 +178,7 @@
 fn tell_region(core: &EntryCore, place: &str, keep: impl FnOnce(&mut ReplicaNews)) {
     let near = core.settings.regions.get(place) == Some(&core.settings.region);
     if near && has_duty(core, READER_DUTY, READERS) {
-        keep(&mut core.replica_news.borrow_mut());
+        keep(&mut core.replica_updates.borrow_mut());
         core.work_changed.notify_one();
     }
 }
@@ -197,7 +197,7 @@
 fn read_evacuation(core: &EntryCore, place: &str, on: bool, revision: StoreRevision) {
     let place: DataCentreId = place.into();
     if has_duty(core, READER_DUTY, READERS) {
-        let mut news = core.replica_news.borrow_mut();
+        let mut news = core.replica_updates.borrow_mut();
         news.evacuations.push((place.clone(), on, revision));
         drop(news);
         core.work_changed.notify_one();
--- a/crates/zinniahatch_entry/src/store/watch.rs
+++ b/crates/zinniahatch_entry/src/store/watch.rs
@@ -218,7 +218,7 @@
     if topic == WatchTopic::Replicas && !has_duty(core, READER_DUTY, READERS) {
         return GATHER_BACKUP;
     }
-    let others = core.contacts.borrow().len();
+    let others = core.heartbeat_targets.borrow().len();
     let pause = GATHER_TIME + GATHER_EACH * u32::try_from(others).unwrap_or(u32::MAX);
     pause.min(GATHER_MOST)
 }
--- a/crates/zinniahatch_entry/src/who/proofs.rs
+++ b/crates/zinniahatch_entry/src/who/proofs.rs
@@ -18,7 +18,7 @@
 use zinniahatch_route::ToldProof;
 
 /// Pause between looks at the age of the proof.
-const SILENCE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
+const LOOK_TIME: Duration = Duration::from_millis(100);
 /// Age of a proof, as a part of the operators' bound, at which the first node asks for another: of 5 s, 1.25 s.
 const ASK_PART: f64 = 0.25;
 /// The same that each node waits longer than the one ranked before it, of 5 s 0.6 s: it has to hear first what that
@@ -38,7 +38,7 @@
 /// Asks for proofs until the process ends.
 pub(crate) async fn run_prover(core: Rc<EntryCore>) {
     loop {
-        sleep(SILENCE_CHECK_INTERVAL).await;
+        sleep(LOOK_TIME).await;
         if !is_due(&core) {
             continue;
         }
