--- a/crates/zinniahatch_entry/src/listeners.rs
+++ b/crates/zinniahatch_entry/src/listeners.rs
@@ -71,11 +71,11 @@
 }
 
 /// Accepts connections until the process ends.
-pub(crate) async fn run_listener(core: Rc<EntryCore>, listener: TcpListener, kind: ListenerKind) {
+pub(crate) async fn run_listener(core: Rc<EntryCore>, listener: TcpListener, duty: ListenerKind) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                tokio::task::spawn_local(run_connection(Rc::clone(&core), stream, kind));
+                tokio::task::spawn_local(run_connection(Rc::clone(&core), stream, duty));
             }
             Err(error) => {
                 core.log.write(
@@ -108,9 +108,9 @@
         .serve_connection(TokioIo::new(stream), service);
     let mut connection = std::pin::pin!(connection);
     let closing = async {
-        // Connections to the directory, readiness and metrics listeners are never closed from this
-        // side. If directories closed theirs, callers of a region whose nodes stop one after the
-        // other would be left without any.
+        // Shutdown does not close connections to the directory, readiness and metrics listeners. If
+        // directories closed theirs, callers of a region whose nodes stop one after the other would
+        // be left without any.
         if !matches!(kind, ListenerKind::Calls(_)) {
             std::future::pending::<()>().await;
         }
--- a/crates/zinniahatch_entry/src/request/send.rs
+++ b/crates/zinniahatch_entry/src/request/send.rs
@@ -222,9 +222,7 @@
     error: &PoolError,
 ) -> SendFailure {
     match error {
-        PoolError::Full => {
-            SendFailure::NotSent("this node's share of the connections is in use".into())
-        }
+        PoolError::Full => SendFailure::NotSent("this node's connections are in use".into()),
         PoolError::Unreached(error) => {
             let now = Instant::now();
             in_flight.update_replica(|belief| belief.health.note_unreachable(now));
