--- a/crates/zinniahatch_entry/src/decision_log.rs
+++ b/crates/zinniahatch_entry/src/decision_log.rs
@@ -23,6 +23,7 @@
 struct KindBudget {
     second: u64,
     written: u32,
+    /// Lines over budget that have not been reported yet.
     left_out: u64,
 }
 
--- a/crates/zinniahatch_entry/src/request/in_flight.rs
+++ b/crates/zinniahatch_entry/src/request/in_flight.rs
@@ -19,12 +19,17 @@
 #[derive(Debug)]
 pub(crate) struct AssignedWork {
     pub(crate) replica: ReplicaId,
+    /// Number of the request, unique in this process.
     pub(crate) ticket: u64,
+    /// Requests and prompt tokens that the request adds to the replica.
     pub(crate) work: OpenWork,
+    /// Prompt tokens that the replica reads before those of this request.
     pub(crate) ahead: u32,
+    /// Expected wait for a free slot.
     pub(crate) queue: Duration,
     pub(crate) urgent: bool,
     pub(crate) cold: bool,
+    /// Whether the first bytes of the response have arrived.
     pub(crate) response_began: bool,
 }
 
