--- a/crates/zinniahatch_entry/tests/connection.rs
+++ b/crates/zinniahatch_entry/tests/connection.rs
@@ -25,8 +25,8 @@
 const FOREIGN: &str = "HTTP/1.1 200 OK\r\nx-attempt-id: other\r\ncontent-length: 5\r\n\r\nwrong";
 const CHUNKED: &str = "HTTP/1.1 200 OK\r\nx-attempt-id: mine\r\ntransfer-encoding: chunked\r\n\r\n2\r\nhe\r\n3\r\nllo\r\n0\r\n\r\n";
 
-/// Serves one connection: reads a request, writes `response`, then closes the connection or keeps it
-/// open.
+/// Serves one connection: reads a request, writes `response`, then closes the connection or keeps
+/// it open.
 async fn serve_once(response: Vec<u8>, closes: bool) -> SocketAddrV4 {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let SocketAddr::V4(address) = listener.local_addr().unwrap() else {
@@ -193,7 +193,7 @@
 
     /// A response truncated at any byte is never taken for a complete one.
     #[test]
-    fn read_response_truncated_at_each_byte(cut in 0_usize..CHUNKED.len(), chunked in any::<bool>()) {
+    fn read_response_cut_at_each_byte(cut in 0_usize..CHUNKED.len(), chunked in any::<bool>()) {
         let whole = if chunked { CHUNKED } else { WHOLE };
         let cut = cut.min(whole.len() - 1);
         let runtime = tokio::runtime::Builder::new_current_thread()
