--- a/crates/zinniahatch_entry/src/request/placement.rs
+++ b/crates/zinniahatch_entry/src/request/placement.rs
@@ -53,7 +53,8 @@
 
 /// Chooses where the next try goes, or refuses the request.
 ///
-/// With `check_admission`, a request that would exceed its latency target is refused.
+/// `check_admission` applies admission control to the placement in this region. Placements in other
+/// regions are always subject to it.
 pub(crate) fn choose_placement(
     core: &EntryCore,
     request: &ReceivedRequest,
--- a/crates/zinniahatch_entry/src/request/received.rs
+++ b/crates/zinniahatch_entry/src/request/received.rs
@@ -18,7 +18,7 @@
     Forwarded(ForwardInfo),
 }
 
-/// What the first node tells about a request that it forwards.
+/// Information that the first node sends with a request that it forwards.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct ForwardInfo {
     /// The version of the desired state by which the first node chose.
