--- a/crates/zinniahatch_entry/src/nodes/catch_up.rs
+++ b/crates/zinniahatch_entry/src/nodes/catch_up.rs
@@ -36,7 +36,7 @@
         };
         let teacher = {
             let members = core.members.borrow();
-            let found = members.teacher(&own, core.ticket(), now);
+            let found = members.teacher(&own, core.next_ticket(), now);
             found.and_then(|card| members.permit(&card.node))
         };
         let Some(peer) = teacher else {
@@ -57,10 +57,10 @@
 
 /// Gives the time for which this node waits for its own watch before it asks a peer.
 fn patience(core: &EntryCore, sighted: bool) -> Duration {
-    if !sighted || !core.knows() {
+    if !sighted || !core.is_initialized() {
         return Duration::ZERO;
     }
-    if !core.rests.get() {
+    if !core.skips_watch.get() {
         return BEHIND_TIME;
     }
     // The nodes that hear of a new version at once do not all ask the few that have it.
--- a/crates/zinniahatch_entry/src/nodes/own_card.rs
+++ b/crates/zinniahatch_entry/src/nodes/own_card.rs
@@ -14,7 +14,7 @@
 /// Tells whether this node reads for its region what the store says.
 fn reads_for_all(core: &EntryCore, now: Instant) -> bool {
     let served = !core.replicas.borrow().in_trouble(now);
-    served && core.knows() && has_duty(core, READER_DUTY, READERS)
+    served && core.is_initialized() && has_duty(core, READER_DUTY, READERS)
 }
 
 fn read_digest(core: &EntryCore) -> ReadDigest {
@@ -37,7 +37,7 @@
     let told = told
         .into_iter()
         .filter_map(|card| card.read.as_ref().map(part));
-    let mut covers = core.covers.borrow_mut();
+    let mut covers = core.topic_coverage.borrow_mut();
     covers.entry(topic).or_default().judge(own, told, now)
 }
 
--- a/crates/zinniahatch_entry/src/store/membership.rs
+++ b/crates/zinniahatch_entry/src/store/membership.rs
@@ -46,7 +46,7 @@
                 core.store_lost.notify_waiters();
                 core.log.write(
                     "lease-failed",
-                    serde_json::json!({"lease": lease.map(|lease| lease.number), "error": error.to_string()}),
+                    serde_json::json!({"lease": lease.map(|lease| lease.number), "error": error.to_string()})
                 );
                 RETRY_TIME
             }
@@ -99,7 +99,7 @@
 async fn find_others(core: &Rc<EntryCore>) -> Result<(), KvError> {
     let listing = core.store.items(NODE_PREFIX, LIST_TIME).await?;
     core.metrics.note_store("nodes", "done");
-    let mut contacts = core.contacts.borrow_mut();
+    let mut contacts = core.heartbeat_targets.borrow_mut();
     for item in listing.items {
         let Some((region, address)) = parse_place(&item.value) else {
             reject(core, &format!("key `{}`: not `REGION IP:port`", item.key));
@@ -108,7 +108,7 @@
         contacts.note(address, Some(&region));
     }
     drop(contacts);
-    core.note_looked();
+    core.mark_members_read();
     Ok(())
 }
 
--- a/crates/zinniahatch_entry/src/store/news.rs
+++ b/crates/zinniahatch_entry/src/store/news.rs
@@ -55,7 +55,7 @@
             for (entry, change) in changes {
                 note_change(core, &entry, change);
             }
-            core.note_listed();
+            core.mark_replicas_listed();
         }
         WatchTopic::Preset => {}
     }
@@ -134,7 +134,7 @@
         EntryChange::None => return,
         EntryChange::Belief => "replica",
         EntryChange::NewLife(before) => {
-            core.pool.purge(before);
+            core.pool.close_idle(before);
             "replica-reborn"
         }
     };
@@ -178,7 +178,7 @@
 fn tell_region(core: &EntryCore, place: &str, keep: impl FnOnce(&mut ReplicaNews)) {
     let near = core.settings.regions.get(place) == Some(&core.settings.region);
     if near && has_duty(core, READER_DUTY, READERS) {
-        keep(&mut core.replica_news.borrow_mut());
+        keep(&mut core.replica_updates.borrow_mut());
         core.work_changed.notify_one();
     }
 }
@@ -197,7 +197,7 @@
 fn read_evacuation(core: &EntryCore, place: &str, on: bool, revision: StoreRevision) {
     let place: DataCentreId = place.into();
     if has_duty(core, READER_DUTY, READERS) {
-        let mut news = core.replica_news.borrow_mut();
+        let mut news = core.replica_updates.borrow_mut();
         news.evacuations.push((place.clone(), on, revision));
         drop(news);
         core.work_changed.notify_one();
@@ -225,7 +225,7 @@
     match decode_desired(&item.value) {
         Ok(state) => match unknown_home(core, &state) {
             None => {
-                core.adopt(state, "store");
+                core.apply_desired_state(state, "store");
             }
             Some(problem) => reject(core, &problem),
         },
@@ -264,7 +264,7 @@
     }
     let text = String::from_utf8_lossy(&item.value);
     match parse_serving_preset(PRESET_KEY, &text) {
-        Ok(preset) => core.adopt_preset(preset, "store"),
+        Ok(preset) => core.apply_preset(preset, "store"),
         Err(error) => reject(core, &error.to_string()),
     }
 }
