--- a/crates/zinniahatch_entry/src/who/allowances.rs
+++ b/crates/zinniahatch_entry/src/auth/allowances.rs
@@ -1,4 +1,4 @@
-//! Allowances of client accounts on the way of a request.
+//! Quotas of client accounts, charged when a request is admitted.
 
 use crate::core::EntryCore;
 use crate::request::plan::CallPlan;
@@ -11,13 +11,13 @@
 use zinniahatch_route::DesiredState;
 use zinniahatch_route::QuotaLimit;
 
-/// Part of the overrun and of the slack that the operators allow which is given to the account, so that callers who
-/// count for themselves are not refused what is allowed. The rest is for what nodes let pass before they have heard
-/// of each other.
-const LENIENT_PART: f64 = 0.1;
+/// Part of the permitted overrun and slack that is granted to the account, so that callers that
+/// track their own usage are not refused within their allowance. The rest covers requests that
+/// nodes admit before they have heard of each other's usage.
+const GRANTED_PART: f64 = 0.1;
 
-/// Units of an account that a request has taken; they go back when it is dropped without having run.
-pub(crate) struct TakenUnits {
+/// Quota units charged for a request; refunded on drop unless the request may have run.
+pub(crate) struct ChargedUnits {
     core: Rc<EntryCore>,
     account: AccountTag,
     units: u64,
@@ -25,7 +25,7 @@
     pub(crate) used: bool,
 }
 
-impl Drop for TakenUnits {
+impl Drop for ChargedUnits {
     fn drop(&mut self) {
         if self.used {
             return;
@@ -37,17 +37,17 @@
     }
 }
 
-/// Takes the units of a caller's request; none where its account has no limit.
+/// Charges the quota for a caller's request; returns `None` if its account has no limit.
 ///
 /// # Errors
 ///
-/// Gives the time after which the account has room again.
-pub(crate) fn take_units(
+/// Returns the time until the account has enough quota again.
+pub(crate) fn charge_units(
     core: &Rc<EntryCore>,
     call: &ReceivedCall,
     plan: &CallPlan,
-) -> Result<Option<TakenUnits>, Duration> {
-    // One that was forwarded was counted where it came in.
+) -> Result<Option<ChargedUnits>, Duration> {
+    // A forwarded request was charged by the node that received it from the caller.
     let identity = plan.identity.as_ref().filter(|_| call.is_direct());
     let Some((account, allowance)) = identity
         .map(|identity| &identity.account)
@@ -70,7 +70,7 @@
         return Err(after);
     }
     core.work_changed.notify_one();
-    Ok(Some(TakenUnits {
+    Ok(Some(ChargedUnits {
         core: Rc::clone(core),
         account: tag,
         units,
@@ -78,28 +78,28 @@
     }))
 }
 
-/// Gives the limits of a desired state as nodes keep them.
-pub(crate) fn limits_of(
+/// Returns the quota limits of a desired state that this node enforces.
+pub(crate) fn quota_limits(
     core: &EntryCore,
     state: &DesiredState,
 ) -> BTreeMap<AccountTag, QuotaLimit> {
     let limits = state.accounts.iter().filter_map(|account| {
-        let limit = limit_of(core, &account.allowance?);
+        let limit = quota_limit(core, &account.allowance?);
         Some((account_tag(&account.name), limit))
     });
     limits.collect()
 }
 
-fn limit_of(core: &EntryCore, allowance: &Allowance) -> QuotaLimit {
+fn quota_limit(core: &EntryCore, allowance: &Allowance) -> QuotaLimit {
     let bounds = &core.settings.bounds;
-    let more = 1.0 + LENIENT_PART * bounds.quota_overrun;
+    let factor = 1.0 + GRANTED_PART * bounds.quota_overrun;
     let slack = match allowance.unit {
         AllowanceUnit::Tokens => bounds.quota_slack,
-        // The slack of the settings is told in tokens.
+        // The configured slack is given in tokens.
         AllowanceUnit::Requests => 0.0,
     };
     QuotaLimit {
-        rate: allowance.rate * more,
-        burst: allowance.burst * more + LENIENT_PART * slack,
+        rate: allowance.rate * factor,
+        burst: allowance.burst * factor + GRANTED_PART * slack,
     }
 }
--- a/crates/zinniahatch_entry/src/who/identity.rs
+++ b/crates/zinniahatch_entry/src/auth/identity.rs
@@ -1,4 +1,4 @@
-//! Who asks: the client account of a request, and whether its key still counts.
+//! Identification of the client account of a request, and validation of its key.
 
 use crate::core::EntryCore;
 use crate::request::received::AccountNote;
@@ -12,16 +12,17 @@
 use zinniahatch_route::DesiredRoute;
 use zinniahatch_route::KeyVerdict;
 
-/// The account that a request is served for, and the key by which that was found.
+/// The account that a request is served for, and the key that identified it.
 #[derive(Clone, Debug)]
 pub(crate) struct CallIdentity {
     pub(crate) account: Rc<DesiredAccount>,
     pub(crate) key: KeyDigest,
-    /// The version of the desired state by which the key was found.
+    /// Version of the desired state in which the key was found.
     pub(crate) version: u64,
 }
 
-/// Finds who asks; none where the route or the deployment does not ask for that.
+/// Identifies the account of a request; returns `None` if the route or the deployment does not
+/// require one.
 pub(crate) fn identify(
     core: &EntryCore,
     call: &ReceivedCall,
@@ -32,7 +33,8 @@
         if let Some(account) = &note.account {
             return identify_forwarded(core, account, note.version, &table).map(Some);
         }
-        // Nobody was asked for there; a node that is ahead may know better.
+        // The forwarding node required no account; this node does so if it has a newer desired
+        // state.
         if note.version >= core.version() {
             return Ok(None);
         }
@@ -53,7 +55,7 @@
         return Ok(None);
     }
     if !core.trusts_keys() {
-        core.metrics.note_key("unproven");
+        core.metrics.note_refused_key("unproven");
         return Err(ResultCode::KeysUnproven);
     }
     let problem = match call.credential {
@@ -74,7 +76,7 @@
     if route.open {
         return Ok(None);
     }
-    core.metrics.note_key(problem);
+    core.metrics.note_refused_key(problem);
     core.log.write(
         "key-refused",
         serde_json::json!({"request": call.attempt, "reason": problem, "version": core.version()}),
@@ -82,7 +84,8 @@
     Err(ResultCode::BadCredential)
 }
 
-/// Takes the word of the node before, unless this one follows a version that is as new and says otherwise.
+/// Accepts the forwarding node's identification, unless this node has an equal or newer version
+/// that contradicts it.
 fn identify_forwarded(
     core: &EntryCore,
     note: &AccountNote,
@@ -90,11 +93,12 @@
     table: &AccountTable,
 ) -> Result<CallIdentity, ResultCode> {
     if core.version() >= version && !table.holds(&note.key, &note.name) {
-        core.metrics.note_key("revoked");
+        core.metrics.note_refused_key("revoked");
         return Err(ResultCode::BadCredential);
     }
     let account = table.named(&note.name).cloned().unwrap_or_else(|| {
-        // The node before chose this region by the homes, which are not known here yet.
+        // The forwarding node chose this region by the account's homes, which are not known here
+        // yet.
         Rc::new(DesiredAccount {
             name: note.name.clone(),
             keys: BTreeSet::new(),
@@ -110,10 +114,11 @@
     })
 }
 
-/// Tells whether the key of a request still counts, before it is sent once more.
+/// Returns whether the key of a request is still valid, before the request is sent again.
 ///
-/// It may have been taken away while the request waited, was tried elsewhere, or its stream was broken off.
-pub(crate) fn still_counts(core: &EntryCore, identity: Option<&CallIdentity>) -> bool {
+/// The key may have been revoked while the request waited or was tried elsewhere, or before its
+/// interrupted stream resumes.
+pub(crate) fn key_still_valid(core: &EntryCore, identity: Option<&CallIdentity>) -> bool {
     let Some(identity) = identity else {
         return true;
     };
@@ -121,7 +126,7 @@
     let name = &identity.account.name;
     let counts = table.still_holds(&identity.key, name, identity.version, core.version());
     if !counts {
-        core.metrics.note_key("revoked");
+        core.metrics.note_refused_key("revoked");
     }
     counts
 }
--- a/crates/zinniahatch_entry/src/core.rs
+++ b/crates/zinniahatch_entry/src/core.rs
@@ -1,14 +1,14 @@
 //! What the tasks of one process share.
 
-use crate::counts::count_desk::CountDesk;
+use crate::auth::allowances::quota_limits;
+use crate::auth::boot_clock::BootClock;
+use crate::counts::pending_counts::PendingCounts;
 use crate::decision_log::DecisionLog;
 use crate::metrics::EntryMetrics;
-use crate::nodes::replica_news::ReplicaNews;
-use crate::replicas::end_checks::EndChecks;
+use crate::nodes::replica_updates::ReplicaUpdates;
+use crate::replicas::crash_checks::CrashChecks;
 use crate::request::pool::ChannelPool;
 use crate::store::watch_topic::WatchTopic;
-use crate::who::allowances::limits_of;
-use crate::who::boot_clock::BootClock;
 use std::cell::Cell;
 use std::cell::RefCell;
 use std::net::SocketAddrV4;
@@ -80,13 +80,13 @@
     pub(crate) quarantined: watch::Sender<()>,
     /// Those whose key in the store is to be removed.
     pub(crate) released: RefCell<Vec<ContentDigest>>,
-    pub(crate) end_checks: EndChecks,
+    pub(crate) end_checks: CrashChecks,
     pub(crate) budgets: RefCell<BTreeMap<ServiceId, RepeatBudget>>,
     /// Where other nodes may listen, from the store and from other nodes.
     pub(crate) contacts: RefCell<ContactBook>,
-    pub(crate) counts: CountDesk,
+    pub(crate) counts: PendingCounts,
     /// News of replicas that the other nodes of the region have not been told.
-    pub(crate) replica_news: RefCell<ReplicaNews>,
+    pub(crate) replica_news: RefCell<ReplicaUpdates>,
     /// How what this node knows of each topic compares with what the readers of its region say.
     pub(crate) covers: RefCell<BTreeMap<WatchTopic, ReaderCover>>,
     /// Whether this node leaves the reading of the desired state to others.
@@ -153,10 +153,10 @@
             suspects: RefCell::default(),
             quarantined: watch::Sender::new(()),
             released: RefCell::default(),
-            end_checks: EndChecks::default(),
+            end_checks: CrashChecks::default(),
             budgets: RefCell::default(),
             contacts: RefCell::new(contacts),
-            counts: CountDesk::default(),
+            counts: PendingCounts::default(),
             replica_news: RefCell::default(),
             covers: RefCell::default(),
             rests: Cell::new(false),
@@ -255,7 +255,7 @@
         );
         let identities = AccountTable::new(&state, &self.identities.borrow());
         *self.identities.borrow_mut() = Rc::new(identities);
-        let limits = limits_of(self, &state);
+        let limits = quota_limits(self, &state);
         self.quotas.borrow_mut().set_limits(&limits, Instant::now());
         self.proofs.borrow_mut().follow(state.version);
         *self.routes.borrow_mut() = Rc::new(RouteTable::new(&state));
--- a/crates/zinniahatch_entry/src/counts.rs
+++ b/crates/zinniahatch_entry/src/counts.rs
@@ -1,4 +1,4 @@
-//! Who got what: counts on their way to the store.
+//! Usage accounting: counts of served requests on their way to the store.
 
-pub(crate) mod count_desk;
 pub(crate) mod counting;
+pub(crate) mod pending_counts;
--- a/crates/zinniahatch_entry/src/counts/counting.rs
+++ b/crates/zinniahatch_entry/src/counts/counting.rs
@@ -1,11 +1,11 @@
-//! Who got what: counts of this node on their way to the store.
+//! Usage accounting: counts of this node on their way to the store.
 //!
-//! Each node counts, seals its counts every ten seconds and hands a copy to the merger of its
-//! region, which writes the region's hour to the store twice a minute. So the death of one node
-//! loses what it had not yet sealed, and the fleet asks the store for a few writes a minute.
+//! Each node records its counts, seals them every ten seconds and sends a copy to the merger of its
+//! region, which writes the region's hour to the store twice a minute. The failure of one node thus
+//! loses only its unsealed counts, and the fleet makes only a few writes per minute.
 
 use crate::core::EntryCore;
-use crate::nodes::snapshot::ask_peer;
+use crate::nodes::snapshot::post_to_peer;
 use crate::request::plan::CallPlan;
 use crate::request::received::ReceivedCall;
 use rand::RngExt;
@@ -28,28 +28,28 @@
 use zinniahatch_report::MergeTask;
 use zinniahatch_route::NodePermit;
 
-/// Path at which the merger of a region takes counts.
+/// Path at which the merger of a region accepts counts.
 pub(crate) const COUNTS_PATH: &str = "/zinnia/counts";
-/// Pause between seals: what the death of a node can lose.
-const SEAL_PAUSE: Duration = Duration::from_secs(10);
-/// Pause between merges into the store.
-const MERGE_PAUSE: Duration = Duration::from_secs(30);
-/// Time after which a sheet is sent again to a merger that has not merged it.
-const AGAIN_TIME: Duration = Duration::from_secs(90);
-/// Tries of one write in one round; the next round tries again.
-const MOST_TRIES: u32 = 3;
-/// The duty whose owner merges.
-const MERGE_DUTY: &str = "accounts";
-/// The one shard of a region's counts; the platform's callers carry no account, so that rows are
-/// few and one value holds them.
+/// Interval between seals, which bounds the counts lost when a node fails.
+const SEAL_INTERVAL: Duration = Duration::from_secs(10);
+/// Interval between merges into the store.
+const MERGE_INTERVAL: Duration = Duration::from_secs(30);
+/// Time after which a sheet that was not merged is sent again.
+const RESEND_AFTER: Duration = Duration::from_secs(90);
+/// Maximum attempts of one write per merge; the next merge tries again.
+const MAX_ATTEMPTS: u32 = 3;
+/// Role name that is hashed to choose the merger.
+const MERGER_ROLE: &str = "accounts";
+/// The only shard of a region's counts: callers of the platform carry no account, so there are few
+/// rows and one value holds them all.
 const SHARD: u16 = 0;
 
-/// Counts as they travel between nodes.
+/// Message with sealed counts from one node to the merger.
 #[derive(Debug, Serialize, Deserialize)]
 struct CountsPost {
     node: NodeId,
     incarnation: Incarnation,
-    /// Whether no counts follow.
+    /// Whether this is the last message of the node.
     last: bool,
     /// Number, minute and rows of each sheet.
     sheets: Vec<(u64, u64, CountSheet)>,
@@ -62,10 +62,10 @@
         .map_or(0, |age| age.as_secs() / SECONDS)
 }
 
-/// Counts the end of a request of a caller.
+/// Records a finished request of a caller.
 ///
-/// A request that was handed over is counted where its caller was answered, once.
-pub(crate) fn count(
+/// A forwarded request is recorded only by the node that answered the caller.
+pub(crate) fn record_request(
     core: &EntryCore,
     call: &ReceivedCall,
     plan: &CallPlan,
@@ -105,43 +105,43 @@
     core.counts.book.borrow_mut().add(key, &row);
 }
 
-/// Gives the node that merges the counts of this region, and where it listens.
+/// Returns the node that merges the counts of this region.
 fn merger(core: &EntryCore) -> NodeId {
     let own = core.settings.name.clone();
     let members = core.members.borrow();
     members
         .live_in(&core.settings.region, Instant::now())
         .into_iter()
-        .map(|card| card.node.clone())
+        .map(|member| member.node.clone())
         .chain(core.is_ready().then(|| own.clone()))
-        .max_by_key(|node| rank_member(MERGE_DUTY, node))
+        .max_by_key(|node| rank_member(MERGER_ROLE, node))
         .unwrap_or(own)
 }
 
-/// Seals and hands over until the process ends.
+/// Seals and sends counts until the process ends.
 pub(crate) async fn run_sealing(core: Rc<EntryCore>) {
     loop {
-        sleep(SEAL_PAUSE).await;
-        hand_over(&core, false).await;
+        sleep(SEAL_INTERVAL).await;
+        send_counts(&core, false).await;
     }
 }
 
-/// Merges until the process ends, a little apart from the other regions' mergers.
+/// Merges until the process ends, with jitter against the mergers of the other regions.
 pub(crate) async fn run_merging(core: Rc<EntryCore>) {
     loop {
-        let jitter = rand::rng().random_range(0..MERGE_PAUSE.as_millis() as u64 / 4);
-        sleep(MERGE_PAUSE + Duration::from_millis(jitter)).await;
+        let jitter = rand::rng().random_range(0..MERGE_INTERVAL.as_millis() as u64 / 4);
+        sleep(MERGE_INTERVAL + Duration::from_millis(jitter)).await;
         merge_all(&core).await;
     }
 }
 
-/// Seals the open counts and hands what is due to the merger.
-pub(crate) async fn hand_over(core: &Rc<EntryCore>, last: bool) {
+/// Seals the open counts and sends the due sheets to the merger.
+pub(crate) async fn send_counts(core: &Rc<EntryCore>, last: bool) {
     let node = merger(core);
     let due = {
         let mut book = core.counts.book.borrow_mut();
         book.seal(epoch_minute());
-        book.due(Instant::now(), AGAIN_TIME, |_| Some(node.clone()))
+        book.due(Instant::now(), RESEND_AFTER, |_| Some(node.clone()))
     };
     if due.is_empty() && (!last || core.counts.book.borrow().is_settled()) {
         return;
@@ -156,13 +156,13 @@
             .collect(),
     };
     let merged = if node == core.settings.name {
-        take(core, post)
+        accept(core, post)
     } else {
         let Ok(body) = postcard::to_allocvec(&post) else {
             return;
         };
         let permit = core.members.borrow().permit(&node);
-        let Some(answer) = ask_merger(core, permit, &body).await else {
+        let Some(answer) = post_to_merger(core, permit, &body).await else {
             core.log
                 .write("counts-not-taken", serde_json::json!({"merger": node}));
             return;
@@ -174,23 +174,24 @@
     core.metrics.set_dropped_sheets(book.dropped());
 }
 
-/// Posts counts to the node that merges them; gives its answer's body.
-async fn ask_merger(
+/// Posts counts to the merger and returns the body of its response.
+async fn post_to_merger(
     core: &Rc<EntryCore>,
     permit: Option<NodePermit>,
     body: &[u8],
 ) -> Option<Vec<u8>> {
-    ask_peer(core, permit?, COUNTS_PATH, body).await
+    post_to_peer(core, permit?, COUNTS_PATH, body).await
 }
 
-/// Takes counts that another node posted; gives the answer's body.
-pub(crate) fn take_post(core: &EntryCore, body: &[u8]) -> Option<Vec<u8>> {
+/// Accepts counts that another node posted and returns the body of the response.
+pub(crate) fn accept_post(core: &EntryCore, body: &[u8]) -> Option<Vec<u8>> {
     let post = postcard::from_bytes::<CountsPost>(body).ok()?;
-    postcard::to_allocvec(&take(core, post)).ok()
+    postcard::to_allocvec(&accept(core, post)).ok()
 }
 
-/// Takes counts; gives the numbers of earlier ones that are in the store.
-fn take(core: &EntryCore, post: CountsPost) -> Vec<u64> {
+/// Accepts counts and returns the numbers of the node's sheets that have been merged since its last
+/// message.
+fn accept(core: &EntryCore, post: CountsPost) -> Vec<u64> {
     let mut desk = core.counts.merging.borrow_mut();
     for (number, minute, sheet) in post.sheets {
         desk.take(
@@ -205,12 +206,13 @@
             },
         );
     }
-    let mut told = core.counts.told.borrow_mut();
-    told.remove(&(post.node, post.incarnation))
+    let mut unacknowledged = core.counts.unacknowledged.borrow_mut();
+    unacknowledged
+        .remove(&(post.node, post.incarnation))
         .unwrap_or_default()
 }
 
-/// Notes that a node died, so that the minutes after its last counts are named in reports.
+/// Records that a node died, so that reports show the minutes after its last counts as a gap.
 pub(crate) fn note_death(core: &EntryCore, node: &NodeId, incarnation: Incarnation) {
     if merger(core) != core.settings.name {
         return;
@@ -219,7 +221,7 @@
     desk.note_death(node, incarnation, epoch_minute());
 }
 
-/// Writes all that was received to the store.
+/// Writes all received counts to the store.
 pub(crate) async fn merge_all(core: &Rc<EntryCore>) {
     let tasks = core.counts.merging.borrow().tasks();
     for task in tasks {
@@ -229,25 +231,28 @@
             continue;
         }
         let done = core.counts.merging.borrow_mut().done(&task);
-        let mut told = core.counts.told.borrow_mut();
+        let mut unacknowledged = core.counts.unacknowledged.borrow_mut();
         for (node, incarnation, numbers) in done {
             if node == core.settings.name && incarnation == core.incarnation {
                 let mut book = core.counts.book.borrow_mut();
                 book.merged(SHARD, &numbers, Instant::now());
                 continue;
             }
-            told.entry((node, incarnation)).or_default().extend(numbers);
+            unacknowledged
+                .entry((node, incarnation))
+                .or_default()
+                .extend(numbers);
         }
     }
 }
 
 /// Merges one task by compare-and-swap.
 ///
-/// When the answer of the write is lost, the next try reads the value, finds the marks that were
-/// written with the counts, and writes nothing.
+/// When the response to a write is lost, the next attempt reads the value, finds the marks that
+/// were written along with the counts, and writes nothing.
 async fn merge_task(core: &Rc<EntryCore>, task: &MergeTask) -> bool {
     let key = format!("{ACCOUNTS_PREFIX}{}/{}", core.settings.region, task.hour);
-    for _ in 0..MOST_TRIES {
+    for _ in 0..MAX_ATTEMPTS {
         let Ok(stored) = StoreClient::get(&core.store, &key).await else {
             core.metrics.note_store("counts", "failed");
             continue;
@@ -275,8 +280,8 @@
     false
 }
 
-/// Hands over the last counts of a node that stops; where it merges, writes them itself.
-pub(crate) async fn settle(core: &Rc<EntryCore>) {
-    hand_over(core, true).await;
+/// Sends the last counts of a node that stops, and merges them itself if it is the merger.
+pub(crate) async fn flush_counts(core: &Rc<EntryCore>) {
+    send_counts(core, true).await;
     merge_all(core).await;
 }
--- /dev/null
+++ b/crates/zinniahatch_entry/src/counts/pending_counts.rs
@@ -0,0 +1,27 @@
+//! Usage counts that a node holds until they are in the store.
+
+use std::cell::RefCell;
+use zinniahatch_base::prelude::*;
+use zinniahatch_report::CountBook;
+use zinniahatch_report::MergeDesk;
+
+/// Usage counts of this node and, while it is the merger of its region, of other nodes.
+#[derive(Debug)]
+pub(crate) struct PendingCounts {
+    /// Counts recorded by this node.
+    pub(crate) book: RefCell<CountBook>,
+    /// Counts received for merging into the store.
+    pub(crate) merging: RefCell<MergeDesk>,
+    /// Numbers of merged sheets, by the node that has not been told of them yet.
+    pub(crate) unacknowledged: RefCell<BTreeMap<(NodeId, Incarnation), Vec<u64>>>,
+}
+
+impl Default for PendingCounts {
+    fn default() -> Self {
+        Self {
+            book: RefCell::new(CountBook::with_shards(1)),
+            merging: RefCell::default(),
+            unacknowledged: RefCell::default(),
+        }
+    }
+}
--- a/crates/zinniahatch_entry/src/lib.rs
+++ b/crates/zinniahatch_entry/src/lib.rs
@@ -2,6 +2,7 @@
 //!
 //! `request` serves callers by what `nodes`, `store`, `replicas` and `who` keep in the tables of `core`.
 
+mod auth;
 mod core;
 mod counts;
 mod decision_log;
@@ -12,7 +13,6 @@
 mod run;
 mod services;
 mod store;
-mod who;
 
 pub use request::channel::AnswerHead;
 pub use request::channel::BackendChannel;
--- a/crates/zinniahatch_entry/src/metrics.rs
+++ b/crates/zinniahatch_entry/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and histograms of an entry VM.
+//! Metrics of an entry VM.
 
 use crate::replicas::limit_metrics::LimitMetrics;
 use crate::replicas::notice_metrics::NoticeMetrics;
@@ -12,7 +12,7 @@
 use prometheus::TextEncoder;
 use zinniahatch_base::prelude::*;
 
-/// Upper bounds of the latency buckets, in seconds: from a lookup to the longest stream.
+/// Upper bounds of the latency buckets, in seconds: from a look-up to the longest stream.
 const BUCKETS: [f64; 11] = [0.01, 0.03, 0.1, 0.2, 0.4, 0.6, 0.8, 1.0, 2.0, 5.0, 15.0];
 
 /// All metrics.
@@ -20,31 +20,31 @@
 pub(crate) struct EntryMetrics {
     registry: Registry,
     answers: IntCounterVec,
-    repeats: IntCounterVec,
-    away: IntCounterVec,
-    platform: IntCounterVec,
+    retries: IntCounterVec,
+    remote_sends: IntCounterVec,
+    store_calls: IntCounterVec,
     first_event: HistogramVec,
-    replica_ends: IntCounter,
+    replica_crashes: IntCounter,
     suspects: IntCounterVec,
     quarantined: IntGauge,
-    /// Of the rate limits that replicas name.
+    /// Metrics of the rate limits that replicas announce.
     pub(crate) limits: LimitMetrics,
-    /// Of what replicas say of themselves.
+    /// Metrics of replica notices.
     pub(crate) notices: NoticeMetrics,
     refused_keys: IntCounterVec,
     over_allowance: IntCounter,
     proof_age: IntGauge,
-    store_returns: IntCounter,
+    store_restores: IntCounter,
     channels: IntGauge,
     dropped_sheets: IntGauge,
 }
 
 impl EntryMetrics {
-    /// Makes and registers all metrics.
+    /// Creates and registers all metrics.
     ///
     /// # Errors
     ///
-    /// A name is taken or wrong.
+    /// A metric name is invalid or already registered.
     pub(crate) fn new() -> Result<Self, prometheus::Error> {
         let registry = Registry::new();
         let counter = |name: &str, help: &str, labels: &[&str]| {
@@ -62,17 +62,17 @@
             "Answers to callers and other nodes, by service and result.",
             &["service", "result"],
         )?;
-        let repeats = counter(
+        let retries = counter(
             "zinniahatch_repeats_total",
             "Requests sent once more, by service and reason.",
             &["service", "reason"],
         )?;
-        let away = counter(
+        let remote_sends = counter(
             "zinniahatch_away_total",
             "Requests sent to a node of another region, by service and region.",
             &["service", "region"],
         )?;
-        let platform = counter(
+        let store_calls = counter(
             "zinniahatch_store_calls_total",
             "Calls to the platform's store, by call and outcome.",
             &["call", "outcome"],
@@ -82,11 +82,11 @@
             "What was learned of requests under which replicas ended, by event.",
             &["event"],
         )?;
-        let replica_ends = IntCounter::new(
+        let replica_crashes = IntCounter::new(
             "zinniahatch_replica_ends_total",
             "Replicas that ended while this node had requests there.",
         )?;
-        registry.register(Box::new(replica_ends.clone()))?;
+        registry.register(Box::new(replica_crashes.clone()))?;
         let quarantined = gauge(
             "zinniahatch_quarantined_requests",
             "Contents of requests that are held because replicas ended under them.",
@@ -114,11 +114,11 @@
             "zinniahatch_proof_age_milliseconds",
             "Age of the newest proof that this node knows of all keys that were taken away; -1 where it has none.",
         )?;
-        let store_returns = IntCounter::new(
+        let store_restores = IntCounter::new(
             "zinniahatch_store_returns_total",
             "Times that the platform's store came back from an older copy.",
         )?;
-        registry.register(Box::new(store_returns.clone()))?;
+        registry.register(Box::new(store_restores.clone()))?;
         let channels = gauge(
             "zinniahatch_backend_channels",
             "Open channels to backend servers and other nodes.",
@@ -132,17 +132,17 @@
             notices: NoticeMetrics::new(&registry)?,
             registry,
             answers,
-            repeats,
-            away,
-            platform,
+            retries,
+            remote_sends,
+            store_calls,
             first_event,
-            replica_ends,
+            replica_crashes,
             suspects,
             quarantined,
             refused_keys,
             over_allowance,
             proof_age,
-            store_returns,
+            store_restores,
             channels,
             dropped_sheets,
         })
@@ -153,45 +153,47 @@
         self.answers.with_label_values(&[service, result]).inc();
     }
 
-    /// Counts a request that is sent once more.
-    pub(crate) fn note_repeat(&self, service: &str, reason: &str) {
-        self.repeats.with_label_values(&[service, reason]).inc();
+    /// Counts a request that is sent again.
+    pub(crate) fn note_retry(&self, service: &str, reason: &str) {
+        self.retries.with_label_values(&[service, reason]).inc();
     }
 
-    /// Counts a request that goes away.
-    pub(crate) fn note_away(&self, service: &str, region: &str) {
-        self.away.with_label_values(&[service, region]).inc();
+    /// Counts a request that is sent to another region.
+    pub(crate) fn note_remote(&self, service: &str, region: &str) {
+        self.remote_sends
+            .with_label_values(&[service, region])
+            .inc();
     }
 
     /// Counts a call to the store.
     pub(crate) fn note_store(&self, call: &str, outcome: &str) {
-        self.platform.with_label_values(&[call, outcome]).inc();
+        self.store_calls.with_label_values(&[call, outcome]).inc();
     }
 
-    /// Counts a replica that has ended.
-    pub(crate) fn note_replica_end(&self) {
-        self.replica_ends.inc();
+    /// Counts a replica that crashed.
+    pub(crate) fn note_replica_crash(&self) {
+        self.replica_crashes.inc();
     }
 
-    /// Counts what was learned of a request under which a replica ended.
+    /// Counts an event of a suspect request.
     pub(crate) fn note_suspect(&self, event: &str) {
         self.suspects.with_label_values(&[event]).inc();
     }
 
-    /// Sets how many contents are held.
+    /// Sets the number of quarantined request contents.
     pub(crate) fn set_quarantined(&self, count: usize) {
         self.quarantined.set(count as i64);
     }
 
-    /// Notes the time to a first event.
+    /// Records the time to the first event of an answer.
     pub(crate) fn note_first_event(&self, service: &str, took: Duration) {
         self.first_event
             .with_label_values(&[service])
             .observe(took.as_secs_f64());
     }
 
-    /// Counts a request that is refused for its key.
-    pub(crate) fn note_key(&self, reason: &str) {
+    /// Counts a request that is refused because of its key.
+    pub(crate) fn note_refused_key(&self, reason: &str) {
         self.refused_keys.with_label_values(&[reason]).inc();
     }
 
@@ -200,9 +202,9 @@
         self.over_allowance.inc();
     }
 
-    /// Counts a return of the store from an older copy.
-    pub(crate) fn note_store_return(&self) {
-        self.store_returns.inc();
+    /// Counts a restore of the store from an older backup.
+    pub(crate) fn note_store_restore(&self) {
+        self.store_restores.inc();
     }
 
     /// Sets the age of the newest proof.
@@ -211,12 +213,12 @@
         self.proof_age.set(millis);
     }
 
-    /// Sets how many sheets of counts were dropped since the start.
+    /// Sets the number of count sheets dropped since the start.
     pub(crate) fn set_dropped_sheets(&self, count: u64) {
         self.dropped_sheets.set(count as i64);
     }
 
-    /// Gives all metrics as text.
+    /// Encodes all metrics in the text format.
     pub(crate) fn text(&self, channels: usize) -> String {
         self.channels.set(channels as i64);
         TextEncoder::new()
--- a/crates/zinniahatch_entry/src/nodes.rs
+++ b/crates/zinniahatch_entry/src/nodes.rs
@@ -1,12 +1,13 @@
-//! News between the nodes: who lives, who has work where, and what one knows that another does not.
+//! Communication between nodes: gossip, peer snapshots and the roles assigned to some nodes of a
+//! region.
 
+pub(crate) mod broadcast;
 pub(crate) mod catch_up;
 pub(crate) mod datagrams;
-pub(crate) mod duty;
 pub(crate) mod gossip;
-pub(crate) mod news_teller;
-pub(crate) mod node_gram;
-pub(crate) mod own_card;
-pub(crate) mod replica_news;
+pub(crate) mod gossip_message;
+pub(crate) mod own_info;
+pub(crate) mod replica_updates;
+pub(crate) mod roles;
 pub(crate) mod snapshot;
-pub(crate) mod work_teller;
+pub(crate) mod work_reporter;
--- /dev/null
+++ b/crates/zinniahatch_entry/src/nodes/broadcast.rs
@@ -0,0 +1,106 @@
+//! Broadcasts of what this node learned about replicas and suspect requests.
+
+use crate::core::EntryCore;
+use crate::nodes::datagrams::broadcast;
+use crate::nodes::datagrams::in_own_region;
+use crate::nodes::datagrams::send_to_matching;
+use crate::nodes::gossip_message::GossipMessage;
+use crate::nodes::replica_updates::ReplicaUpdates;
+use std::net::SocketAddrV4;
+use tokio::net::UdpSocket;
+use zinniahatch_base::prelude::*;
+use zinniahatch_route::LimitNews;
+use zinniahatch_route::MemberCard;
+use zinniahatch_route::ReplicaLife;
+
+/// Maximum replica updates per datagram: about 60 bytes each, so that they fit in one packet.
+const MAX_REPLICA_UPDATES: usize = 16;
+/// Maximum suspect requests per datagram: about 50 bytes each, so that they fit in one packet.
+const MAX_SUSPECTS: usize = 24;
+/// Maximum rate limits per datagram: about 16 bytes each, so that they fit in one packet.
+const MAX_RATE_LIMITS: usize = 64;
+
+/// Broadcasts pending replica updates to the region in batches.
+pub(crate) async fn broadcast_replica_updates(core: &EntryCore, socket: &UdpSocket) {
+    loop {
+        let part = core
+            .replica_news
+            .borrow_mut()
+            .take_batch(MAX_REPLICA_UPDATES);
+        if part == ReplicaUpdates::default() {
+            return;
+        }
+        broadcast(core, socket, &GossipMessage::Replicas(part)).await;
+    }
+}
+
+/// Broadcasts what this node learned about suspect requests.
+///
+/// `again` repeats recent updates that already went to all nodes, since datagrams may be lost.
+pub(crate) async fn broadcast_suspects(core: &EntryCore, socket: &UdpSocket, again: bool) {
+    let now = Instant::now();
+    let batch = core
+        .suspects
+        .borrow_mut()
+        .take_news(again, MAX_SUSPECTS, now);
+    if !batch.wide.is_empty() {
+        send_to_matching(core, socket, &GossipMessage::Suspects(batch.wide), |_| true).await;
+    }
+    if !batch.own.is_empty() {
+        let relays = core.members.borrow().one_each(&core.settings.name, now);
+        let filter =
+            |member: &MemberCard| in_own_region(core, member) || relays.contains(&member.peer);
+        send_to_matching(core, socket, &GossipMessage::Suspects(batch.own), filter).await;
+    }
+    if !batch.passed.is_empty() {
+        broadcast(core, socket, &GossipMessage::Suspects(batch.passed)).await;
+    }
+}
+
+/// Broadcasts pending rate limit updates to the region.
+pub(crate) async fn broadcast_rate_limits(core: &EntryCore, socket: &UdpSocket) {
+    loop {
+        let updates = core.replicas.borrow_mut().limits.take_news(MAX_RATE_LIMITS);
+        if updates.is_empty() {
+            return;
+        }
+        broadcast(core, socket, &GossipMessage::RateLimits(updates)).await;
+    }
+}
+
+/// Sends all known rate limits and leaving replicas to a node of the region whose digest differs.
+pub(crate) async fn send_known_notices(core: &EntryCore, socket: &UdpSocket, to: SocketAddrV4) {
+    let leaving: Vec<ReplicaLife> = core.replicas.borrow().said_leaving().cloned().collect();
+    for part in leaving.chunks(MAX_REPLICA_UPDATES) {
+        let updates = ReplicaUpdates {
+            leaving: part.to_vec(),
+            ..ReplicaUpdates::default()
+        };
+        send_message(socket, &GossipMessage::Replicas(updates), to).await;
+    }
+    let known: Vec<LimitNews> = core.replicas.borrow().limits.known_news().collect();
+    for part in known.chunks(MAX_RATE_LIMITS) {
+        send_message(socket, &GossipMessage::RateLimits(part.to_vec()), to).await;
+    }
+}
+
+/// Sends state to a node whose digest differs.
+async fn send_message(socket: &UdpSocket, message: &GossipMessage, to: SocketAddrV4) {
+    if let Ok(bytes) = postcard::to_allocvec(message) {
+        // A failed send counts as a lost datagram; the next heartbeat shows the difference again.
+        let _ = socket.send_to(&bytes, to).await;
+    }
+}
+
+/// Sends the known suspect requests to a node whose digest differs.
+///
+/// A node that was cut off or has just started learns them this way with the first heartbeats.
+pub(crate) async fn send_known_suspects(core: &EntryCore, socket: &UdpSocket, to: SocketAddrV4) {
+    let now = Instant::now();
+    let draw = rand::random();
+    let updates = core.suspects.borrow().known_news(draw, MAX_SUSPECTS, now);
+    if updates.is_empty() {
+        return;
+    }
+    send_message(socket, &GossipMessage::Suspects(updates), to).await;
+}
--- a/crates/zinniahatch_entry/src/nodes/catch_up.rs
+++ b/crates/zinniahatch_entry/src/nodes/catch_up.rs
@@ -1,7 +1,8 @@
-//! Taking over from another node what the store does not give in time.
+//! Recovery of state from a peer when the store does not deliver it in time.
 //!
-//! A node that is cut off from the store would go on by old rules and send to replicas that have left.
-//! One whose watch is merely a little behind waits for it, since a snapshot has tens of kilobytes.
+//! A node cut off from the store would keep applying outdated rules and send requests to replicas
+//! that have left. A node whose watch merely lags slightly waits for the watch instead, since a
+//! snapshot has tens of kilobytes.
 
 use crate::core::EntryCore;
 use crate::nodes::snapshot::fetch_snapshot;
@@ -11,21 +12,22 @@
 use zinniahatch_base::prelude::*;
 use zinniahatch_route::PupilState;
 
-/// Pause between looks at what the other nodes follow.
-const LOOK_TIME: Duration = Duration::from_millis(200);
-/// Time for which the own watch may be behind the newest version that another node follows: watches
-/// pause up to 1.2 s after each change.
-const BEHIND_TIME: Duration = Duration::from_millis(1500);
-/// The same for a node that leaves the reading to others: it has nothing to wait for.
-const REST_BEHIND: Duration = Duration::from_millis(800);
-/// Pause after a snapshot, for a node that the store still does not serve.
-const BLIND_PAUSE: Duration = Duration::from_secs(1);
+/// Interval between comparisons with the versions that other nodes have.
+const CHECK_INTERVAL: Duration = Duration::from_millis(200);
+/// Lag behind the newest version known to any node before a snapshot is fetched; watches pause for
+/// up to 1.2 s after each change.
+const MAX_WATCH_LAG: Duration = Duration::from_millis(1500);
+/// The same limit for a node that leaves polling the store to the store readers: it has no watch
+/// result to wait for.
+const MAX_PASSIVE_LAG: Duration = Duration::from_millis(800);
+/// Pause after a snapshot while the store is still unreachable from this node.
+const OUTAGE_PAUSE: Duration = Duration::from_secs(1);
 
-/// Catches up until the process ends.
+/// Runs the catch-up loop until the process ends.
 pub(crate) async fn run_catch_up(core: Rc<EntryCore>) {
     let mut behind_since = None;
     loop {
-        sleep(LOOK_TIME).await;
+        sleep(CHECK_INTERVAL).await;
         let now = Instant::now();
         let sighted = !core.replicas.borrow().in_trouble(now);
         let own = PupilState {
@@ -34,35 +36,36 @@
             preset: core.preset.borrow().revision,
             sighted,
         };
-        let teacher = {
+        let source = {
             let members = core.members.borrow();
-            let found = members.teacher(&own, core.ticket(), now);
-            found.and_then(|card| members.permit(&card.node))
+            let peer_info = members.teacher(&own, core.ticket(), now);
+            peer_info.and_then(|member| members.permit(&member.node))
         };
-        let Some(peer) = teacher else {
+        let Some(peer) = source else {
             behind_since = None;
             continue;
         };
         let since = *behind_since.get_or_insert(now);
-        if now.saturating_duration_since(since) < patience(&core, sighted) {
+        if now.saturating_duration_since(since) < lag_allowance(&core, sighted) {
             continue;
         }
         fetch_snapshot(&core, peer).await;
         behind_since = None;
         if !sighted {
-            sleep(BLIND_PAUSE).await;
+            sleep(OUTAGE_PAUSE).await;
         }
     }
 }
 
-/// Gives the time for which this node waits for its own watch before it asks a peer.
-fn patience(core: &EntryCore, sighted: bool) -> Duration {
+/// Returns how long this node waits for its own watch before it fetches a snapshot from a peer.
+fn lag_allowance(core: &EntryCore, sighted: bool) -> Duration {
     if !sighted || !core.knows() {
         return Duration::ZERO;
     }
     if !core.rests.get() {
-        return BEHIND_TIME;
+        return MAX_WATCH_LAG;
     }
-    // The nodes that hear of a new version at once do not all ask the few that have it.
-    REST_BEHIND.mul_f64(rand::rng().random())
+    // Jitter keeps nodes that learn of a new version at the same time from all asking the few nodes
+    // that have it.
+    MAX_PASSIVE_LAG.mul_f64(rand::rng().random())
 }
--- a/crates/zinniahatch_entry/src/nodes/datagrams.rs
+++ b/crates/zinniahatch_entry/src/nodes/datagrams.rs
@@ -1,49 +1,49 @@
-//! Sending datagrams to the nodes that this one knows.
+//! Sending datagrams to known nodes.
 
 use crate::core::EntryCore;
-use crate::nodes::node_gram::NodeGram;
+use crate::nodes::gossip_message::GossipMessage;
 use std::net::SocketAddrV4;
 use tokio::net::UdpSocket;
 use zinniahatch_route::MemberCard;
 
-/// Tells whether a node is of this one's region.
-pub(crate) fn is_near(core: &EntryCore, card: &MemberCard) -> bool {
-    card.region == core.settings.region
+/// Returns whether a node belongs to this node's region.
+pub(crate) fn in_own_region(core: &EntryCore, member: &MemberCard) -> bool {
+    member.region == core.settings.region
 }
 
-/// Tells whether a known node of this one's region speaks from an address.
-pub(crate) fn speaks_near(core: &EntryCore, from: SocketAddrV4) -> bool {
+/// Returns whether an address belongs to a known node of this node's region.
+pub(crate) fn is_from_own_region(core: &EntryCore, from: SocketAddrV4) -> bool {
     let members = core.members.borrow();
     members
         .at_address(from)
-        .is_some_and(|card| is_near(core, card))
+        .is_some_and(|member| in_own_region(core, member))
 }
 
-/// Sends a datagram to all nodes of the region.
-pub(crate) async fn tell_near(core: &EntryCore, socket: &UdpSocket, gram: &NodeGram) {
-    tell_where(core, socket, gram, |card| is_near(core, card)).await;
+/// Sends a datagram to all known nodes of the region.
+pub(crate) async fn broadcast(core: &EntryCore, socket: &UdpSocket, message: &GossipMessage) {
+    send_to_matching(core, socket, message, |member| in_own_region(core, member)).await;
 }
 
-/// Sends a datagram to those of the known nodes that are meant.
-pub(crate) async fn tell_where(
+/// Sends a datagram to the known nodes that match a filter.
+pub(crate) async fn send_to_matching(
     core: &EntryCore,
     socket: &UdpSocket,
-    gram: &NodeGram,
-    meant: impl Fn(&MemberCard) -> bool,
+    message: &GossipMessage,
+    filter: impl Fn(&MemberCard) -> bool,
 ) {
-    let Ok(bytes) = postcard::to_allocvec(gram) else {
+    let Ok(bytes) = postcard::to_allocvec(message) else {
         return;
     };
     let addresses: Vec<SocketAddrV4> = {
         let members = core.members.borrow();
         members
             .known()
-            .filter(|card| meant(card))
-            .map(|card| card.peer)
+            .filter(|member| filter(member))
+            .map(|member| member.peer)
             .collect()
     };
     for address in addresses {
-        // A datagram that cannot be sent is as good as lost; the next one follows.
+        // A failed send counts as a lost datagram; later datagrams make up for it.
         let _ = socket.send_to(&bytes, address).await;
     }
 }
--- a/crates/zinniahatch_entry/src/nodes/gossip.rs
+++ b/crates/zinniahatch_entry/src/nodes/gossip.rs
@@ -1,22 +1,22 @@
-//! Datagrams between nodes: who lives, what each region can take, and who has work where.
+//! Gossip between nodes over UDP: membership, capacity of each region and in-flight work.
 
+use crate::auth::proofs::apply_proof;
 use crate::core::ACQUAINT_TIME;
 use crate::core::EntryCore;
 use crate::counts::counting::note_death;
-use crate::nodes::datagrams::speaks_near;
-use crate::nodes::news_teller::tell_known_notices;
-use crate::nodes::news_teller::tell_known_suspects;
-use crate::nodes::news_teller::tell_news;
-use crate::nodes::news_teller::tell_suspects;
-use crate::nodes::node_gram::CardGram;
-use crate::nodes::node_gram::NodeGram;
-use crate::nodes::own_card::own_card;
-use crate::nodes::work_teller::WorkTeller;
-use crate::replicas::quarantine::NewsSource;
-use crate::replicas::quarantine::hear_suspects;
-use crate::replicas::rate_limit::hear_limits;
-use crate::store::news::take_replica_news;
-use crate::who::proofs::hear_proof;
+use crate::nodes::broadcast::broadcast_replica_updates;
+use crate::nodes::broadcast::broadcast_suspects;
+use crate::nodes::broadcast::send_known_notices;
+use crate::nodes::broadcast::send_known_suspects;
+use crate::nodes::datagrams::is_from_own_region;
+use crate::nodes::gossip_message::GossipMessage;
+use crate::nodes::gossip_message::Heartbeat;
+use crate::nodes::own_info::own_member_info;
+use crate::nodes::work_reporter::WorkReporter;
+use crate::replicas::quarantine::UpdateSource;
+use crate::replicas::quarantine::apply_suspects;
+use crate::replicas::rate_limit::apply_rate_limit_updates;
+use crate::store::updates::apply_replica_updates;
 use rand::seq::IndexedRandom;
 use std::net::SocketAddr;
 use std::net::SocketAddrV4;
@@ -30,131 +30,144 @@
 use zinniahatch_route::RegionSpends;
 use zinniahatch_route::ToldProof;
 
-/// Pause between cards; three are lost before a node counts as silent.
-const CARD_PAUSE: Duration = Duration::from_millis(500);
-/// Pause between cards while a node gets to know the others. Until it heard of one in another region it
-/// turned away what its own could not serve.
-const START_PAUSE: Duration = Duration::from_millis(100);
-/// Pause between tellings of what the accounts use to the other regions.
-const FAR_PAUSE: Duration = Duration::from_millis(200);
-/// Largest datagram that is read.
-const LARGEST: usize = 8 << 10;
-/// Other nodes named in a datagram, so that a fresh node finds all from one.
-const MOST_HINTS: usize = 3;
+/// Interval between heartbeats; a node counts as silent after three lost ones.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
+/// Heartbeat interval while a node discovers the others. Until it knows a node in another region it
+/// rejects the requests that its own region cannot serve.
+const STARTUP_HEARTBEAT_INTERVAL: Duration = Duration::from_millis(100);
+/// Interval between account usage reports to the other regions.
+const USAGE_INTERVAL: Duration = Duration::from_millis(200);
+/// Size of the receive buffer, and thus the largest datagram that is read in full.
+const MAX_DATAGRAM_BYTES: usize = 8 << 10;
+/// Number of peer addresses in a heartbeat, so that a new node discovers all nodes from one
+/// contact.
+const MAX_PEERS: usize = 3;
 
-/// The last clock heard of each node, and when.
+/// The last timestamp received from each node, and when it arrived.
 type EchoTable = BTreeMap<NodeId, (u64, Instant)>;
 
-/// Sends and receives until the process ends.
+/// Runs the gossip loop until the process ends.
 pub(crate) async fn run_gossip(core: Rc<EntryCore>, socket: UdpSocket) {
     let mut echoes = EchoTable::new();
-    let mut teller = WorkTeller::new(core.origin());
-    let mut cards = interval(START_PAUSE);
-    cards.set_missed_tick_behavior(MissedTickBehavior::Delay);
-    let mut far = interval(FAR_PAUSE);
-    far.set_missed_tick_behavior(MissedTickBehavior::Delay);
-    let mut buffer = vec![0; LARGEST];
+    let mut reporter = WorkReporter::new(core.origin());
+    let mut heartbeats = interval(STARTUP_HEARTBEAT_INTERVAL);
+    heartbeats.set_missed_tick_behavior(MissedTickBehavior::Delay);
+    let mut usage_reports = interval(USAGE_INTERVAL);
+    usage_reports.set_missed_tick_behavior(MissedTickBehavior::Delay);
+    let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
     loop {
-        let due = teller.due();
+        let due = reporter.next_due();
         tokio::select! {
             received = socket.recv_from(&mut buffer) => {
                 if let Ok((length, SocketAddr::V4(from))) = received {
-                    let heard = hear(&core, &mut teller, &mut echoes, &buffer[..length], from);
-                    match heard {
-                        HeardGram::Plain => {}
-                        HeardGram::Card(differs) => {
-                            if differs.suspects {
-                                tell_known_suspects(&core, &socket, from).await;
+                    let effect = handle_datagram(
+                        &core,
+                        &mut reporter,
+                        &mut echoes,
+                        &buffer[..length],
+                        from,
+                    );
+                    match effect {
+                        DatagramEffect::Handled => {}
+                        DatagramEffect::Heartbeat(diff) => {
+                            if diff.suspects {
+                                send_known_suspects(&core, &socket, from).await;
                             }
-                            if differs.notices {
-                                tell_known_notices(&core, &socket, from).await;
+                            if diff.notices {
+                                send_known_notices(&core, &socket, from).await;
                             }
                         }
-                        HeardGram::Spends(spends) => teller.hear_far(&core, &socket, &spends).await,
+                        DatagramEffect::AccountUsage(usage) => reporter
+                            .handle_remote_usage(&core, &socket, &usage)
+                            .await,
                     }
                 }
             }
-            () = core.work_changed.notified() => teller.note_changed(Instant::now()),
+            () = core.work_changed.notified() => reporter.schedule_changes(Instant::now()),
             () = sleep_until(due.unwrap_or_else(Instant::now).into()), if due.is_some() => {
-                teller.tell(&core, &socket).await;
+                reporter.send_due(&core, &socket).await;
             }
-            _ = far.tick() => teller.tell_far(&core, &socket).await,
-            _ = cards.tick() => {
-                tell_cards(&core, &socket, &echoes).await;
-                teller.refresh(&core, &socket).await;
-                tell_news(&core, &socket).await;
-                tell_suspects(&core, &socket, true).await;
-                if cards.period() != CARD_PAUSE && core.started.elapsed() >= ACQUAINT_TIME {
-                    cards = interval(CARD_PAUSE);
-                    cards.set_missed_tick_behavior(MissedTickBehavior::Delay);
-                    cards.reset();
+            _ = usage_reports.tick() => reporter.report_usage(&core, &socket).await,
+            _ = heartbeats.tick() => {
+                send_heartbeats(&core, &socket, &echoes).await;
+                reporter.refresh(&core, &socket).await;
+                broadcast_replica_updates(&core, &socket).await;
+                broadcast_suspects(&core, &socket, true).await;
+                if heartbeats.period() != HEARTBEAT_INTERVAL
+                    && core.started.elapsed() >= ACQUAINT_TIME
+                {
+                    heartbeats = interval(HEARTBEAT_INTERVAL);
+                    heartbeats.set_missed_tick_behavior(MissedTickBehavior::Delay);
+                    heartbeats.reset();
                 }
             }
         }
     }
 }
 
-/// Tells the nodes at once what this one is, when it leaves.
-pub(crate) async fn tell_all(core: &Rc<EntryCore>, socket: &UdpSocket) {
-    tell_cards(core, socket, &EchoTable::new()).await;
+/// Sends a last heartbeat, which announces that this node is leaving.
+pub(crate) async fn announce_leaving(core: &Rc<EntryCore>, socket: &UdpSocket) {
+    send_heartbeats(core, socket, &EchoTable::new()).await;
 }
 
-async fn tell_cards(core: &Rc<EntryCore>, socket: &UdpSocket, echoes: &EchoTable) {
+async fn send_heartbeats(core: &Rc<EntryCore>, socket: &UdpSocket, echoes: &EchoTable) {
     let now = Instant::now();
-    let mut gram = CardGram {
-        card: own_card(core, now),
+    let mut heartbeat = Heartbeat {
+        member: own_member_info(core, now),
         stamp: 0,
         echo: None,
-        asks: false,
-        hints: hints(core),
+        wants_reply: false,
+        peers: sample_peers(core),
         suspects: core.suspects.borrow().known_digest(),
         notices: notices_digest(core),
     };
-    for (address, asks) in receivers(core, now) {
+    for (address, wants_reply) in heartbeat_receivers(core, now) {
         let node = core.members.borrow().at_address(address).cloned();
-        gram.asks = asks;
-        gram.echo = node
-            .and_then(|card| echoes.get(&card.node))
+        heartbeat.wants_reply = wants_reply;
+        heartbeat.echo = node
+            .and_then(|member| echoes.get(&member.node))
             .map(|(stamp, at)| (*stamp, at.elapsed().as_micros() as u64));
-        // Read after the time for which the echo was held: the receiver takes that off the age of the proof.
+        // Read after the echo's hold time is computed, since the receiver subtracts that time from
+        // the age of the proof.
         let sent = core.clock.now();
-        gram.stamp = core.clock.stamp(sent);
-        gram.card.proof = core.proofs.borrow().told(sent);
-        let card = NodeGram::Card(gram);
-        let bytes = postcard::to_allocvec(&card);
-        let NodeGram::Card(back) = card else {
+        heartbeat.stamp = core.clock.stamp(sent);
+        heartbeat.member.proof = core.proofs.borrow().told(sent);
+        let message = GossipMessage::Heartbeat(heartbeat);
+        let bytes = postcard::to_allocvec(&message);
+        let GossipMessage::Heartbeat(back) = message else {
             return;
         };
-        gram = back;
+        heartbeat = back;
         let Ok(bytes) = bytes else {
             return;
         };
-        // A datagram that cannot be sent is as good as lost; the next one follows.
+        // A failed send counts as a lost datagram; the next heartbeat follows.
         let _ = socket.send_to(&bytes, address).await;
     }
 }
 
-/// Gives a digest of what replicas of the region said of themselves that binds all its nodes.
+/// Returns a digest of the rate limits and leaving notices of replicas, which apply to all nodes of
+/// the region.
 fn notices_digest(core: &EntryCore) -> u64 {
     let replicas = core.replicas.borrow();
     replicas.limits.digest() ^ replicas.leaving_digest()
 }
 
-fn hints(core: &EntryCore) -> Vec<(SocketAddrV4, RegionId)> {
+fn sample_peers(core: &EntryCore) -> Vec<(SocketAddrV4, RegionId)> {
     let members = core.members.borrow();
     let known: Vec<_> = members
         .known()
-        .map(|card| (card.peer, &card.region))
+        .map(|member| (member.peer, &member.region))
         .collect();
     known
-        .sample(&mut rand::rng(), MOST_HINTS)
+        .sample(&mut rand::rng(), MAX_PEERS)
         .map(|(peer, region)| (*peer, (*region).clone()))
         .collect()
 }
 
-/// Gives whom to tell now, and whether each is asked for its own card: the contacts of this node, and
-/// those whose contact it is.
-fn receivers(core: &EntryCore, now: Instant) -> BTreeMap<SocketAddrV4, bool> {
+/// Returns the addresses that receive a heartbeat now, and whether each is asked to reply with its
+/// own: the contacts of this node, and the nodes that have it as a contact.
+fn heartbeat_receivers(core: &EntryCore, now: Instant) -> BTreeMap<SocketAddrV4, bool> {
     let members = core.members.borrow();
     let mut found: BTreeMap<SocketAddrV4, bool> = members
         .askers(now)
@@ -166,98 +179,103 @@
     found
 }
 
-/// What the sender of a card knows otherwise than this node.
+/// Which state the sender of a heartbeat has that differs from this node's.
 #[derive(Clone, Copy)]
-struct CardDiffers {
+struct StateDiff {
     suspects: bool,
     notices: bool,
 }
 
-/// What is to be done about a datagram that was taken.
-enum HeardGram {
-    /// Nothing more.
-    Plain,
-    /// A card, and what its sender knows otherwise than this node.
-    Card(CardDiffers),
-    /// What the accounts use in another region.
-    Spends(RegionSpends),
+/// Follow-up action for a received datagram.
+enum DatagramEffect {
+    /// No follow-up.
+    Handled,
+    /// A heartbeat was received; states that differ are sent to the sender.
+    Heartbeat(StateDiff),
+    /// Account usage in another region, to be passed on within this one.
+    AccountUsage(RegionSpends),
 }
 
-/// Takes a datagram.
-fn hear(
+/// Handles a received datagram.
+fn handle_datagram(
     core: &EntryCore,
-    teller: &mut WorkTeller,
+    reporter: &mut WorkReporter,
     echoes: &mut EchoTable,
     bytes: &[u8],
     from: SocketAddrV4,
-) -> HeardGram {
+) -> DatagramEffect {
     match postcard::from_bytes(bytes) {
-        Ok(NodeGram::Card(gram)) => {
-            let near = gram.card.region == core.settings.region;
-            let differs = CardDiffers {
-                suspects: gram.suspects != core.suspects.borrow().known_digest(),
-                notices: near && gram.notices != notices_digest(core),
+        Ok(GossipMessage::Heartbeat(heartbeat)) => {
+            let same_region = heartbeat.member.region == core.settings.region;
+            let diff = StateDiff {
+                suspects: heartbeat.suspects != core.suspects.borrow().known_digest(),
+                notices: same_region && heartbeat.notices != notices_digest(core),
             };
-            hear_card(core, echoes, gram);
-            return HeardGram::Card(differs);
+            handle_heartbeat(core, echoes, heartbeat);
+            return DatagramEffect::Heartbeat(diff);
         }
-        Ok(NodeGram::Suspects(news)) => hear_suspects(core, &news, source_of(core, from)),
-        Ok(NodeGram::Limits(news)) => hear_near_limits(core, &news, from),
-        Ok(NodeGram::Work(gram)) => teller.hear(core, gram, from),
-        Ok(NodeGram::Spends(spends)) => return HeardGram::Spends(spends),
-        Ok(NodeGram::News(news)) => take_replica_news(core, news, Instant::now()),
+        Ok(GossipMessage::Suspects(batch)) => apply_suspects(core, &batch, source_of(core, from)),
+        Ok(GossipMessage::RateLimits(updates)) => handle_rate_limits(core, &updates, from),
+        Ok(GossipMessage::Work(report)) => reporter.handle_report(core, report, from),
+        Ok(GossipMessage::AccountUsage(usage)) => return DatagramEffect::AccountUsage(usage),
+        Ok(GossipMessage::Replicas(batch)) => apply_replica_updates(core, batch, Instant::now()),
         Err(_) => core.log.write(
             "datagram-rejected",
             serde_json::json!({"bytes": bytes.len(), "from": from.to_string()}),
         ),
     }
-    HeardGram::Plain
+    DatagramEffect::Handled
 }
 
-fn hear_near_limits(core: &EntryCore, news: &[LimitNews], from: SocketAddrV4) {
-    if speaks_near(core, from) {
-        hear_limits(core, news);
+fn handle_rate_limits(core: &EntryCore, updates: &[LimitNews], from: SocketAddrV4) {
+    if is_from_own_region(core, from) {
+        apply_rate_limit_updates(core, updates);
     }
 }
 
-/// Tells whether a node of this region speaks from an address. One that is not known yet is taken for one of
-/// another region, so that what it says is passed on.
-fn source_of(core: &EntryCore, from: SocketAddrV4) -> NewsSource {
-    if speaks_near(core, from) {
-        NewsSource::Near
+/// Returns the origin of updates from an address.
+///
+/// An unknown sender counts as a node of another region, so that its updates are forwarded.
+fn source_of(core: &EntryCore, from: SocketAddrV4) -> UpdateSource {
+    if is_from_own_region(core, from) {
+        UpdateSource::SameRegion
     } else {
-        NewsSource::Far
+        UpdateSource::OtherRegion
     }
 }
 
-fn hear_card(core: &EntryCore, echoes: &mut EchoTable, gram: CardGram) {
-    let node = gram.card.node.clone();
+fn handle_heartbeat(core: &EntryCore, echoes: &mut EchoTable, heartbeat: Heartbeat) {
+    let node = heartbeat.member.node.clone();
     if node == core.settings.name {
         return;
     }
     let now = Instant::now();
-    echoes.insert(node.clone(), (gram.stamp, now));
+    echoes.insert(node.clone(), (heartbeat.stamp, now));
     {
         let mut contacts = core.contacts.borrow_mut();
-        contacts.note_heard(gram.card.peer, &gram.card.region, now);
-        for (address, region) in &gram.hints {
+        contacts.note_heard(heartbeat.member.peer, &heartbeat.member.region, now);
+        for (address, region) in &heartbeat.peers {
             contacts.note(*address, Some(region));
         }
     }
-    let (region, stage) = (gram.card.region.clone(), gram.card.stage);
-    let proof = gram.card.proof;
+    let (region, stage) = (heartbeat.member.region.clone(), heartbeat.member.stage);
+    let proof = heartbeat.member.proof;
     if region == core.settings.region {
         let mut quotas = core.quotas.borrow_mut();
         quotas.note_heard(tag_of(&region), now);
     }
-    let asks = gram.asks;
-    let (fresh, replaced) = core.members.borrow_mut().hear(gram.card, asks, now);
+    let wants_reply = heartbeat.wants_reply;
+    let (fresh, replaced) = core
+        .members
+        .borrow_mut()
+        .hear(heartbeat.member, wants_reply, now);
     if let Some(incarnation) = replaced
         && region == core.settings.region
     {
         note_death(core, &node, incarnation);
     }
-    // A node that was heard of while it started tells by a later card that it is ready now.
+    // The sender may have been discovered while it was starting; a later heartbeat reports it as
+    // ready.
     core.learned.notify_waiters();
     if fresh {
         core.log.write(
@@ -265,8 +283,8 @@
             serde_json::json!({"member": node, "region": region, "stage": stage}),
         );
     }
-    if let Some((stamp, held)) = gram.echo {
-        hear_echo(
+    if let Some((stamp, held)) = heartbeat.echo {
+        handle_echo(
             core,
             &node,
             &region,
@@ -277,8 +295,8 @@
     }
 }
 
-/// Takes back the stamp of one of this node's own cards, which the other node held for a while.
-fn hear_echo(
+/// Handles the echo of a timestamp that this node sent, and that the other node held for a while.
+fn handle_echo(
     core: &EntryCore,
     node: &NodeId,
     region: &RegionId,
@@ -287,16 +305,16 @@
     proof: Option<ToldProof>,
 ) {
     let now = core.clock.now();
-    // A node that has not heard of this start yet echoes a stamp of an earlier one.
+    // A node that has not heard from this process yet may echo a timestamp of an earlier process.
     let Some(asked) = core.clock.sent_at(stamp, now) else {
         return;
     };
-    // The card that brings the echo was sent no earlier than this.
+    // The heartbeat that carries the echo was sent no earlier than this.
     let answered = asked + held;
-    let trip = now.saturating_sub(answered);
-    core.members.borrow_mut().note_trip(node, trip);
-    if let Some(told) = proof {
-        hear_proof(core, told, answered);
+    let round_trip = now.saturating_sub(answered);
+    core.members.borrow_mut().note_trip(node, round_trip);
+    if let Some(proof) = proof {
+        apply_proof(core, proof, answered);
     }
     let sent = Instant::now().checked_sub(now.saturating_sub(asked));
     if let Some(sent) = sent {
--- /dev/null
+++ b/crates/zinniahatch_entry/src/nodes/gossip_message.rs
@@ -0,0 +1,74 @@
+//! Messages exchanged between nodes as UDP datagrams.
+
+use crate::nodes::replica_updates::ReplicaUpdates;
+use serde::Deserialize;
+use serde::Serialize;
+use std::net::SocketAddrV4;
+use zinniahatch_base::prelude::*;
+use zinniahatch_route::LimitNews;
+use zinniahatch_route::MemberCard;
+use zinniahatch_route::RegionSpends;
+use zinniahatch_route::SuspectNews;
+use zinniahatch_route::WorkPart;
+
+/// A datagram between nodes.
+#[derive(Debug, Serialize, Deserialize)]
+pub(crate) enum GossipMessage {
+    /// Identity of a node and capacity of its region.
+    Heartbeat(Heartbeat),
+    /// In-flight work of nodes of the region and prompts that their replicas have read.
+    Work(WorkReport),
+    /// Replica changes learned by a node of the region.
+    Replicas(ReplicaUpdates),
+    /// Suspect requests: those during which replicas crashed.
+    Suspects(Vec<SuspectNews>),
+    /// Rate limits of the region's replicas.
+    RateLimits(Vec<LimitNews>),
+    /// Account usage in another region, to be passed on within this one.
+    AccountUsage(RegionSpends),
+}
+
+/// Periodic message with a node's identity and state.
+#[derive(Debug, Serialize, Deserialize)]
+pub(crate) struct Heartbeat {
+    /// Identity and state of the sender.
+    pub(crate) member: MemberCard,
+    /// The sender's clock, for the round-trip time.
+    pub(crate) stamp: u64,
+    /// The receiver's last timestamp and how long the sender held it, in microseconds.
+    pub(crate) echo: Option<(u64, u64)>,
+    /// Whether the receiver should reply with its own heartbeat.
+    pub(crate) wants_reply: bool,
+    /// Addresses and regions of some other nodes.
+    pub(crate) peers: Vec<(SocketAddrV4, RegionId)>,
+    /// Digest of the requests during which several replicas crashed.
+    pub(crate) suspects: u64,
+    /// Digest of the rate limits in force and of the leaving replicas in the sender's region.
+    pub(crate) notices: u64,
+}
+
+/// Report of in-flight work.
+#[derive(Debug, Serialize, Deserialize)]
+pub(crate) struct WorkReport {
+    /// The reports, one per process.
+    pub(crate) parts: Vec<WorkPart>,
+    /// Account usage per region.
+    pub(crate) usage: Vec<RegionSpends>,
+    /// Whether the receiver should aggregate the reports and relay them to all nodes of the region.
+    pub(crate) relay: bool,
+}
+
+impl WorkReport {
+    /// Builds the datagram for the report of one node.
+    pub(crate) fn of(
+        part: Option<WorkPart>,
+        usage: Vec<RegionSpends>,
+        relay: bool,
+    ) -> GossipMessage {
+        GossipMessage::Work(Self {
+            parts: part.into_iter().collect(),
+            usage,
+            relay,
+        })
+    }
+}
--- a/crates/zinniahatch_entry/src/nodes/own_card.rs
+++ b/crates/zinniahatch_entry/src/nodes/own_info.rs
@@ -1,9 +1,10 @@
-//! What this node tells the others of itself, and how it compares with what the readers of its region tell.
+//! State of this node as reported in its heartbeats, and its comparison with that of the store
+//! readers.
 
 use crate::core::EntryCore;
-use crate::nodes::duty::READER_DUTY;
-use crate::nodes::duty::READERS;
-use crate::nodes::duty::has_duty;
+use crate::nodes::roles::STORE_READER_ROLE;
+use crate::nodes::roles::STORE_READERS;
+use crate::nodes::roles::holds_role;
 use crate::store::watch_topic::WatchTopic;
 use zinniahatch_base::prelude::*;
 use zinniahatch_route::CoverState;
@@ -11,13 +12,13 @@
 use zinniahatch_route::ReadDigest;
 use zinniahatch_route::ServiceDigest;
 
-/// Tells whether this node reads for its region what the store says.
-fn reads_for_all(core: &EntryCore, now: Instant) -> bool {
+/// Returns whether this node is an active store reader for its region.
+fn is_store_reader(core: &EntryCore, now: Instant) -> bool {
     let served = !core.replicas.borrow().in_trouble(now);
-    served && core.knows() && has_duty(core, READER_DUTY, READERS)
+    served && core.knows() && holds_role(core, STORE_READER_ROLE, STORE_READERS)
 }
 
-fn read_digest(core: &EntryCore) -> ReadDigest {
+fn store_digest(core: &EntryCore) -> ReadDigest {
     let replicas = core.replicas.borrow();
     let settings = &core.settings;
     ReadDigest {
@@ -26,27 +27,34 @@
     }
 }
 
-/// Gives whether this node may leave the reading of a topic to the readers of its region.
-pub(crate) fn reader_cover(core: &EntryCore, topic: WatchTopic, now: Instant) -> CoverState {
+/// Returns whether this node may leave polling a topic to the store readers of its region.
+pub(crate) fn store_reader_coverage(
+    core: &EntryCore,
+    topic: WatchTopic,
+    now: Instant,
+) -> CoverState {
     let Some(part) = topic.digest() else {
         return CoverState::Alone;
     };
-    let own = part(&read_digest(core));
+    let own = part(&store_digest(core));
     let members = core.members.borrow();
-    let told = members.live_in(&core.settings.region, now);
-    let told = told
+    let reader_digests = members.live_in(&core.settings.region, now);
+    let reader_digests = reader_digests
         .into_iter()
-        .filter_map(|card| card.read.as_ref().map(part));
+        .filter_map(|member| member.read.as_ref().map(part));
     let mut covers = core.covers.borrow_mut();
-    covers.entry(topic).or_default().judge(own, told, now)
+    covers
+        .entry(topic)
+        .or_default()
+        .judge(own, reader_digests, now)
 }
 
-/// Gives what this node tells the others of itcore.
-pub(crate) fn own_card(core: &EntryCore, now: Instant) -> MemberCard {
+/// Returns the state that this node reports in its heartbeats.
+pub(crate) fn own_member_info(core: &EntryCore, now: Instant) -> MemberCard {
     let replicas = core.replicas.borrow();
     let names: BTreeSet<&ServiceId> = replicas
         .rows()
-        .map(|belief| &belief.entry.service)
+        .map(|replica_state| &replica_state.entry.service)
         .collect();
     let region = &core.settings.region;
     let services = names
@@ -68,8 +76,8 @@
         version: core.version(),
         preset: core.preset.borrow().revision,
         sighted: !replicas.in_trouble(now),
-        read: reads_for_all(core, now).then(|| read_digest(core)),
-        // It ages on until the card is sent.
+        read: is_store_reader(core, now).then(|| store_digest(core)),
+        // Set when the heartbeat is sent, since the proof ages until then.
         proof: None,
         services,
     }
--- a/crates/zinniahatch_entry/src/nodes/snapshot.rs
+++ b/crates/zinniahatch_entry/src/nodes/snapshot.rs
@@ -1,7 +1,7 @@
-//! What a node hands to another that the store does not serve.
+//! State snapshot that a node serves to a peer that cannot reach the store.
 
+use crate::auth::proofs::apply_proof;
 use crate::core::EntryCore;
-use crate::who::proofs::hear_proof;
 use http::Method;
 use http::StatusCode;
 use serde::Deserialize;
@@ -17,14 +17,14 @@
 use zinniahatch_route::ServingPreset;
 use zinniahatch_route::ToldProof;
 
-/// Path of the snapshot on the listener for other nodes.
+/// Path of the snapshot on the peer listener.
 pub(crate) const SNAPSHOT_PATH: &str = "/zinnia/snapshot";
-/// Time for a snapshot to arrive.
-const FETCH_TIME: Duration = Duration::from_secs(2);
-/// The id that a snapshot call goes by; it is no request of a caller.
-const FETCH_ID: &str = "snapshot";
+/// Time limit for fetching a snapshot.
+const FETCH_TIMEOUT: Duration = Duration::from_secs(2);
+/// Request id of internal exchanges, which belong to no caller's request.
+const EXCHANGE_ID: &str = "snapshot";
 
-/// The beliefs that a node can take over.
+/// The state that a peer can adopt.
 #[derive(Debug, Serialize, Deserialize)]
 struct NodeSnapshot {
     desired: Option<DesiredState>,
@@ -35,13 +35,13 @@
     proof: Option<ToldProof>,
 }
 
-/// Encodes this node's beliefs.
+/// Encodes the state of this node.
 pub(crate) fn encode_snapshot(core: &EntryCore) -> Vec<u8> {
     let desired = core.desired.borrow().as_deref().cloned();
     let replicas = core.replicas.borrow();
-    let entries = replicas.rows().map(|belief| {
-        let mut entry = belief.entry.clone();
-        entry.leaving |= belief.leaving.is_some();
+    let entries = replicas.rows().map(|replica_state| {
+        let mut entry = replica_state.entry.clone();
+        entry.leaving |= replica_state.leaving.is_some();
         entry
     });
     let snapshot = NodeSnapshot {
@@ -52,15 +52,15 @@
         evacuated: replicas.evacuated().clone(),
         proof: core.proofs.borrow().told(core.clock.now()),
     };
-    // An empty answer is taken as no snapshot by the reader.
+    // The reader treats an empty body as a failed fetch.
     postcard::to_allocvec(&snapshot).unwrap_or_default()
 }
 
-/// Fetches and takes over the beliefs of another node; tells whether that worked.
+/// Fetches and adopts the state of a peer; returns whether that succeeded.
 pub(crate) async fn fetch_snapshot(core: &Rc<EntryCore>, peer: NodePermit) -> bool {
-    let asked = core.clock.now();
+    let sent = core.clock.now();
     let address = peer.address();
-    let fetched = timeout(FETCH_TIME, read_snapshot(core, peer)).await;
+    let fetched = timeout(FETCH_TIMEOUT, read_snapshot(core, peer)).await;
     let Ok(Some(snapshot)) = fetched else {
         core.log.write(
             "snapshot-failed",
@@ -72,15 +72,16 @@
     if let Some(desired) = snapshot.desired {
         core.adopt(desired, "peer");
     }
-    if let Some(told) = snapshot.proof {
-        hear_proof(core, told, asked);
+    if let Some(proof) = snapshot.proof {
+        apply_proof(core, proof, sent);
     }
     core.adopt_preset(snapshot.preset, "peer");
     let mut replicas = core.replicas.borrow_mut();
     let first = !core.is_listed();
     replicas.learn(snapshot.replicas, &snapshot.gone, now);
     if first {
-        // News of the store that this node reads or hears itself goes before those of a peer.
+        // Evacuations that this node learned from the store or its region take precedence over
+        // those of a peer.
         replicas.set_evacuated(&snapshot.evacuated, StoreRevision::default(), now);
     }
     let any = replicas.rows().next().is_some();
@@ -96,15 +97,15 @@
     postcard::from_bytes(&body).ok()
 }
 
-/// Posts a body to another node and gives the answer's; none where that did not work.
-pub(crate) async fn ask_peer(
+/// Posts a body to a peer and returns the body of the answer, or `None` on failure.
+pub(crate) async fn post_to_peer(
     core: &Rc<EntryCore>,
     peer: NodePermit,
     path: &str,
     body: &[u8],
 ) -> Option<Vec<u8>> {
-    let asked = exchange(core, peer, "POST", path, body);
-    timeout(FETCH_TIME, asked).await.ok().flatten()
+    let response = exchange(core, peer, "POST", path, body);
+    timeout(FETCH_TIMEOUT, response).await.ok().flatten()
 }
 
 async fn exchange(
@@ -126,7 +127,7 @@
     let mut answer = Vec::new();
     let read = async {
         channel.send(peer, head.as_bytes(), body).await.ok()?;
-        let head = channel.read_head(&Method::GET, FETCH_ID).await.ok()?;
+        let head = channel.read_head(&Method::GET, EXCHANGE_ID).await.ok()?;
         while let Some(piece) = channel.read_body().await.ok()? {
             answer.extend_from_slice(&piece);
         }
--- /dev/null
+++ b/crates/zinniahatch_entry/src/nodes/work_reporter.rs
@@ -0,0 +1,290 @@
+//! Reports of in-flight work to the nodes of the region, and aggregation of the reports of others.
+
+use crate::core::EntryCore;
+use crate::nodes::broadcast::broadcast_rate_limits;
+use crate::nodes::broadcast::broadcast_replica_updates;
+use crate::nodes::broadcast::broadcast_suspects;
+use crate::nodes::datagrams::broadcast;
+use crate::nodes::datagrams::is_from_own_region;
+use crate::nodes::gossip_message::GossipMessage;
+use crate::nodes::gossip_message::WorkReport;
+use crate::nodes::roles::holds_role;
+use std::net::SocketAddrV4;
+use tokio::net::UdpSocket;
+use zinniahatch_base::prelude::*;
+use zinniahatch_route::CollectorBook;
+use zinniahatch_route::OpenWork;
+use zinniahatch_route::REFRESH_TIME;
+use zinniahatch_route::RegionSpends;
+use zinniahatch_route::WorkGatherer;
+use zinniahatch_route::WorkPart;
+use zinniahatch_route::WorkPath;
+use zinniahatch_route::gather_time;
+
+/// Delay between a change and its report, so that changes in quick succession share a datagram.
+const REPORT_DELAY: Duration = Duration::from_millis(4);
+/// Maximum bytes of aggregated reports in a datagram, so that it fits in one packet.
+const MAX_REPORT_BYTES: usize = 1_200;
+
+/// Number of nodes per region that report its account usage to other regions; tolerates one node
+/// failure.
+const USAGE_REPORTERS: usize = 2;
+/// Role name that is hashed to rank these nodes.
+const USAGE_REPORTER_ROLE: &str = "spends";
+
+/// Reports this node's in-flight work, and that of other nodes while this one is a collector.
+pub(crate) struct WorkReporter {
+    origin: ShortTag,
+    number: u32,
+    path: WorkPath,
+    /// Other live nodes of the region.
+    others: usize,
+    collectors: CollectorBook,
+    batch: WorkGatherer,
+    /// When this node's pending changes are sent.
+    changes_due: Option<Instant>,
+    /// When the aggregated reports are sent.
+    batch_due: Option<Instant>,
+}
+
+impl WorkReporter {
+    /// Creates a reporter with nothing to send.
+    pub(crate) fn new(origin: ShortTag) -> Self {
+        Self {
+            origin,
+            number: 0,
+            path: WorkPath::All,
+            others: 0,
+            collectors: CollectorBook::default(),
+            batch: WorkGatherer::default(),
+            changes_due: None,
+            batch_due: None,
+        }
+    }
+
+    /// Returns when the next report is due, if any is pending.
+    pub(crate) fn next_due(&self) -> Option<Instant> {
+        self.changes_due.into_iter().chain(self.batch_due).min()
+    }
+
+    /// Schedules a report of changes.
+    pub(crate) fn schedule_changes(&mut self, now: Instant) {
+        self.changes_due.get_or_insert(now + REPORT_DELAY);
+    }
+
+    /// Sends the reports that are due.
+    pub(crate) async fn send_due(&mut self, core: &EntryCore, socket: &UdpSocket) {
+        let now = Instant::now();
+        if self.changes_due.is_some_and(|due| due <= now) {
+            self.changes_due = None;
+            self.send_changes(core, socket, now).await;
+            broadcast_replica_updates(core, socket).await;
+            broadcast_suspects(core, socket, false).await;
+            broadcast_rate_limits(core, socket).await;
+        }
+        if self.batch_due.is_some_and(|due| due <= now) {
+            self.batch_due = None;
+            self.send_batch(core, socket).await;
+        }
+    }
+
+    /// Sends unchanged in-flight work again after the refresh time, and chooses the collector anew.
+    pub(crate) async fn refresh(&mut self, core: &EntryCore, socket: &UdpSocket) {
+        let now = Instant::now();
+        self.collectors.review(now);
+        self.choose_path(core, now);
+        let work = core.replicas.borrow_mut().take_unchanged(REFRESH_TIME, now);
+        self.send_part(core, socket, work, now).await;
+    }
+
+    fn choose_path(&mut self, core: &EntryCore, now: Instant) {
+        let members = core.members.borrow();
+        let live = members.live_in(&core.settings.region, now);
+        self.others = live.len();
+        let settings = &core.settings;
+        let path = self
+            .collectors
+            .choose(&settings.name, settings.strength, &live, now);
+        if path != self.path {
+            core.log.write(
+                "work-path",
+                serde_json::json!({"path": format!("{path:?}"), "others": self.others}),
+            );
+        }
+        self.path = path;
+    }
+
+    async fn send_changes(&mut self, core: &EntryCore, socket: &UdpSocket, now: Instant) {
+        let mut work = core.replicas.borrow_mut().take_changes(now);
+        if self.collectors.review(now) {
+            // The last reports to the collector that went silent may have reached no other node.
+            self.choose_path(core, now);
+            let unchanged = core
+                .replicas
+                .borrow_mut()
+                .take_unchanged(Duration::ZERO, now);
+            work.extend(unchanged);
+        }
+        self.send_part(core, socket, work, now).await;
+    }
+
+    async fn send_part(
+        &mut self,
+        core: &EntryCore,
+        socket: &UdpSocket,
+        work: Vec<(ShortTag, OpenWork)>,
+        now: Instant,
+    ) {
+        let reads = core.replicas.borrow_mut().take_reads();
+        let usage = core.quotas.borrow_mut().take_news();
+        let part = (!work.is_empty() || !reads.is_empty()).then(|| {
+            self.number += 1;
+            WorkPart {
+                origin: self.origin,
+                number: self.number,
+                work,
+                reads,
+            }
+        });
+        self.report_to_region(core, socket, part, usage, now).await;
+    }
+
+    /// Sends a report to the nodes of the region, by way of the collector if there is one.
+    async fn report_to_region(
+        &mut self,
+        core: &EntryCore,
+        socket: &UdpSocket,
+        part: Option<WorkPart>,
+        usage: Option<RegionSpends>,
+        now: Instant,
+    ) {
+        if part.is_none() && usage.is_none() {
+            return;
+        }
+        let relay = matches!(self.path, WorkPath::Collector(_));
+        let usage = usage.into_iter().collect();
+        match self.path {
+            WorkPath::Own => self.add_to_batch(part, usage, now),
+            WorkPath::All => broadcast(core, socket, &WorkReport::of(part, usage, relay)).await,
+            WorkPath::Collector(collector) => {
+                self.collectors.note_told(collector, now);
+                if let Ok(bytes) = postcard::to_allocvec(&WorkReport::of(part, usage, relay)) {
+                    // A failed send counts as a lost datagram; it shows by the collector's silence.
+                    let _ = socket.send_to(&bytes, collector).await;
+                }
+            }
+        }
+    }
+
+    fn add_to_batch(&mut self, part: Option<WorkPart>, usage: Vec<RegionSpends>, now: Instant) {
+        if let Some(part) = part {
+            self.batch.add(part);
+        }
+        for regional in &usage {
+            self.batch.add_spends(regional);
+        }
+        self.batch_due.get_or_insert(now + gather_time(self.others));
+    }
+
+    async fn send_batch(&mut self, core: &EntryCore, socket: &UdpSocket) {
+        while !self.batch.is_empty() {
+            let (parts, usage) = self.batch.take(MAX_REPORT_BYTES);
+            let report = WorkReport {
+                parts,
+                usage,
+                relay: false,
+            };
+            broadcast(core, socket, &GossipMessage::Work(report)).await;
+        }
+    }
+
+    /// Reports this region's account usage to the other regions, if this node holds that role.
+    pub(crate) async fn report_usage(&mut self, core: &EntryCore, socket: &UdpSocket) {
+        let now = Instant::now();
+        {
+            let members = core.members.borrow();
+            let neighbours = members.live_in(&core.settings.region, now).len();
+            core.quotas.borrow_mut().set_neighbours(neighbours);
+        }
+        if core.quotas.borrow().is_empty() {
+            return;
+        }
+        if !holds_role(core, USAGE_REPORTER_ROLE, USAGE_REPORTERS) {
+            core.quotas.borrow_mut().drop_far_news();
+            return;
+        }
+        let usage = core.quotas.borrow_mut().take_far_news();
+        let own = &core.settings.region;
+        let receivers = core
+            .members
+            .borrow()
+            .one_each_but(own, &core.settings.name, now);
+        for part in usage.split(MAX_REPORT_BYTES) {
+            let Ok(bytes) = postcard::to_allocvec(&GossipMessage::AccountUsage(part)) else {
+                return;
+            };
+            for address in &receivers {
+                // A failed send counts as a lost datagram; the totals of a later report make up for
+                // it.
+                let _ = socket.send_to(&bytes, address).await;
+            }
+        }
+    }
+
+    /// Merges account usage of another region, and passes it on within this one.
+    pub(crate) async fn handle_remote_usage(
+        &mut self,
+        core: &EntryCore,
+        socket: &UdpSocket,
+        usage: &RegionSpends,
+    ) {
+        let now = Instant::now();
+        let changed = core.quotas.borrow_mut().hear(usage, now);
+        self.report_to_region(core, socket, None, Some(changed), now)
+            .await;
+    }
+
+    /// Merges reports of in-flight work of other nodes of the region.
+    pub(crate) fn handle_report(
+        &mut self,
+        core: &EntryCore,
+        report: WorkReport,
+        from: SocketAddrV4,
+    ) {
+        if !is_from_own_region(core, from) {
+            return;
+        }
+        self.collectors.note_heard(from);
+        let now = Instant::now();
+        self.merge_usage(core, &report, now);
+        let mut replicas = core.replicas.borrow_mut();
+        for part in report.parts {
+            if part.origin == self.origin {
+                continue;
+            }
+            replicas.note_work(part.origin, part.number, &part.work, now);
+            replicas.note_reads(&part.reads, |service| {
+                core.service(service).map_or(0, |spec| spec.kv_tokens)
+            });
+            if report.relay {
+                self.add_to_batch(Some(part), Vec::new(), now);
+            }
+        }
+    }
+
+    fn merge_usage(&mut self, core: &EntryCore, report: &WorkReport, now: Instant) {
+        let mut quotas = core.quotas.borrow_mut();
+        if quotas.is_empty() {
+            return;
+        }
+        quotas.note_heard(tag_of(&core.settings.region), now);
+        let mut changed = Vec::new();
+        for usage in &report.usage {
+            changed.push(quotas.hear(usage, now));
+        }
+        drop(quotas);
+        if report.relay && !changed.is_empty() {
+            self.add_to_batch(None, changed, now);
+        }
+    }
+}
--- /dev/null
+++ b/crates/zinniahatch_entry/src/replicas/crash_detection.rs
@@ -0,0 +1,84 @@
+//! Check whether a replica has crashed after a channel to it broke off.
+//!
+//! Channels break for many reasons: a replica that fails some requests resets them, links lose
+//! packets, and leaving replicas close idle connections. Only a refused connection, from a machine
+//! that runs but has no listener, counts as a crash. A loss of power is not detected here, since no
+//! machine is left to refuse the connection.
+
+use crate::core::EntryCore;
+use crate::replicas::quarantine::note_crash;
+use crate::request::channel::BackendChannel;
+use crate::request::channel::ChannelError;
+use crate::request::open_call::OpenCall;
+use crate::request::received::ReceivedCall;
+use std::net::SocketAddrV4;
+use std::rc::Rc;
+use zinniahatch_base::prelude::*;
+
+/// Time limit of the connection attempt. A machine in the same region refuses within a millisecond,
+/// and interrupted streams wait for the result before they resume elsewhere.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(60);
+/// How long a new connection is watched. A process about to exit may still accept one after it
+/// closed the others; without the watch the request that crashed it went uncounted, and the
+/// requests beside it were quarantined.
+const WATCH_PERIOD: Duration = Duration::from_millis(20);
+
+/// Handles a channel that broke off during a request; the request becomes suspect if its replica
+/// crashed.
+pub(crate) async fn handle_channel_break(
+    core: &Rc<EntryCore>,
+    call: &ReceivedCall,
+    open: &OpenCall,
+    reason: &str,
+) {
+    let Some(replica) = open.replica() else {
+        return;
+    };
+    let ran = open.ran();
+    open.log_break(call, reason);
+    let target = {
+        let replicas = core.replicas.borrow();
+        // A replica that announced that it is leaving may end during its requests, and none of them
+        // is the cause.
+        let replica_state = replicas
+            .get(replica)
+            .filter(|replica_state| replica_state.leaving.is_none());
+        replica_state.map(|replica_state| (replica_state.tag, replica_state.entry.address))
+    };
+    let Some((tag, address)) = target else {
+        return;
+    };
+    let check = core.end_checks.check(address, Instant::now());
+    let refused = *check.get_or_init(|| detect_crash(core, address)).await;
+    if !refused {
+        return;
+    }
+    open.with_replica(|replica_state| replica_state.health.note_unreachable(Instant::now()));
+    note_crash(core, call, replica, tag, ran);
+}
+
+/// Returns whether an address has no listener, connecting a second time if the first connection
+/// closes at once.
+async fn has_no_listener(address: SocketAddrV4) -> bool {
+    match BackendChannel::connect(address, CONNECT_TIMEOUT).await {
+        Err(error) => error == ChannelError::Refused,
+        Ok(channel) if !channel.ends_within(WATCH_PERIOD).await => false,
+        Ok(_) => {
+            let again = BackendChannel::connect(address, CONNECT_TIMEOUT).await;
+            again.is_err_and(|error| error == ChannelError::Refused)
+        }
+    }
+}
+
+async fn detect_crash(core: &Rc<EntryCore>, address: SocketAddrV4) -> bool {
+    let refused = has_no_listener(address).await;
+    if refused {
+        core.pool.purge(address);
+        core.metrics.note_replica_crash();
+        core.log.write(
+            "replica-ended",
+            serde_json::json!({"address": address.to_string()}),
+        );
+    }
+    refused
+}
--- a/crates/zinniahatch_entry/src/replicas/limit_metrics.rs
+++ b/crates/zinniahatch_entry/src/replicas/limit_metrics.rs
@@ -1,11 +1,11 @@
-//! Counters of the rate limits that replicas name.
+//! Metrics of the rate limits that replicas announce.
 
 use prometheus::IntCounterVec;
 use prometheus::IntGauge;
 use prometheus::Opts;
 use prometheus::Registry;
 
-/// Counters of the rate limits that replicas name.
+/// Metrics of the rate limits that replicas announce.
 #[derive(Debug)]
 pub(crate) struct LimitMetrics {
     events: IntCounterVec,
@@ -13,11 +13,11 @@
 }
 
 impl LimitMetrics {
-    /// Makes and registers them.
+    /// Creates and registers the metrics.
     ///
     /// # Errors
     ///
-    /// A name is taken or wrong.
+    /// A metric name is invalid or already registered.
     pub(crate) fn new(registry: &Registry) -> Result<Self, prometheus::Error> {
         let events = Opts::new(
             "zinniahatch_rate_limits_total",
@@ -38,7 +38,7 @@
         self.events.with_label_values(&[event]).inc();
     }
 
-    /// Sets how many replicas are limited.
+    /// Sets the number of replicas with a rate limit in force.
     pub(crate) fn set_limited(&self, count: usize) {
         self.limited.set(count as i64);
     }
--- a/crates/zinniahatch_entry/src/replicas/notice.rs
+++ b/crates/zinniahatch_entry/src/replicas/notice.rs
@@ -1,8 +1,9 @@
-//! What replicas say of themselves in their answers: heard here whichever way the answer came, logged and told on.
+//! Notices that replicas send in response headers: applied whatever kind of exchange carried them,
+//! logged and broadcast.
 
 use crate::core::EntryCore;
-use crate::replicas::rate_limit::log_change;
-use crate::replicas::unread_headers::note_unread;
+use crate::replicas::rate_limit::log_limit_change;
+use crate::replicas::unknown_headers::note_unknown_headers;
 use crate::request::channel::AnswerHead;
 use crate::request::open_call::OpenCall;
 use crate::request::received::ReceivedCall;
@@ -15,67 +16,74 @@
 use zinniahatch_route::ReplicaLife;
 use zinniahatch_route::RestChange;
 
-/// Takes what an answer to a request says of the replica that gave it.
-pub(crate) fn hear_answer(
+/// Applies the notice in the response to a request.
+pub(crate) fn apply_response_notice(
     core: &EntryCore,
     call: &ReceivedCall,
     open: &OpenCall,
     head: &AnswerHead,
 ) {
-    let marks = &head.marks;
-    note_unread(core, open.replica(), &head.headers);
-    let speaker = if head.status == StatusCode::MISDIRECTED_REQUEST {
-        other_at(core, open, marks).map(|tag| (tag, AnswerProof::Named))
+    let parsed = &head.marks;
+    note_unknown_headers(core, open.replica(), &head.headers);
+    let sender = if head.status == StatusCode::MISDIRECTED_REQUEST {
+        misdirected_responder(core, open, parsed).map(|tag| (tag, AnswerProof::Named))
     } else {
-        own_speaker(call, open, marks)
+        responder(call, open, parsed)
     };
-    let Some((replica, proof)) = speaker else {
+    let Some((replica, proof)) = sender else {
         core.metrics.notices.note("unknown_replica");
         return;
     };
-    let heard = HeardNotice {
+    let received = HeardNotice {
         replica,
-        notice: &marks.notice,
+        notice: &parsed.notice,
         proof,
-        taken: !marks.not_run && head.status != StatusCode::MISDIRECTED_REQUEST,
+        taken: !parsed.not_run && head.status != StatusCode::MISDIRECTED_REQUEST,
         sent: open.sent_at(),
         draw: rand::random(),
     };
-    take_notice(core, &heard, "answer", Some(&call.attempt));
+    apply_notice(core, &received, "answer", Some(&call.attempt));
 }
 
-/// Takes what the answer to a probe says. It was sent to whoever listens at the address.
-pub(crate) fn hear_probe(core: &EntryCore, life: &ReplicaLife, head: &AnswerHead, sent: Instant) {
-    let marks = &head.marks;
-    note_unread(core, Some(&life.id), &head.headers);
-    let named = marks.replica.as_ref() == Some(&life.id);
+/// Applies the notice in the response to a probe, which any process at the address may have
+/// answered.
+pub(crate) fn apply_probe_notice(
+    core: &EntryCore,
+    incarnation: &ReplicaLife,
+    head: &AnswerHead,
+    sent: Instant,
+) {
+    let parsed = &head.marks;
+    note_unknown_headers(core, Some(&incarnation.id), &head.headers);
+    let named = parsed.replica.as_ref() == Some(&incarnation.id);
     let proof = if named {
         AnswerProof::Named
     } else {
         AnswerProof::Missing
     };
-    let heard = HeardNotice {
-        replica: life.tag(),
-        notice: &marks.notice,
+    let received = HeardNotice {
+        replica: incarnation.tag(),
+        notice: &parsed.notice,
         proof,
         taken: false,
         sent,
         draw: rand::random(),
     };
-    take_notice(core, &heard, "probe", None);
+    apply_notice(core, &received, "probe", None);
 }
 
-/// Gives the life that took the request, and what shows that it answers: no other one takes a request that names it.
-fn own_speaker(
+/// Returns the replica incarnation that the request was sent to, and the evidence that it answered.
+/// No other incarnation accepts a request that names this one.
+fn responder(
     call: &ReceivedCall,
     open: &OpenCall,
-    marks: &AnswerHeaders,
+    parsed: &AnswerHeaders,
 ) -> Option<(ShortTag, AnswerProof)> {
     let mut tag = None;
-    open.with_replica(|belief| tag = Some(belief.tag));
-    let named = marks.replica.is_some() && marks.replica.as_ref() == open.replica();
-    let echoes = marks.attempt.as_deref() == Some(&*call.attempt);
-    let proof = match (marks.sealed, named || echoes) {
+    open.with_replica(|replica_state| tag = Some(replica_state.tag));
+    let named = parsed.replica.is_some() && parsed.replica.as_ref() == open.replica();
+    let echoed = parsed.attempt.as_deref() == Some(&*call.attempt);
+    let proof = match (parsed.sealed, named || echoed) {
         (true, _) => AnswerProof::Sealed,
         (false, true) => AnswerProof::Named,
         (false, false) => AnswerProof::Missing,
@@ -83,32 +91,40 @@
     Some((tag?, proof))
 }
 
-/// Gives the life that answered in the place of the one that a request was for, where it is known.
-fn other_at(core: &EntryCore, open: &OpenCall, marks: &AnswerHeaders) -> Option<ShortTag> {
+/// Returns the known replica incarnation that answered in place of the one that the request was
+/// for.
+fn misdirected_responder(
+    core: &EntryCore,
+    open: &OpenCall,
+    parsed: &AnswerHeaders,
+) -> Option<ShortTag> {
     let replicas = core.replicas.borrow();
-    let belief = replicas.get(marks.replica.as_deref()?)?;
-    (belief.entry.address == open.address()).then_some(belief.tag)
+    let replica_state = replicas.get(parsed.replica.as_deref()?)?;
+    (replica_state.entry.address == open.address()).then_some(replica_state.tag)
 }
 
-fn take_notice(
+fn apply_notice(
     core: &EntryCore,
-    heard: &HeardNotice<'_>,
+    received: &HeardNotice<'_>,
     source: &'static str,
     request: Option<&RequestId>,
 ) {
-    let (effect, life) = {
+    let (effect, incarnation) = {
         let mut replicas = core.replicas.borrow_mut();
-        let effect = replicas.hear(heard, Instant::now());
+        let effect = replicas.hear(received, Instant::now());
         if effect == NoticeEffect::default() {
             return;
         }
-        let id = replicas.id_of(heard.replica);
-        let belief = id.and_then(|id| replicas.get(id));
-        (effect, belief.map(|belief| belief.entry.life()))
+        let id = replicas.id_of(received.replica);
+        let replica_state = id.and_then(|id| replicas.get(id));
+        (
+            effect,
+            replica_state.map(|replica_state| replica_state.entry.life()),
+        )
     };
-    let replica = life.as_ref().map(|life| &life.id);
+    let replica = incarnation.as_ref().map(|incarnation| &incarnation.id);
     if let Some(change) = &effect.limit {
-        log_change(core, replica, change, source);
+        log_limit_change(core, replica, change, source);
         core.work_changed.notify_one();
     }
     for value in &effect.rejected {
@@ -126,35 +142,35 @@
                 "source": source}),
         );
     }
-    log_rest(core, replica, &effect, source, request);
+    log_backoff(core, replica, &effect, source, request);
     if effect.leaving {
         log_leaving(core, replica, source, request);
-        if let Some(life) = life {
-            core.replica_news.borrow_mut().leaving.push(life);
+        if let Some(incarnation) = incarnation {
+            core.replica_news.borrow_mut().leaving.push(incarnation);
             core.work_changed.notify_one();
         }
     }
 }
 
-/// Takes another node's news of replicas that said that they leave.
-pub(crate) fn hear_leaving(core: &EntryCore, lives: &[ReplicaLife]) {
-    for life in lives {
-        let new = core.replicas.borrow_mut().hear_leaving(life);
+/// Merges another node's updates on replicas that announced that they are leaving.
+pub(crate) fn apply_leaving_updates(core: &EntryCore, incarnations: &[ReplicaLife]) {
+    for incarnation in incarnations {
+        let new = core.replicas.borrow_mut().hear_leaving(incarnation);
         if new {
-            log_leaving(core, Some(&life.id), "near", None);
+            log_leaving(core, Some(&incarnation.id), "near", None);
         }
     }
 }
 
-/// Counts the replicas that leave or rest.
-pub(crate) fn count_notices(core: &EntryCore) {
+/// Updates the gauges of replicas that are leaving or in backoff.
+pub(crate) fn update_notice_gauges(core: &EntryCore) {
     let replicas = core.replicas.borrow();
     let leaving = replicas.said_leaving().count();
-    let resting = replicas.rests.count();
-    core.metrics.notices.set_counts(leaving, resting);
+    let in_backoff = replicas.rests.count();
+    core.metrics.notices.set_counts(leaving, in_backoff);
 }
 
-fn log_rest(
+fn log_backoff(
     core: &EntryCore,
     replica: Option<&ReplicaId>,
     effect: &NoticeEffect,
@@ -172,10 +188,10 @@
         None => return,
     };
     core.metrics.notices.note(event);
-    let rest = time.map(|time| time.as_millis() as u64);
+    let backoff_ms = time.map(|time| time.as_millis() as u64);
     core.log.write(
         "replica-rest",
-        serde_json::json!({"replica": replica, "event": event, "rest_ms": rest,
+        serde_json::json!({"replica": replica, "event": event, "rest_ms": backoff_ms,
             "source": source, "request": request}),
     );
 }
--- a/crates/zinniahatch_entry/src/replicas/notice_metrics.rs
+++ b/crates/zinniahatch_entry/src/replicas/notice_metrics.rs
@@ -1,28 +1,28 @@
-//! Counters of what replicas say of themselves, and of what they were not sent for it.
+//! Metrics of replica notices, and of the sends withheld because of them.
 
-use crate::replicas::unread_headers::UnreadHeaders;
+use crate::replicas::unknown_headers::UnknownHeaders;
 use prometheus::IntCounterVec;
 use prometheus::IntGauge;
 use prometheus::Opts;
 use prometheus::Registry;
 
-/// Counters of what replicas say of themselves.
+/// Metrics of replica notices.
 #[derive(Debug)]
 pub(crate) struct NoticeMetrics {
     withheld: IntCounterVec,
     events: IntCounterVec,
     leaving: IntGauge,
-    resting: IntGauge,
-    /// The headers that nobody reads.
-    pub(crate) unread: UnreadHeaders,
+    in_backoff: IntGauge,
+    /// Response headers that the gateway does not know.
+    pub(crate) unknown_headers: UnknownHeaders,
 }
 
 impl NoticeMetrics {
-    /// Makes and registers them.
+    /// Creates and registers the metrics.
     ///
     /// # Errors
     ///
-    /// A name is taken or wrong.
+    /// A metric name is invalid or already registered.
     pub(crate) fn new(registry: &Registry) -> Result<Self, prometheus::Error> {
         let counter = |name: &str, help: &str, label: &str| {
             let vec = IntCounterVec::new(Opts::new(name, help), &[label])?;
@@ -35,7 +35,7 @@
             Ok::<_, prometheus::Error>(gauge)
         };
         Ok(Self {
-            unread: UnreadHeaders::new(registry)?,
+            unknown_headers: UnknownHeaders::new(registry)?,
             withheld: counter(
                 "zinniahatch_withheld_sends_total",
                 "Requests and probes that were not written to a replica, by reason.",
@@ -50,14 +50,14 @@
                 "zinniahatch_leaving_replicas",
                 "Replicas that said in an answer that they leave, and have not ended.",
             )?,
-            resting: gauge(
+            in_backoff: gauge(
                 "zinniahatch_resting_replicas",
                 "Replicas that wanted a rest from this node, and have not served it since.",
             )?,
         })
     }
 
-    /// Counts a request or probe that was not written.
+    /// Counts a request or probe that was not sent.
     pub(crate) fn note_withheld(&self, reason: &str) {
         self.withheld.with_label_values(&[reason]).inc();
     }
@@ -67,9 +67,9 @@
         self.events.with_label_values(&[event]).inc();
     }
 
-    /// Sets how many replicas leave and rest.
-    pub(crate) fn set_counts(&self, leaving: usize, resting: usize) {
+    /// Sets the number of leaving replicas and of those in backoff.
+    pub(crate) fn set_counts(&self, leaving: usize, in_backoff: usize) {
         self.leaving.set(leaving as i64);
-        self.resting.set(resting as i64);
+        self.in_backoff.set(in_backoff as i64);
     }
 }
--- a/crates/zinniahatch_entry/src/replicas/probe.rs
+++ b/crates/zinniahatch_entry/src/replicas/probe.rs
@@ -1,9 +1,10 @@
-//! Probing the replicas that are suspected, and only those: each probe has its price.
+//! Health probes of replicas under suspicion; others are not probed, since each probe costs the
+//! replica a request.
 
 use crate::core::EntryCore;
-use crate::replicas::gate::claim_send;
-use crate::replicas::gate::permit_send;
-use crate::replicas::notice::hear_probe;
+use crate::replicas::notice::apply_probe_notice;
+use crate::replicas::send_admission::permit_send;
+use crate::replicas::send_admission::reserve_send;
 use crate::request::channel::AnswerHead;
 use crate::request::channel::BackendChannel;
 use http::Method;
@@ -14,71 +15,77 @@
 use zinniahatch_route::ReplicaLife;
 use zinniahatch_route::SendClaim;
 
-/// Pause between probes of one replica.
-const PROBE_PAUSE: Duration = Duration::from_millis(600);
-/// Time for a probe; a health check takes a millisecond.
-const PROBE_TIME: Duration = Duration::from_millis(500);
+/// Interval between probes of a replica.
+const PROBE_INTERVAL: Duration = Duration::from_millis(600);
+/// Time limit of a probe; a health check takes a millisecond.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Probes suspects until the process ends.
+/// Probes suspected replicas until the process ends.
 pub(crate) async fn run_probes(core: Rc<EntryCore>) {
     loop {
-        sleep(PROBE_PAUSE).await;
-        for (life, path) in suspects(&core) {
-            // All nodes that had requests there suspect a replica that has gone silent.
-            let Ok(claim) = claim_send(&core, &life.id, Instant::now()) else {
+        sleep(PROBE_INTERVAL).await;
+        for (incarnation, path) in suspected_replicas(&core) {
+            // Probes need a reservation too, since every node with requests at a silent replica
+            // suspects it.
+            let Ok(reservation) = reserve_send(&core, &incarnation.id, Instant::now()) else {
                 continue;
             };
-            tokio::task::spawn_local(probe(Rc::clone(&core), life, claim, path));
+            tokio::task::spawn_local(probe(Rc::clone(&core), incarnation, reservation, path));
         }
     }
 }
 
-fn suspects(core: &EntryCore) -> Vec<(ReplicaLife, Box<str>)> {
+fn suspected_replicas(core: &EntryCore) -> Vec<(ReplicaLife, Box<str>)> {
     let now = Instant::now();
     let replicas = core.replicas.borrow();
     replicas
         .rows()
-        .filter(|belief| belief.leaving.is_none() && belief.health.is_suspect(now))
-        .filter(|belief| {
-            core.settings.regions.get(&belief.entry.data_centre) == Some(&core.settings.region)
+        .filter(|state| state.leaving.is_none() && state.health.is_suspect(now))
+        .filter(|state| {
+            core.settings.regions.get(&state.entry.data_centre) == Some(&core.settings.region)
         })
-        .map(|belief| {
+        .map(|state| {
             let path = core
-                .service(&belief.entry.service)
+                .service(&state.entry.service)
                 .map(|service| service.health_path)
                 .unwrap_or_default();
-            (belief.entry.life(), path)
+            (state.entry.life(), path)
         })
         .collect()
 }
 
-async fn probe(core: Rc<EntryCore>, life: ReplicaLife, claim: SendClaim, path: Box<str>) {
+async fn probe(
+    core: Rc<EntryCore>,
+    incarnation: ReplicaLife,
+    reservation: SendClaim,
+    path: Box<str>,
+) {
     let sent = Instant::now();
-    let answer = timeout(PROBE_TIME, ask_sign_of_life(&core, claim, &path))
+    let response = timeout(PROBE_TIMEOUT, send_probe(&core, reservation, &path))
         .await
         .unwrap_or(None);
-    let sound = answer.is_some();
-    if let Some(head) = answer {
-        hear_probe(&core, &life, &head, sent);
+    let alive = response.is_some();
+    if let Some(head) = response {
+        apply_probe_notice(&core, &incarnation, &head, sent);
     }
     let mut replicas = core.replicas.borrow_mut();
-    replicas.note_probe(&life, sound, Instant::now());
+    replicas.note_probe(&incarnation, alive, Instant::now());
     drop(replicas);
     core.log.write(
         "probe",
-        serde_json::json!({"replica": life.id, "born_ms": life.born, "sound": sound}),
+        serde_json::json!({"replica": incarnation.id, "born_ms": incarnation.born, "sound": alive}),
     );
 }
 
-/// Asks a replica for an answer; gives what that says, none where there is none.
-async fn ask_sign_of_life(core: &EntryCore, claim: SendClaim, path: &str) -> Option<AnswerHead> {
-    let address = claim.address();
-    let mut channel = BackendChannel::connect(address, PROBE_TIME).await.ok()?;
+/// Sends a probe to a replica and returns the head of the response, or `None` if there was none.
+async fn send_probe(core: &EntryCore, reservation: SendClaim, path: &str) -> Option<AnswerHead> {
+    let address = reservation.address();
+    let mut channel = BackendChannel::connect(address, PROBE_TIMEOUT).await.ok()?;
     let head = format!("GET {path} HTTP/1.1\r\nhost: {address}\r\nconnection: close\r\n\r\n");
-    let permit = permit_send(core, claim).ok()?;
+    let permit = permit_send(core, reservation).ok()?;
     channel.send(permit, head.as_bytes(), &[]).await.ok()?;
-    // Any answer shows that the replica lives. What it says of its health may be false either way,
-    // so whether it serves is judged by its answers to requests.
+    // Any response shows that the replica is alive. The health status that it reports may be wrong
+    // either way, so whether it serves is judged by its answers to requests.
     let head = channel.read_head(&Method::GET, "").await.ok()?;
     Some(head)
 }
--- a/crates/zinniahatch_entry/src/replicas/quarantine.rs
+++ b/crates/zinniahatch_entry/src/replicas/quarantine.rs
@@ -1,4 +1,4 @@
-//! Requests under which replicas end, as this node believes and tells of them.
+//! Suspect requests: those during which replicas crashed, and their quarantine.
 
 use crate::core::EntryCore;
 use crate::request::received::ReceivedCall;
@@ -9,29 +9,29 @@
 use zinniahatch_route::QuarantineChange;
 use zinniahatch_route::SuspectNews;
 
-/// Where news of a suspect come from.
+/// Where an update on a suspect request comes from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum NewsSource {
-    /// A node of the region, which tells all others of the region itself.
-    Near,
-    /// A node of another region, which tells only a few here.
-    Far,
+pub(crate) enum UpdateSource {
+    /// A node of this region, which sends to all other nodes of the region itself.
+    SameRegion,
+    /// A node of another region, which sends to only a few nodes of this one.
+    OtherRegion,
     /// The platform's store.
     Store,
 }
 
-impl NewsSource {
-    fn word(self) -> &'static str {
+impl UpdateSource {
+    fn as_str(self) -> &'static str {
         match self {
-            Self::Near => "near",
-            Self::Far => "far",
+            Self::SameRegion => "near",
+            Self::OtherRegion => "far",
             Self::Store => "store",
         }
     }
 }
 
-/// Notes that a replica has ended under a request of this node.
-pub(crate) fn note_replica_end(
+/// Records that a replica crashed during a request of this node.
+pub(crate) fn note_crash(
     core: &EntryCore,
     call: &ReceivedCall,
     replica: &ReplicaId,
@@ -39,25 +39,25 @@
     ran: Duration,
 ) {
     let now = Instant::now();
-    let counts = core
+    let counted = core
         .suspects
         .borrow_mut()
         .note_end(call.content, tag, ran, now);
     core.metrics
-        .note_suspect(if counts { "noted" } else { "uncounted" });
+        .note_suspect(if counted { "noted" } else { "uncounted" });
     core.log.write(
         "suspect",
         serde_json::json!({"content": content_text(call.content), "request": call.attempt,
-            "replica": replica, "ran_ms": ran.as_millis() as u64, "counts": counts}),
+            "replica": replica, "ran_ms": ran.as_millis() as u64, "counts": counted}),
     );
-    if counts {
-        review(core, now);
+    if counted {
+        publish_quarantine_changes(core, now);
         core.work_changed.notify_one();
     }
 }
 
-/// Notes a whole answer of a replica: what it answers ends no replicas.
-pub(crate) fn note_answered(core: &EntryCore, call: &ReceivedCall) {
+/// Records a complete answer of a replica, which shows that the request does not crash replicas.
+pub(crate) fn note_complete_answer(core: &EntryCore, call: &ReceivedCall) {
     let now = Instant::now();
     let cleared = core.suspects.borrow_mut().note_answered(call.content, now);
     if !cleared {
@@ -68,21 +68,21 @@
         "suspect-cleared",
         serde_json::json!({"content": content_text(call.content), "request": call.attempt}),
     );
-    review(core, now);
+    publish_quarantine_changes(core, now);
     core.work_changed.notify_one();
 }
 
-/// Takes news of suspects.
-pub(crate) fn hear_suspects(core: &EntryCore, news: &[SuspectNews], source: NewsSource) {
+/// Merges updates on suspect requests.
+pub(crate) fn apply_suspects(core: &EntryCore, updates: &[SuspectNews], source: UpdateSource) {
     let now = Instant::now();
-    let tell = source == NewsSource::Far;
-    let mut told = false;
-    for one in news {
-        let effect = core.suspects.borrow_mut().hear(one, tell, now);
+    let forward = source == UpdateSource::OtherRegion;
+    let mut pending = false;
+    for update in updates {
+        let effect = core.suspects.borrow_mut().hear(update, forward, now);
         if effect == NewsEffect::Known {
             continue;
         }
-        told |= tell || effect == NewsEffect::Outdated;
+        pending |= forward || effect == NewsEffect::Outdated;
         let outcome = if effect == NewsEffect::Learned {
             "heard"
         } else {
@@ -91,19 +91,20 @@
         core.metrics.note_suspect(outcome);
         core.log.write(
             "suspect-heard",
-            serde_json::json!({"content": content_text(one.content), "ends": one.ends.len(),
-                "age_ms": one.ends.iter().map(|end| end.age_ms).min(), "cleared_ms": one.cleared,
-                "source": source.word(), "outcome": outcome}),
+            serde_json::json!({"content": content_text(update.content), "ends": update.ends.len(),
+                "age_ms": update.ends.iter().map(|end| end.age_ms).min(),
+                "cleared_ms": update.cleared, "source": source.as_str(), "outcome": outcome}),
         );
     }
-    review(core, now);
-    if told {
+    publish_quarantine_changes(core, now);
+    if pending {
         core.work_changed.notify_one();
     }
 }
 
-/// Logs what is held or free since the last look, and wakes what waits at a replica.
-pub(crate) fn review(core: &EntryCore, now: Instant) {
+/// Logs the quarantines that began or ended since the last call, and wakes the requests that wait
+/// for such a change.
+pub(crate) fn publish_quarantine_changes(core: &EntryCore, now: Instant) {
     let changes = core.suspects.borrow_mut().review(now);
     if changes.is_empty() {
         return;
@@ -112,13 +113,13 @@
         if change.kept {
             core.released.borrow_mut().push(change.content);
         }
-        log_change(core, change);
+        log_quarantine_change(core, change);
     }
     core.metrics.set_quarantined(core.suspects.borrow().held());
     core.quarantined.send_replace(());
 }
 
-fn log_change(core: &EntryCore, change: &QuarantineChange) {
+fn log_quarantine_change(core: &EntryCore, change: &QuarantineChange) {
     core.log.write(
         if change.left.is_some() {
             "quarantined"
@@ -130,14 +131,14 @@
     );
 }
 
-/// Gives how much longer a request is held; none where it may run.
-pub(crate) fn hold_left(core: &EntryCore, call: &ReceivedCall) -> Option<Duration> {
+/// Returns how much longer a request is quarantined, or `None` if it may run.
+pub(crate) fn quarantine_left(core: &EntryCore, call: &ReceivedCall) -> Option<Duration> {
     let suspects = core.suspects.borrow();
     suspects.hold_left(call.content, Instant::now())
 }
 
-/// Waits until it can be judged whether a request is held.
-pub(crate) async fn await_verdict(core: &EntryCore, call: &ReceivedCall) {
+/// Waits until it can be decided whether a request is quarantined.
+pub(crate) async fn await_quarantine_decision(core: &EntryCore, call: &ReceivedCall) {
     loop {
         let due = core
             .suspects
@@ -150,10 +151,10 @@
     }
 }
 
-/// Waits until a request is held.
-pub(crate) async fn await_hold(core: &EntryCore, call: &ReceivedCall) {
+/// Waits until a request is quarantined.
+pub(crate) async fn await_quarantine(core: &EntryCore, call: &ReceivedCall) {
     let mut changes = core.quarantined.subscribe();
-    while hold_left(core, call).is_none() {
+    while quarantine_left(core, call).is_none() {
         // The sender lives as long as the process.
         let _ = changes.changed().await;
     }
--- a/crates/zinniahatch_entry/src/replicas/rate_limit.rs
+++ b/crates/zinniahatch_entry/src/replicas/rate_limit.rs
@@ -1,4 +1,4 @@
-//! The rate limits that replicas name, as this node keeps them and tells of them.
+//! Rate limits that replicas announce: merging, sharing between nodes, and logging.
 
 use crate::core::ACQUAINT_TIME;
 use crate::core::EntryCore;
@@ -7,16 +7,16 @@
 use zinniahatch_route::LimitEffect;
 use zinniahatch_route::LimitNews;
 
-/// Takes what another node of the region tells of limits.
-pub(crate) fn hear_limits(core: &EntryCore, news: &[LimitNews]) {
+/// Merges rate limit updates from another node of the region.
+pub(crate) fn apply_rate_limit_updates(core: &EntryCore, updates: &[LimitNews]) {
     let now = Instant::now();
-    for one in news {
-        let effect = core.replicas.borrow_mut().hear_limit(one, now);
+    for update in updates {
+        let effect = core.replicas.borrow_mut().hear_limit(update, now);
         match effect {
             LimitEffect::Known => {}
             LimitEffect::Learned(change) => {
-                let replica = core.replicas.borrow().id_of(one.replica).cloned();
-                log_change(core, replica.as_ref(), &change, "near");
+                let replica = core.replicas.borrow().id_of(update.replica).cloned();
+                log_limit_change(core, replica.as_ref(), &change, "near");
             }
             LimitEffect::Outdated => {
                 core.metrics.limits.note("outdated");
@@ -26,8 +26,8 @@
     }
 }
 
-/// Looks who shares the limits of the region's replicas.
-pub(crate) fn share_limits(core: &EntryCore, now: Instant) {
+/// Recomputes which nodes share the rate limits of the region's replicas.
+pub(crate) fn update_limit_sharers(core: &EntryCore, now: Instant) {
     let region = &core.settings.region;
     let others = core.members.borrow().names_in(region);
     let others = others.iter().map(|name| tag_of(name)).collect();
@@ -40,7 +40,7 @@
 }
 
 /// Counts and logs a limit that began, changed or ended.
-pub(crate) fn log_change(
+pub(crate) fn log_limit_change(
     core: &EntryCore,
     replica: Option<&ReplicaId>,
     change: &LimitChange,
--- /dev/null
+++ b/crates/zinniahatch_entry/src/replicas/send_admission.rs
@@ -0,0 +1,53 @@
+//! Admission of requests to replicas.
+
+use crate::core::EntryCore;
+use zinniahatch_base::prelude::*;
+use zinniahatch_route::ColdGate;
+use zinniahatch_route::ReplicaPermit;
+use zinniahatch_route::SendClaim;
+use zinniahatch_route::Withheld;
+
+/// Reserves a slot for one request to a replica.
+pub(crate) fn reserve_send(
+    core: &EntryCore,
+    replica: &str,
+    now: Instant,
+) -> Result<SendClaim, Withheld> {
+    let share = cold_share(core, replica, now);
+    let mut replicas = core.replicas.borrow_mut();
+    let reserved = replicas.claim(&mut core.gate.borrow_mut(), replica, share, now);
+    reserved.inspect_err(|refusal| note_refusal(core, *refusal))
+}
+
+/// Grants permission to write the request that a slot was reserved for.
+pub(crate) fn permit_send(
+    core: &EntryCore,
+    reservation: SendClaim,
+) -> Result<ReplicaPermit, Withheld> {
+    let permit = core.replicas.borrow().permit(reservation, Instant::now());
+    permit.inspect_err(|refusal| note_refusal(core, *refusal))
+}
+
+fn note_refusal(core: &EntryCore, refusal: Withheld) {
+    core.metrics.notices.note_withheld(refusal.name());
+    if refusal == Withheld::Limited {
+        core.metrics.limits.note("withheld");
+    }
+}
+
+/// Returns how many requests per second this node may send to a cold replica.
+fn cold_share(core: &EntryCore, replica: &str, now: Instant) -> usize {
+    let service = {
+        let replicas = core.replicas.borrow();
+        let replica_state = replicas
+            .get(replica)
+            .filter(|replica_state| replica_state.is_cold(now));
+        replica_state.map(|replica_state| replica_state.entry.service.clone())
+    };
+    let Some(service) = service else {
+        return 0;
+    };
+    let rate = core.service(&service).map_or(0.0, |spec| spec.cold_rate);
+    let peers = core.members.borrow().names_in(&core.settings.region);
+    ColdGate::share(core.cold_bound(rate), replica, &core.settings.name, &peers)
+}
--- a/crates/zinniahatch_entry/src/replicas/unread_headers.rs
+++ b/crates/zinniahatch_entry/src/replicas/unknown_headers.rs
@@ -1,6 +1,7 @@
-//! Headers of replicas' answers that nobody reads, listed to operators.
+//! Metric of unknown headers in responses of replicas.
 //!
-//! What a replica says of itself in a header that is new goes unheeded until somebody sees that it is there.
+//! A replica may announce something in a new header; the gateway ignores it until an operator sees
+//! that the header exists.
 
 use crate::core::EntryCore;
 use http::HeaderMap;
@@ -11,26 +12,26 @@
 use zinniahatch_base::prelude::*;
 use zinniahatch_platform::unread;
 
-/// Names that are told apart at most; the rest are counted together.
-const MOST_NAMES: usize = 32;
-/// Longest name that is told apart.
-const LONGEST_NAME: usize = 64;
-/// Under which the rest are counted.
+/// Maximum distinct names; further ones are counted together.
+const MAX_NAMES: usize = 32;
+/// Longest name that is counted separately.
+const MAX_NAME_LEN: usize = 64;
+/// Label for all other names.
 const OTHERS: &str = "others";
 
-/// Counts by name.
+/// Counts of unknown headers by name.
 #[derive(Debug)]
-pub(crate) struct UnreadHeaders {
+pub(crate) struct UnknownHeaders {
     counter: IntCounterVec,
     names: RefCell<BTreeSet<Box<str>>>,
 }
 
-impl UnreadHeaders {
-    /// Makes and registers the counter.
+impl UnknownHeaders {
+    /// Creates and registers the counter.
     ///
     /// # Errors
     ///
-    /// A name is taken or wrong.
+    /// The metric name is invalid or already registered.
     pub(crate) fn new(registry: &Registry) -> Result<Self, prometheus::Error> {
         let counter = Opts::new(
             "zinniahatch_unread_headers_total",
@@ -44,21 +45,25 @@
         })
     }
 
-    /// Counts a name; tells whether it was not seen before.
+    /// Counts a name and returns whether it was seen for the first time.
     fn note(&self, name: &str) -> bool {
         let mut names = self.names.borrow_mut();
         let known = names.contains(name);
-        let room = names.len() < MOST_NAMES && name.len() <= LONGEST_NAME;
+        let room = names.len() < MAX_NAMES && name.len() <= MAX_NAME_LEN;
         let label = if known || room { name } else { OTHERS };
         self.counter.with_label_values(&[label]).inc();
         !known && room && names.insert(name.into())
     }
 }
 
-/// Counts the headers of a replica's answer that nobody reads, and logs each name once.
-pub(crate) fn note_unread(core: &EntryCore, replica: Option<&ReplicaId>, headers: &HeaderMap) {
+/// Counts the unknown headers of a replica's response, and logs each name once.
+pub(crate) fn note_unknown_headers(
+    core: &EntryCore,
+    replica: Option<&ReplicaId>,
+    headers: &HeaderMap,
+) {
     for name in unread(headers) {
-        if core.metrics.notices.unread.note(name.as_str()) {
+        if core.metrics.notices.unknown_headers.note(name.as_str()) {
             core.log.write(
                 "unread-header",
                 serde_json::json!({"name": name.as_str(), "replica": replica}),
--- a/crates/zinniahatch_entry/src/request/answering.rs
+++ b/crates/zinniahatch_entry/src/request/answering.rs
@@ -1,9 +1,9 @@
 //! Answers to callers: a replica's whole answer, a stream that begins, or a refusal.
 
 use crate::core::EntryCore;
-use crate::counts::counting::count;
-use crate::replicas::quarantine::note_answered;
-use crate::replicas::replica_check::note_break;
+use crate::counts::counting::record_request;
+use crate::replicas::crash_detection::handle_channel_break;
+use crate::replicas::quarantine::note_complete_answer;
 use crate::request::answer::AnswerBody;
 use crate::request::answer::StreamBody;
 use crate::request::channel::AnswerHead;
@@ -76,7 +76,7 @@
         Ok(Ok(body)) => body,
         Ok(Err(error)) => {
             open.fail();
-            note_break(core, call, &open, &error.to_string()).await;
+            handle_channel_break(core, call, &open, &error.to_string()).await;
             return Err(error.to_string().into());
         }
         Err(_) => return Err("no whole answer in time".into()),
@@ -84,7 +84,7 @@
     let failed = head.status.is_server_error();
     let at = open.replica().cloned();
     open.finish(!failed);
-    note_answered(core, call);
+    note_complete_answer(core, call);
     let took = call.arrived.elapsed();
     core.metrics.note_first_event(&plan.service, took);
     let result = if failed {
--- a/crates/zinniahatch_entry/src/request/call.rs
+++ b/crates/zinniahatch_entry/src/request/call.rs
@@ -1,12 +1,13 @@
 //! Sending one request to one replica or one other node.
 
+use crate::auth::identity::key_still_valid;
 use crate::core::EntryCore;
-use crate::replicas::gate::claim_send;
-use crate::replicas::gate::permit_send;
-use crate::replicas::notice::hear_answer;
-use crate::replicas::quarantine::await_hold;
-use crate::replicas::quarantine::hold_left;
-use crate::replicas::replica_check::note_break;
+use crate::replicas::crash_detection::handle_channel_break;
+use crate::replicas::notice::apply_response_notice;
+use crate::replicas::quarantine::await_quarantine;
+use crate::replicas::quarantine::quarantine_left;
+use crate::replicas::send_admission::permit_send;
+use crate::replicas::send_admission::reserve_send;
 use crate::request::channel::AnswerHead;
 use crate::request::open_call::OpenCall;
 use crate::request::open_call::ReplicaNote;
@@ -16,7 +17,6 @@
 use crate::request::refusal::own_code;
 use crate::request::refusal::retry_hint;
 use crate::request::refusal::says_not_run;
-use crate::who::identity::still_counts;
 use http::StatusCode;
 use std::rc::Rc;
 use zinniahatch_base::prelude::*;
@@ -101,7 +101,7 @@
     last_event: Option<&str>,
 ) -> Result<(AnswerHead, OpenCall), SendFailure> {
     let now = Instant::now();
-    let claim = claim_send(core, &choice.replica, now).map_err(not_sent)?;
+    let claim = reserve_send(core, &choice.replica, now).map_err(not_sent)?;
     let address = claim.address();
     let copy_from = {
         let replicas = core.replicas.borrow();
@@ -133,10 +133,10 @@
     let used = channel.was_used();
     open.channel = Some(channel);
     // It may have waited for the connection while the news came.
-    if !still_counts(core, plan.identity.as_ref()) {
+    if !key_still_valid(core, plan.identity.as_ref()) {
         return Err(SendFailure::KeyRevoked);
     }
-    if let Some(left) = hold_left(core, call) {
+    if let Some(left) = quarantine_left(core, call) {
         return Err(SendFailure::Quarantined(left));
     }
     let permit = match permit_send(core, claim) {
@@ -151,7 +151,7 @@
         exchanged = open.exchange(permit, call, &head) => exchanged,
         // It waits in the replica's queue; begun there, it would end one replica more. Replicas drop what
         // waits when its channel closes.
-        () = await_hold(core, call) => {
+        () = await_quarantine(core, call) => {
             return Err(SendFailure::Unknown("held while it waited".into()));
         }
     };
@@ -162,7 +162,7 @@
             if !used {
                 open.fail();
             }
-            note_break(core, call, &open, &error.to_string()).await;
+            handle_channel_break(core, call, &open, &error.to_string()).await;
             core.pool.purge(address);
             Err(SendFailure::Unknown(error.to_string().into()))
         }
@@ -236,7 +236,7 @@
     open: OpenCall,
 ) -> Result<(AnswerHead, OpenCall), SendFailure> {
     let now = Instant::now();
-    hear_answer(core, call, &open, &head);
+    apply_response_notice(core, call, &open, &head);
     if head.status == StatusCode::MISDIRECTED_REQUEST {
         open.with_replica(|belief| belief.leaving = Some(LeaveReason::Replaced));
         core.log.write(
@@ -280,7 +280,7 @@
             return Err(SendFailure::NotSent(format!("{error:?}").into()));
         }
     };
-    if !still_counts(core, plan.identity.as_ref()) {
+    if !key_still_valid(core, plan.identity.as_ref()) {
         core.pool.give(address, channel, now);
         return Err(SendFailure::KeyRevoked);
     }
--- a/crates/zinniahatch_entry/src/request/ingress.rs
+++ b/crates/zinniahatch_entry/src/request/ingress.rs
@@ -3,7 +3,7 @@
 use crate::core::EntryCore;
 use crate::core::StopPhase;
 use crate::counts::counting::COUNTS_PATH;
-use crate::counts::counting::take_post;
+use crate::counts::counting::accept_post;
 use crate::nodes::snapshot::SNAPSHOT_PATH;
 use crate::nodes::snapshot::encode_snapshot;
 use crate::request::answer::AnswerBody;
@@ -102,7 +102,7 @@
         Ok(body) => body,
         Err(code) => return own_answer(code, None, None),
     };
-    match take_post(core, &body) {
+    match accept_post(core, &body) {
         Some(merged) => Response::new(AnswerBody::whole(merged)),
         None => own_answer(ResultCode::BadRequest, None, None),
     }
--- a/crates/zinniahatch_entry/src/request/placing.rs
+++ b/crates/zinniahatch_entry/src/request/placing.rs
@@ -1,7 +1,7 @@
 //! Where the next try of a request goes, and sending it there.
 
 use crate::core::EntryCore;
-use crate::replicas::quarantine::hold_left;
+use crate::replicas::quarantine::quarantine_left;
 use crate::request::call::SendFailure;
 use crate::request::call::send_away;
 use crate::request::call::send_local;
@@ -59,7 +59,7 @@
     course: &CallCourse,
     judged: bool,
 ) -> NextPlace {
-    if let Some(left) = hold_left(core, call) {
+    if let Some(left) = quarantine_left(core, call) {
         return NextPlace::Refuse(ResultCode::RequestQuarantined, left);
     }
     let now = Instant::now();
@@ -298,7 +298,7 @@
     match place {
         NextPlace::Local(choice) => send_local(core, call, plan, choice, last_event).await,
         NextPlace::Away(choice) => {
-            core.metrics.note_away(&plan.service, &choice.region);
+            core.metrics.note_remote(&plan.service, &choice.region);
             send_away(core, call, plan, choice, last_event).await
         }
         NextPlace::Refuse(..) => Err(SendFailure::NotSent("there is no place".into())),
--- a/crates/zinniahatch_entry/src/request/plan.rs
+++ b/crates/zinniahatch_entry/src/request/plan.rs
@@ -1,11 +1,11 @@
 //! What is fixed about a request before its first try, and what has happened to it since.
 
+use crate::auth::identity::CallIdentity;
+use crate::auth::identity::identify;
 use crate::core::EntryCore;
 use crate::core::StopPhase;
 use crate::request::received::ReceivedCall;
 use crate::request::received::RequestHop;
-use crate::who::identity::CallIdentity;
-use crate::who::identity::identify;
 use http::HeaderMap;
 use http::header;
 use std::borrow::Cow;
@@ -191,7 +191,7 @@
         }
         let granted = core.with_budget(&self.service, |budget| budget.take(Instant::now()));
         if granted {
-            core.metrics.note_repeat(&self.service, reason);
+            core.metrics.note_retry(&self.service, reason);
         }
         granted
     }
--- a/crates/zinniahatch_entry/src/request/relay.rs
+++ b/crates/zinniahatch_entry/src/request/relay.rs
@@ -1,9 +1,9 @@
 //! Passing a stream on as it arrives, and resuming it at another replica where that is allowed.
 
 use crate::core::EntryCore;
-use crate::counts::counting::count;
-use crate::replicas::quarantine::note_answered;
-use crate::replicas::replica_check::note_break;
+use crate::counts::counting::record_request;
+use crate::replicas::crash_detection::handle_channel_break;
+use crate::replicas::quarantine::note_complete_answer;
 use crate::request::events::EventSplitter;
 use crate::request::open_call::OpenCall;
 use crate::request::plan::CallCount;
@@ -71,7 +71,7 @@
             };
             open.fail();
             if end != RelayEnd::Silent {
-                note_break(&self.core, &self.call, &open, &reason).await;
+                handle_channel_break(&self.core, &self.call, &open, &reason).await;
             }
             if !self.plan.route.resumable {
                 break end;
@@ -96,7 +96,7 @@
         };
         if end == RelayEnd::Whole {
             self.note_length();
-            note_answered(&self.core, &self.call);
+            note_complete_answer(&self.core, &self.call);
             open.finish(true);
         } else {
             drop(open);
--- a/crates/zinniahatch_entry/src/request/resume.rs
+++ b/crates/zinniahatch_entry/src/request/resume.rs
@@ -1,7 +1,7 @@
 //! Going on with a broken stream at another replica.
 
 use crate::core::EntryCore;
-use crate::replicas::quarantine::await_verdict;
+use crate::replicas::quarantine::await_quarantine_decision;
 use crate::request::call::SendFailure;
 use crate::request::open_call::OpenCall;
 use crate::request::placing::NextPlace;
@@ -30,7 +30,7 @@
         if Instant::now() >= plan.deadline || course.connects >= MOST_CONNECTS {
             return None;
         }
-        await_verdict(core, call).await;
+        await_quarantine_decision(core, call).await;
         let place = next_place(core, call, plan, course, false);
         let refused = matches!(place, NextPlace::Refuse(..));
         if refused || !plan.may_go_on(core, course, "resumed") {
--- a/crates/zinniahatch_entry/src/request/serve.rs
+++ b/crates/zinniahatch_entry/src/request/serve.rs
@@ -1,7 +1,9 @@
 //! The way of a request: planned, tried until it is answered or there is nothing left to try.
 
+use crate::auth::allowances::ChargedUnits;
+use crate::auth::allowances::charge_units;
 use crate::core::EntryCore;
-use crate::replicas::quarantine::await_verdict;
+use crate::replicas::quarantine::await_quarantine_decision;
 use crate::request::answer::AnswerBody;
 use crate::request::answering::finish_whole;
 use crate::request::answering::refuse;
@@ -24,8 +26,6 @@
 use crate::request::refusal::own_answer;
 use crate::request::starting::await_members;
 use crate::request::starting::await_rules;
-use crate::who::allowances::TakenUnits;
-use crate::who::allowances::take_units;
 use http::Response;
 use std::rc::Rc;
 use tokio::time::timeout_at;
@@ -105,7 +105,7 @@
     /// A failure that a replica answered with, given out where no other try does better.
     spare: Option<Response<AnswerBody>>,
     /// What it takes of its account's allowance.
-    units: Option<TakenUnits>,
+    units: Option<ChargedUnits>,
 }
 
 /// What came of one try.
@@ -121,14 +121,14 @@
 impl TryRunner<'_> {
     async fn run(&mut self, guard: CallCount) -> Result<Response<AnswerBody>, GivenUp> {
         let mut guard = Some(guard);
-        match take_units(self.core, &self.call, &self.plan) {
+        match charge_units(self.core, &self.call, &self.plan) {
             Ok(units) => self.units = units,
             // Coming back sooner would be in vain, so that the caller hears the whole.
             Err(after) => return Err((ResultCode::OverAllowance, Some(after))),
         }
         loop {
             let (core, call) = (self.core, &self.call);
-            await_verdict(core, call).await;
+            await_quarantine_decision(core, call).await;
             let first = self.course.sends == 0;
             let place = next_place(core, call, &self.plan, &self.course, first);
             if matches!(place, NextPlace::Refuse(ResultCode::NoBackend, _))
--- a/crates/zinniahatch_entry/src/run.rs
+++ b/crates/zinniahatch_entry/src/run.rs
@@ -1,31 +1,31 @@
-//! Starting and stopping an entry VM.
+//! Start and shutdown of an entry VM.
 
+use crate::auth::boot_clock::BootClock;
+use crate::auth::proofs::run_freshness_prover;
 use crate::core::EntryCore;
 use crate::core::StopPhase;
+use crate::counts::counting::flush_counts;
 use crate::counts::counting::note_death;
 use crate::counts::counting::run_merging;
 use crate::counts::counting::run_sealing;
-use crate::counts::counting::settle;
 use crate::metrics::EntryMetrics;
 use crate::nodes::catch_up::run_catch_up;
+use crate::nodes::gossip::announce_leaving;
 use crate::nodes::gossip::run_gossip;
-use crate::nodes::gossip::tell_all;
-use crate::replicas::notice::count_notices;
+use crate::replicas::notice::update_notice_gauges;
 use crate::replicas::probe::run_probes;
-use crate::replicas::quarantine::review;
-use crate::replicas::rate_limit::share_limits;
+use crate::replicas::quarantine::publish_quarantine_changes;
+use crate::replicas::rate_limit::update_limit_sharers;
 use crate::request::ingress::CallerSide;
 use crate::services::ListenerDuty;
 use crate::services::bind;
 use crate::services::run_listener;
-use crate::store::membership::run_membership;
-use crate::store::quarantine_keys::run_key_reader;
-use crate::store::quarantine_keys::run_key_writer;
-use crate::store::store_return::run_returns;
+use crate::store::quarantine_keys::run_quarantine_reader;
+use crate::store::quarantine_keys::run_quarantine_writer;
+use crate::store::registration::run_registration;
+use crate::store::restore_recovery::run_restore_recovery;
 use crate::store::watch::run_watch;
 use crate::store::watch_topic::WatchTopic;
-use crate::who::boot_clock::BootClock;
-use crate::who::proofs::run_prover;
 use rand::RngExt;
 use std::net::SocketAddrV4;
 use std::rc::Rc;
@@ -41,34 +41,34 @@
 use zinniahatch_base::prelude::*;
 use zinniahatch_config::EntrySettings;
 
-/// Pause between rounds of the tables.
-const TICK_TIME: Duration = Duration::from_millis(200);
-/// Time between saying that this node leaves and taking no more requests: callers keep what the
-/// directory told them for two seconds.
-const LEAVE_TIME: Duration = Duration::from_millis(2_600);
-/// Part of the grace time until which a node takes requests where it is alone; a plain request ends well
-/// within the rest.
-const ALONE_PART: f64 = 0.7;
-/// Part of the grace time that is left for the way out.
-const EXIT_TIME: Duration = Duration::from_millis(400);
-/// Pause between looks whether all requests have ended.
-const DRAIN_LOOK: Duration = Duration::from_millis(50);
-/// Time to hand over the last counts.
-const SETTLE_TIME: Duration = Duration::from_millis(250);
-/// Time for the last datagrams.
-const FAREWELL_TIME: Duration = Duration::from_millis(100);
+/// Interval between maintenance rounds of the tables.
+const MAINTENANCE_INTERVAL: Duration = Duration::from_millis(200);
+/// Time between announcing that this node leaves and refusing new requests: callers keep directory
+/// answers for two seconds.
+const LEAVE_PERIOD: Duration = Duration::from_millis(2_600);
+/// Part of the grace period during which the only remaining node keeps accepting requests; a plain
+/// request ends well within the rest.
+const LAST_NODE_PART: f64 = 0.7;
+/// Time of the grace period that is reserved for the final steps.
+const EXIT_RESERVE: Duration = Duration::from_millis(400);
+/// Interval between checks whether all requests have ended.
+const DRAIN_CHECK_INTERVAL: Duration = Duration::from_millis(50);
+/// Time limit for sending the last usage counts.
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(250);
+/// Time limit for the last datagrams.
+const ANNOUNCE_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// Why an entry VM did not start or stopped.
+/// Error that kept an entry VM from starting.
 #[derive(Debug, Error)]
 pub enum EntryError {
-    /// An address cannot be used.
+    /// A listen address cannot be used.
     #[error("[listen] {key} = {address}: {error}; choose a free address of this machine")]
     Listen {
-        /// The key of the settings.
+        /// The settings key.
         key: &'static str,
         /// The address.
         address: SocketAddrV4,
-        /// What the system says.
+        /// The system's error.
         error: std::io::Error,
     },
     /// The process cannot be set up.
@@ -76,35 +76,36 @@
     Setup(Box<str>),
 }
 
-fn setup(error: impl ToString) -> EntryError {
+fn setup_error(error: impl ToString) -> EntryError {
     EntryError::Setup(error.to_string().into())
 }
 
 /// Runs an entry VM until it is told to stop.
 ///
-/// `reread` gives the settings file's text at a signal that it changed.
+/// `reread` loads the settings again when a signal reports a change.
 ///
 /// # Errors
 ///
-/// Says why it did not start.
+/// Returns why the entry VM did not start.
 pub fn run_entry(
     settings: EntrySettings,
-    reread: impl Fn() -> Result<EntrySettings, String>,
+    load_settings: impl Fn() -> Result<EntrySettings, String>,
 ) -> Result<(), EntryError> {
-    // One thread: a machine has a part of one core, and a second thread would cost memory.
+    // Single-threaded, since a VM has only part of a core and a second thread would cost memory.
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
-        .map_err(setup)?;
-    // Before anything answers: whoever can reach this node may tell it to stop, and it would end without leaving.
+        .map_err(setup_error)?;
+    // Installed before any listener answers: a stop signal that arrives earlier would end the
+    // process without a shutdown.
     let signals = {
         let _guard = runtime.enter();
-        EntrySignals::install().map_err(setup)?
+        EntrySignals::install().map_err(setup_error)?
     };
-    LocalSet::new().block_on(&runtime, serve(settings, signals, reread))
+    LocalSet::new().block_on(&runtime, serve(settings, signals, load_settings))
 }
 
-/// The signals that an entry VM heeds.
+/// Signals that an entry VM handles.
 struct EntrySignals {
     terminate: Signal,
     interrupt: Signal,
@@ -124,10 +125,10 @@
 async fn serve(
     settings: EntrySettings,
     signals: EntrySignals,
-    reread: impl Fn() -> Result<EntrySettings, String>,
+    load_settings: impl Fn() -> Result<EntrySettings, String>,
 ) -> Result<(), EntryError> {
-    let metrics = EntryMetrics::new().map_err(setup)?;
-    let clock = BootClock::new(rand::random()).map_err(setup)?;
+    let metrics = EntryMetrics::new().map_err(setup_error)?;
+    let clock = BootClock::new(rand::random()).map_err(setup_error)?;
     let core = Rc::new(EntryCore::new(
         settings,
         rand::rng().random(),
@@ -171,23 +172,23 @@
         tokio::task::spawn_local(run_watch(Rc::clone(&core), topic));
     }
     tokio::task::spawn_local(run_catch_up(Rc::clone(&core)));
-    tokio::task::spawn_local(run_membership(Rc::clone(&core)));
-    tokio::task::spawn_local(run_key_reader(Rc::clone(&core)));
-    tokio::task::spawn_local(run_key_writer(Rc::clone(&core)));
+    tokio::task::spawn_local(run_registration(Rc::clone(&core)));
+    tokio::task::spawn_local(run_quarantine_reader(Rc::clone(&core)));
+    tokio::task::spawn_local(run_quarantine_writer(Rc::clone(&core)));
     tokio::task::spawn_local(run_probes(Rc::clone(&core)));
-    tokio::task::spawn_local(run_prover(Rc::clone(&core)));
-    tokio::task::spawn_local(run_returns(Rc::clone(&core)));
-    tokio::task::spawn_local(run_ticks(Rc::clone(&core)));
+    tokio::task::spawn_local(run_freshness_prover(Rc::clone(&core)));
+    tokio::task::spawn_local(run_restore_recovery(Rc::clone(&core)));
+    tokio::task::spawn_local(run_maintenance(Rc::clone(&core)));
     tokio::task::spawn_local(run_sealing(Rc::clone(&core)));
     tokio::task::spawn_local(run_merging(Rc::clone(&core)));
-    wait_for_stop(&core, signals, reread).await;
-    leave(&core).await;
+    wait_for_stop(&core, signals, load_settings).await;
+    shut_down(&core).await;
     Ok(())
 }
 
-/// Runs the tables' rounds.
-async fn run_ticks(core: Rc<EntryCore>) {
-    let mut ticks = interval(TICK_TIME);
+/// Runs the periodic maintenance of the tables.
+async fn run_maintenance(core: Rc<EntryCore>) {
+    let mut ticks = interval(MAINTENANCE_INTERVAL);
     loop {
         ticks.tick().await;
         let now = Instant::now();
@@ -198,38 +199,38 @@
                 .write("replica-dropped", serde_json::json!({"replica": replica}));
         }
         let forgotten = core.members.borrow_mut().tick(now);
-        for card in forgotten {
-            // Other regions ask only a few nodes here, and others when they please: silence of a node
-            // there says nothing of its death, and its own region names the gap.
-            if card.region != core.settings.region {
+        for member in forgotten {
+            // Nodes of other regions send heartbeats to only some nodes here, and at irregular
+            // times, so their silence does not indicate death; their own region records the gap.
+            if member.region != core.settings.region {
                 continue;
             }
             core.log
-                .write("member-gone", serde_json::json!({"member": card.node}));
-            note_death(&core, &card.node, card.incarnation);
+                .write("member-gone", serde_json::json!({"member": member.node}));
+            note_death(&core, &member.node, member.incarnation);
         }
         core.pool.tick(now);
-        share_limits(&core, now);
-        count_notices(&core);
+        update_limit_sharers(&core, now);
+        update_notice_gauges(&core);
         core.suspects.borrow_mut().tick(now);
         core.quotas.borrow_mut().tick(now);
-        review(&core, now);
+        publish_quarantine_changes(&core, now);
     }
 }
 
 async fn wait_for_stop(
     core: &Rc<EntryCore>,
     mut signals: EntrySignals,
-    reread: impl Fn() -> Result<EntrySettings, String>,
+    load_settings: impl Fn() -> Result<EntrySettings, String>,
 ) {
     loop {
         tokio::select! {
             _ = signals.terminate.recv() => return,
             _ = signals.interrupt.recv() => return,
             _ = signals.hangup.recv() => {
-                let outcome = match reread() {
+                let outcome = match load_settings() {
                     Ok(settings) if settings == core.settings => "unchanged".to_owned(),
-                    Ok(_) => "changed; it counts from the next start".to_owned(),
+                    Ok(_) => "changed; takes effect at the next start".to_owned(),
                     Err(error) => format!("rejected: {error}"),
                 };
                 core.log.write("reload", serde_json::json!({"outcome": outcome}));
@@ -238,53 +239,55 @@
     }
 }
 
-/// Goes on taking what ends soon while no other node of the region is ready.
+/// Keeps accepting requests that end soon while no other node of the region is ready.
 ///
-/// Where all nodes of a region are stopped in turn, each ends its streams for seconds and nobody is left
-/// for new callers: of seven nodes stopped one second apart, half of the look-ups found nobody.
-async fn serve_alone(core: &EntryCore, began: Instant) {
+/// When all nodes of a region are stopped in turn, each spends seconds on ending its streams and no
+/// node is left for new callers: with seven nodes stopped one second apart, half of the directory
+/// look-ups returned no node.
+async fn serve_as_last_node(core: &EntryCore, began: Instant) {
     core.phase.send_replace(StopPhase::PlainOnly);
-    let last = began + core.settings.bounds.grace.mul_f64(ALONE_PART);
-    while Instant::now() < last {
-        if has_ready_neighbour(core) {
+    let deadline = began + core.settings.bounds.grace.mul_f64(LAST_NODE_PART);
+    while Instant::now() < deadline {
+        if has_ready_peer(core) {
             return;
         }
-        sleep(DRAIN_LOOK).await;
+        sleep(DRAIN_CHECK_INTERVAL).await;
     }
 }
 
-fn has_ready_neighbour(core: &EntryCore) -> bool {
+fn has_ready_peer(core: &EntryCore) -> bool {
     let members = core.members.borrow();
     let ready = members.live_in(&core.settings.region, Instant::now());
     !ready.is_empty()
 }
 
-/// Leaves: says so, serves whoever still comes, then ends what is in progress.
-async fn leave(core: &Rc<EntryCore>) {
+/// Shuts down: announces that this node is leaving, serves callers that still arrive, then ends the
+/// requests in progress.
+async fn shut_down(core: &Rc<EntryCore>) {
     let began = Instant::now();
-    let last = began + core.settings.bounds.grace.saturating_sub(EXIT_TIME);
+    let deadline = began + core.settings.bounds.grace.saturating_sub(EXIT_RESERVE);
     core.log.write(
         "stop",
         serde_json::json!({"open_calls": core.open_calls.get()}),
     );
     core.phase.send_replace(StopPhase::Leaving);
     if let Ok(socket) = UdpSocket::bind("0.0.0.0:0").await {
-        // The nodes would also notice by themselves, a moment later.
-        let _ = timeout(FAREWELL_TIME, tell_all(core, &socket)).await;
+        // Without the announcement the other nodes would detect it a moment later.
+        let _ = timeout(ANNOUNCE_TIMEOUT, announce_leaving(core, &socket)).await;
     }
-    sleep(LEAVE_TIME.min(core.settings.bounds.grace / 3)).await;
-    serve_alone(core, began).await;
+    sleep(LEAVE_PERIOD.min(core.settings.bounds.grace / 3)).await;
+    serve_as_last_node(core, began).await;
     core.phase.send_replace(StopPhase::Closing);
-    sleep(DRAIN_LOOK * 2).await;
-    while core.open_calls.get() > 0 && Instant::now() < last {
-        sleep(DRAIN_LOOK).await;
+    sleep(DRAIN_CHECK_INTERVAL * 2).await;
+    while core.open_calls.get() > 0 && Instant::now() < deadline {
+        sleep(DRAIN_CHECK_INTERVAL).await;
     }
-    // What cannot be handed over in time is named as a gap in the report.
-    let _ = timeout(SETTLE_TIME, settle(core)).await;
+    // Counts that cannot be sent in time appear as a gap in the report.
+    let _ = timeout(FLUSH_TIMEOUT, flush_counts(core)).await;
     core.log.write(
         "stopped",
         serde_json::json!({"open_calls": core.open_calls.get(),
             "took_ms": began.elapsed().as_millis() as u64}),
     );
-    sleep(DRAIN_LOOK).await;
+    sleep(DRAIN_CHECK_INTERVAL).await;
 }
--- a/crates/zinniahatch_entry/src/store.rs
+++ b/crates/zinniahatch_entry/src/store.rs
@@ -1,8 +1,9 @@
-//! The platform's store: what is followed there, what this node keeps there, and its return from an older copy.
+//! Access to the platform's store: watched state, keys owned by this node, and recovery after a
+//! restore of the store from an older backup.
 
-pub(crate) mod membership;
-pub(crate) mod news;
 pub(crate) mod quarantine_keys;
-pub(crate) mod store_return;
+pub(crate) mod registration;
+pub(crate) mod restore_recovery;
+pub(crate) mod updates;
 pub(crate) mod watch;
 pub(crate) mod watch_topic;
--- a/crates/zinniahatch_entry/src/store/quarantine_keys.rs
+++ b/crates/zinniahatch_entry/src/store/quarantine_keys.rs
@@ -1,17 +1,17 @@
-//! Keys of quarantined requests in the platform's store.
+//! Persistence of quarantined requests in the platform's store.
 //!
-//! Failure: all nodes lose power, and with them what they know; the request that had ended replicas ends
-//! three more. Each node that saw one of the ends keeps the content in the store, under a lease that lapses with
-//! the quarantine, and two nodes of each region read these keys when they start. Nodes tell each other of what they
-//! know; nobody watches the keys.
+//! Failure: all nodes lose power and with it their state, and the request that had crashed replicas
+//! crashes three more. Therefore each node that saw one of these crashes stores the request's
+//! digest under a lease that expires with the quarantine, and two nodes of each region read these
+//! keys at start. Nodes share the result by gossip; nobody watches the keys.
 
 use crate::core::EntryCore;
 use crate::decision_log::unix_millis;
-use crate::nodes::duty::has_duty;
-use crate::replicas::quarantine::NewsSource;
-use crate::replicas::quarantine::hear_suspects;
+use crate::nodes::roles::holds_role;
+use crate::replicas::quarantine::UpdateSource;
+use crate::replicas::quarantine::apply_suspects;
 use crate::request::received::content_text;
-use crate::store::news::reject;
+use crate::store::updates::reject_value;
 use crate::store::watch::wait_for_store;
 use serde::Deserialize;
 use serde::Serialize;
@@ -24,52 +24,52 @@
 use zinniahatch_route::SuspectNews;
 use zinniahatch_route::ToldEnd;
 
-/// Start of the keys.
-const PREFIX: &str = "zinniahatch/quarantine/";
-/// Time for a listing of these keys.
-const LIST_TIME: Duration = Duration::from_millis(1_500);
-/// Nodes of a region that read the keys when they start; one of them may die before it does. The others hear of
-/// them by the cards, within half a second, and each call to the store has its price.
+/// Prefix of the keys.
+const KEY_PREFIX: &str = "zinniahatch/quarantine/";
+/// Time limit for listing these keys.
+const LIST_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// Number of nodes per region that read the keys at start; one of them may fail before it does. The
+/// others learn the content by gossip within half a second, and each call to the store has a cost.
 const KEY_READERS: usize = 2;
-/// The duty by which these are ranked.
-const KEY_DUTY: &str = "quarantine";
-/// Pause between looks whether this node has that duty.
-const DUTY_LOOK: Duration = Duration::from_millis(500);
+/// Role name that is hashed to rank these nodes.
+const KEY_READER_ROLE: &str = "quarantine";
+/// Interval between checks whether this node holds that role.
+const ROLE_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 /// Pause after a failed call.
-const RETRY_TIME: Duration = Duration::from_millis(900);
-/// Longest lease that the store gives.
-const LONGEST_LEASE: Duration = Duration::from_secs(600);
+const RETRY_PAUSE: Duration = Duration::from_millis(900);
+/// Longest lease that the store grants.
+const MAX_LEASE: Duration = Duration::from_secs(600);
 
-/// What a key says.
+/// Stored form of a quarantined request.
 #[derive(Debug, Serialize, Deserialize)]
-struct KeptSuspect {
+struct StoredSuspect {
     content: ContentDigest,
-    ends: Vec<KeptEnd>,
+    ends: Vec<StoredCrash>,
 }
 
-/// The end of a replica as a key says it.
+/// Stored form of a replica crash.
 #[derive(Debug, Serialize, Deserialize)]
-struct KeptEnd {
-    /// The tag of the replica's life.
+struct StoredCrash {
+    /// The tag of the replica incarnation.
     replica: ShortTag,
-    /// When it ended, in Unix milliseconds.
+    /// Time of the crash, in Unix milliseconds.
     at_ms: u64,
-    /// How long the first request of the content had been there.
+    /// How long the first request with this content had run on the replica.
     ran_ms: u32,
 }
 
-/// Reads the keys once, where that falls to this node.
-pub(crate) async fn run_key_reader(core: Rc<EntryCore>) {
-    while !has_duty(&core, KEY_DUTY, KEY_READERS) {
-        sleep(DUTY_LOOK).await;
+/// Reads the keys once, if this node holds that role.
+pub(crate) async fn run_quarantine_reader(core: Rc<EntryCore>) {
+    while !holds_role(&core, KEY_READER_ROLE, KEY_READERS) {
+        sleep(ROLE_CHECK_INTERVAL).await;
     }
     while let Err(error) = read_keys(&core).await {
         pause_after(&core, &error).await;
     }
 }
 
-/// Keeps what this node holds in the store, until the process ends.
-pub(crate) async fn run_key_writer(core: Rc<EntryCore>) {
+/// Writes changes of this node's quarantine to the store until the process ends.
+pub(crate) async fn run_quarantine_writer(core: Rc<EntryCore>) {
     let mut changes = core.quarantined.subscribe();
     loop {
         // The sender lives as long as the process.
@@ -86,23 +86,24 @@
         "quarantine-not-kept",
         serde_json::json!({"error": error.to_string()}),
     );
-    sleep(RETRY_TIME).await;
+    sleep(RETRY_PAUSE).await;
     wait_for_store(core).await;
 }
 
 async fn read_keys(core: &EntryCore) -> Result<(), KvError> {
-    // A read that may be seconds old costs a tenth and does not count towards the store's rate.
-    let listing = core.store.old_items(PREFIX, LIST_TIME).await?;
+    // A stale read costs a tenth of a current one and does not count towards the store's rate
+    // limit; it may lag by seconds.
+    let listing = core.store.old_items(KEY_PREFIX, LIST_TIMEOUT).await?;
     core.metrics.note_store("quarantine", "listed");
     let now = unix_millis();
-    let mut news = Vec::new();
+    let mut updates = Vec::new();
     for item in listing.items {
-        match serde_json::from_slice::<KeptSuspect>(&item.value) {
-            Ok(kept) => news.push(kept.news(now)),
-            Err(error) => reject(core, &format!("key `{}`: {error}", item.key)),
+        match serde_json::from_slice::<StoredSuspect>(&item.value) {
+            Ok(stored) => updates.push(stored.to_update(now)),
+            Err(error) => reject_value(core, &format!("key `{}`: {error}", item.key)),
         }
     }
-    hear_suspects(core, &news, NewsSource::Store);
+    apply_suspects(core, &updates, UpdateSource::Store);
     Ok(())
 }
 
@@ -116,48 +117,53 @@
             core.released.borrow_mut().retain(|other| *other != content);
             continue;
         }
-        let unkept = core.suspects.borrow().unkept(Instant::now());
-        let Some((news, left)) = unkept else {
+        let unsaved = core.suspects.borrow().unkept(Instant::now());
+        let Some((update, left)) = unsaved else {
             return Ok(());
         };
-        keep(core, &news, left).await?;
+        store_suspect(core, &update, left).await?;
     }
 }
 
-async fn keep(core: &EntryCore, news: &SuspectNews, left: Duration) -> Result<(), KvError> {
-    let time = left.min(LONGEST_LEASE).max(core.settings.lease_least);
+async fn store_suspect(
+    core: &EntryCore,
+    update: &SuspectNews,
+    left: Duration,
+) -> Result<(), KvError> {
+    let time = left.min(MAX_LEASE).max(core.settings.lease_least);
     let lease = core.store.grant(time).await?;
-    let kept = KeptSuspect::of(news, unix_millis());
-    let value = serde_json::to_vec(&kept).unwrap_or_default();
-    let commit = StoreCommit::new().set(&key_of(news.content), &value, Some(lease));
+    let stored = StoredSuspect::from_update(update, unix_millis());
+    let value = serde_json::to_vec(&stored).unwrap_or_default();
+    let commit = StoreCommit::new().set(&key_of(update.content), &value, Some(lease));
     if core.store.commit(&commit).await? == CommitOutcome::NoLease {
-        return Err(KvError::NotDone("the lease has lapsed".into()));
+        return Err(KvError::NotDone("the lease has expired".into()));
     }
     core.metrics.note_store("quarantine", "kept");
-    core.suspects.borrow_mut().note_kept(news.content);
+    core.suspects.borrow_mut().note_kept(update.content);
     core.log.write(
         "quarantine-kept",
-        serde_json::json!({"content": content_text(news.content),
+        serde_json::json!({"content": content_text(update.content),
             "for_ms": time.as_millis() as u64}),
     );
     Ok(())
 }
 
-impl KeptSuspect {
-    fn of(news: &SuspectNews, now: u64) -> Self {
-        let ends = news.ends.iter().map(|end| KeptEnd {
+impl StoredSuspect {
+    fn from_update(update: &SuspectNews, now: u64) -> Self {
+        let ends = update.ends.iter().map(|end| StoredCrash {
             replica: end.replica,
             at_ms: now.saturating_sub(u64::from(end.age_ms)),
             ran_ms: end.ran_ms,
         });
         Self {
-            content: news.content,
+            content: update.content,
             ends: ends.collect(),
         }
     }
 
-    /// Gives it as news. Where the time of day stepped back meanwhile the ends count as of now.
-    fn news(&self, now: u64) -> SuspectNews {
+    /// Converts to an update. If the system clock stepped back in the meantime, the crashes count
+    /// as of now.
+    fn to_update(&self, now: u64) -> SuspectNews {
         let ends = self.ends.iter().map(|end| ToldEnd {
             replica: end.replica,
             age_ms: u32::try_from(now.saturating_sub(end.at_ms)).unwrap_or(u32::MAX),
@@ -172,5 +178,5 @@
 }
 
 fn key_of(content: ContentDigest) -> String {
-    format!("{PREFIX}{}", content_text(content))
+    format!("{KEY_PREFIX}{}", content_text(content))
 }
--- a/crates/zinniahatch_entry/src/store/membership.rs
+++ b/crates/zinniahatch_entry/src/store/registration.rs
@@ -1,8 +1,9 @@
-//! This node's key in the store, by which nodes find each other when the seeds are gone.
+//! This node's registration in the store, by which nodes discover each other when all seeds are
+//! gone.
 
 use crate::core::EntryCore;
 use crate::core::StopPhase;
-use crate::store::news::reject;
+use crate::store::updates::reject_value;
 use std::net::SocketAddrV4;
 use std::rc::Rc;
 use tokio::time::sleep;
@@ -12,32 +13,32 @@
 use zinniahatch_platform::StoreCommit;
 use zinniahatch_platform::StoreLeaseId;
 
-/// Start of the keys under which nodes register, each with its region and address.
+/// Prefix of the registration keys, whose values hold a node's region and address.
 const NODE_PREFIX: &str = "zinniahatch/nodes/";
-/// Time for a listing of these keys.
-const LIST_TIME: Duration = Duration::from_millis(1500);
-/// Time for which the key outlives its node. Liveness is told by datagrams; the key only has to
-/// be gone before callers are told of a node that ended nine seconds ago.
-const KEY_TIME: Duration = Duration::from_secs(6);
-/// Time between renewals: two may be lost.
-const RENEW_TIME: Duration = Duration::from_secs(2);
-/// Pause after a failure.
-const RETRY_TIME: Duration = Duration::from_millis(900);
+/// Time limit for listing these keys.
+const LIST_TIMEOUT: Duration = Duration::from_millis(1500);
+/// Lease time of the key. Liveness is detected by gossip; the key only has to be gone within nine
+/// seconds of a node's failure, after which callers must not be directed to that node.
+const LEASE_TTL: Duration = Duration::from_secs(6);
+/// Interval between renewals; the lease survives the loss of two.
+const RENEW_INTERVAL: Duration = Duration::from_secs(2);
+/// Pause after a failed call.
+const RETRY_PAUSE: Duration = Duration::from_millis(900);
 
-/// Keeps the key until the node leaves, then removes it.
-pub(crate) async fn run_membership(core: Rc<EntryCore>) {
+/// Keeps the registration alive until the node leaves, then removes it.
+pub(crate) async fn run_registration(core: Rc<EntryCore>) {
     let mut phases = core.phase.subscribe();
     let leaving = phases.wait_for(|phase| *phase != StopPhase::Serving);
     tokio::pin!(leaving);
     let mut lease = None;
     loop {
-        let pause = match renew(&core, lease).await {
+        let pause = match renew_registration(&core, lease).await {
             Ok(held) => {
                 lease = held;
                 if held.is_some() {
-                    RENEW_TIME
+                    RENEW_INTERVAL
                 } else {
-                    RETRY_TIME
+                    RETRY_PAUSE
                 }
             }
             Err(error) => {
@@ -48,7 +49,7 @@
                     "lease-failed",
                     serde_json::json!({"lease": lease.map(|lease| lease.number), "error": error.to_string()}),
                 );
-                RETRY_TIME
+                RETRY_PAUSE
             }
         };
         tokio::select! {
@@ -66,8 +67,9 @@
     }
 }
 
-/// Renews the lease, or takes one and binds the key to it; none where it has to be tried again.
-async fn renew(
+/// Renews the lease, or acquires one and registers with it; returns `None` if registration has to
+/// be retried.
+async fn renew_registration(
     core: &Rc<EntryCore>,
     lease: Option<StoreLeaseId>,
 ) -> Result<Option<StoreLeaseId>, KvError> {
@@ -79,7 +81,7 @@
         core.log
             .write("lease-lapsed", serde_json::json!({"lease": lease.number}));
     }
-    let time = KEY_TIME.max(core.settings.lease_least);
+    let time = LEASE_TTL.max(core.settings.lease_least);
     let granted = core.store.grant(time).await?;
     let key = format!("{NODE_PREFIX}{}", core.settings.name);
     let value = format!("{} {}", core.settings.region, core.settings.listen.peer);
@@ -87,22 +89,27 @@
     core.metrics.note_store("register", "done");
     match core.store.commit(&commit).await? {
         CommitOutcome::Done(_) => {
-            find_others(core).await?;
+            discover_nodes(core).await?;
             Ok(Some(granted))
         }
         CommitOutcome::Conflict | CommitOutcome::NoLease => Ok(None),
     }
 }
 
-/// Reads the keys of the other nodes. Each node does this once it is registered, so that of any two
-/// nodes at least the later one finds the other, and nobody has to watch these keys.
-async fn find_others(core: &Rc<EntryCore>) -> Result<(), KvError> {
-    let listing = core.store.items(NODE_PREFIX, LIST_TIME).await?;
+/// Discovers the other nodes by their keys.
+///
+/// Each node does this once it is registered, so that of any two nodes at least the later one finds
+/// the other, and no node has to watch these keys.
+async fn discover_nodes(core: &Rc<EntryCore>) -> Result<(), KvError> {
+    let listing = core.store.items(NODE_PREFIX, LIST_TIMEOUT).await?;
     core.metrics.note_store("nodes", "done");
     let mut contacts = core.contacts.borrow_mut();
     for item in listing.items {
-        let Some((region, address)) = parse_place(&item.value) else {
-            reject(core, &format!("key `{}`: not `REGION IP:port`", item.key));
+        let Some((region, address)) = parse_registration(&item.value) else {
+            reject_value(
+                core,
+                &format!("key `{}`: expected `REGION IP:port`", item.key),
+            );
             continue;
         };
         contacts.note(address, Some(&region));
@@ -112,8 +119,8 @@
     Ok(())
 }
 
-/// Reads a region and an address.
-fn parse_place(value: &[u8]) -> Option<(RegionId, SocketAddrV4)> {
+/// Parses a region and an address.
+fn parse_registration(value: &[u8]) -> Option<(RegionId, SocketAddrV4)> {
     let (region, address) = std::str::from_utf8(value).ok()?.split_once(' ')?;
     Some((region.into(), address.parse().ok()?))
 }
--- a/crates/zinniahatch_entry/src/store/store_return.rs
+++ b/crates/zinniahatch_entry/src/store/restore_recovery.rs
@@ -1,18 +1,20 @@
-//! What this node does when the store has come back from an older copy.
+//! Recovery after the store was restored from an older backup.
 //!
-//! Failure: the store is away for a moment and comes back from a copy some seconds old. What was written since is
-//! gone, leases too, and its revisions are given out again. Taken by their numbers, later news would be dropped as old
-//! ones until the numbers are caught up with; evacuations and the preset in force would be forgotten.
+//! Failure: the store is unavailable for a moment and is restored from a backup that is some seconds
+//! old. Later writes and leases are lost, and their revision numbers are assigned again. If
+//! revisions were compared by number alone, new changes would be dropped as old ones until the
+//! numbers catch up, and evacuations and the preset in force would be lost.
 //!
-//! Guard: revisions are compared with their era, watches list anew, and each node writes again what it owns: its
-//! key first, at the next renewal, then what it holds of fatal requests, the preset and its counts. What the operators
-//! wrote is in force until they have had time to write it again.
+//! Revisions are therefore compared together with their era, watches list their topics again, and
+//! each node rewrites the data that it owns: its registration first, at the next renewal, then its
+//! quarantined requests, the preset and its usage counts. State written by operators stays in force
+//! until they have had time to write it again.
 
 use crate::core::EntryCore;
-use crate::nodes::duty::READER_DUTY;
-use crate::nodes::duty::READERS;
-use crate::nodes::duty::has_duty;
-use crate::store::news::take_listing;
+use crate::nodes::roles::STORE_READER_ROLE;
+use crate::nodes::roles::STORE_READERS;
+use crate::nodes::roles::holds_role;
+use crate::store::updates::apply_listing;
 use crate::store::watch_topic::WatchTopic;
 use rand::RngExt;
 use std::rc::Rc;
@@ -27,23 +29,23 @@
 use zinniahatch_route::RETURN_HOLD;
 use zinniahatch_route::ServingPreset;
 
-/// Limit of a listing.
-const LIST_TIME: Duration = Duration::from_millis(1_500);
-/// Time over which the nodes spread their writes after a return.
-const SPREAD_TIME: Duration = Duration::from_secs(2);
+/// Time limit of a listing.
+const LIST_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// Time over which the nodes spread their writes after a restore.
+const SPREAD_PERIOD: Duration = Duration::from_secs(2);
 /// Pause after a failed call.
-const RETRY_TIME: Duration = Duration::from_millis(900);
-/// Tries to write the preset again; another node that follows it does the same.
-const MOST_TRIES: usize = 5;
+const RETRY_PAUSE: Duration = Duration::from_millis(900);
+/// Maximum attempts to rewrite the preset; every node that has the preset does the same.
+const MAX_ATTEMPTS: usize = 5;
 
-/// Looks for returns of the store until the process ends.
-pub(crate) async fn run_returns(core: Rc<EntryCore>) {
+/// Watches for restores of the store until the process ends.
+pub(crate) async fn run_restore_recovery(core: Rc<EntryCore>) {
     let mut eras = core.store.eras();
     let mut known = None;
     loop {
         let era = *eras.borrow_and_update();
         if let (Some(before), Some(after)) = (known, era) {
-            take_return(&core, before, after).await;
+            recover_from_restore(&core, before, after).await;
         }
         known = era;
         // The client lives as long as the process.
@@ -51,9 +53,9 @@
     }
 }
 
-async fn take_return(core: &Rc<EntryCore>, before: u64, after: u64) {
+async fn recover_from_restore(core: &Rc<EntryCore>, before: u64, after: u64) {
     let now = Instant::now();
-    core.metrics.note_store_return();
+    core.metrics.note_store_restore();
     let sheets = core.counts.book.borrow_mut().reopen(now);
     let suspects = core.suspects.borrow_mut().forget_kept();
     core.log.write(
@@ -62,29 +64,30 @@
             "quarantined": suspects, "preset": core.preset.borrow().revision,
             "version": core.version()}),
     );
-    // Entries that the copy lacks are back soon; until then nobody is taken for gone.
+    // Entries missing from the backup will be rewritten soon; until then no replica counts as gone.
     core.note_store_trouble();
     core.replicas.borrow_mut().note_return(now);
     core.operator_revision.set(None);
-    sleep(SPREAD_TIME.mul_f64(rand::rng().random())).await;
+    sleep(SPREAD_PERIOD.mul_f64(rand::rng().random())).await;
     core.quarantined.send_replace(());
-    restore_preset(core).await;
+    rewrite_preset(core).await;
     core.log.write(
         "store-rewritten",
         serde_json::json!({"era": after, "took_ms": now.elapsed().as_millis() as u64}),
     );
     sleep(RETURN_HOLD.saturating_sub(now.elapsed())).await;
-    if has_duty(core, READER_DUTY, READERS) {
-        look_again(core).await;
+    if holds_role(core, STORE_READER_ROLE, STORE_READERS) {
+        relist_operator_keys(core).await;
     }
 }
 
-/// Lists the operators' keys once their time to write them again is over, so that what is not there then ends.
-async fn look_again(core: &Rc<EntryCore>) {
+/// Lists the operators' keys once the time to rewrite them is over, so that state that is missing
+/// by then ends.
+async fn relist_operator_keys(core: &Rc<EntryCore>) {
     let prefix = WatchTopic::Operator.prefix();
-    match core.store.items(prefix, LIST_TIME).await {
+    match core.store.items(prefix, LIST_TIMEOUT).await {
         Ok(listing) => {
-            take_listing(core, WatchTopic::Operator, listing);
+            apply_listing(core, WatchTopic::Operator, listing);
         }
         Err(error) => core.log.write(
             "store-lost",
@@ -93,9 +96,9 @@
     }
 }
 
-/// Writes the preset in force again where the store has an older one.
-async fn restore_preset(core: &EntryCore) {
-    for _ in 0..MOST_TRIES {
+/// Rewrites the preset in force if the store has an older one.
+async fn rewrite_preset(core: &EntryCore) {
+    for _ in 0..MAX_ATTEMPTS {
         let preset = core.preset.borrow().clone();
         if preset.revision == ServingPreset::default().revision {
             return;
@@ -109,20 +112,21 @@
                     "preset-not-restored",
                     serde_json::json!({"preset": preset.name, "error": error.to_string()}),
                 );
-                sleep(RETRY_TIME).await;
+                sleep(RETRY_PAUSE).await;
             }
         }
     }
 }
 
-/// Puts a preset into the store unless that has one as new; `false` where another writer came between.
+/// Writes a preset to the store unless the stored one is as new; returns `false` if another writer
+/// interfered.
 async fn put_preset(core: &EntryCore, preset: &ServingPreset) -> Result<bool, KvError> {
     let held = core.store.item(PRESET_KEY).await?;
-    let kept = held.as_ref().and_then(|item| {
+    let stored = held.as_ref().and_then(|item| {
         let text = String::from_utf8_lossy(&item.value);
         parse_serving_preset(PRESET_KEY, &text).ok()
     });
-    if kept.is_some_and(|kept| kept.revision >= preset.revision) {
+    if stored.is_some_and(|stored| stored.revision >= preset.revision) {
         return Ok(true);
     }
     let expected = held.map_or(StoreRevision::default(), |item| item.revision);
--- /dev/null
+++ b/crates/zinniahatch_entry/src/store/updates.rs
@@ -0,0 +1,285 @@
+//! Application of state from the store: desired state, evacuations, replicas and the preset.
+
+use crate::core::EntryCore;
+use crate::nodes::replica_updates::ReplicaUpdates;
+use crate::nodes::roles::STORE_READER_ROLE;
+use crate::nodes::roles::STORE_READERS;
+use crate::nodes::roles::holds_role;
+use crate::replicas::notice::apply_leaving_updates;
+use crate::store::watch_topic::WatchTopic;
+use std::rc::Rc;
+use zinniahatch_base::prelude::*;
+use zinniahatch_config::PRESET_KEY;
+use zinniahatch_config::parse_serving_preset;
+use zinniahatch_platform::KeySubject;
+use zinniahatch_platform::StoreEvent;
+use zinniahatch_platform::StoreItem;
+use zinniahatch_platform::StoreListing;
+use zinniahatch_platform::decode_backend;
+use zinniahatch_platform::decode_desired;
+use zinniahatch_platform::subject_of;
+use zinniahatch_route::DesiredState;
+use zinniahatch_route::EntryChange;
+use zinniahatch_route::ReplicaEntry;
+
+/// Applies a complete listing of a topic's keys and returns the revision to watch from.
+pub(crate) fn apply_listing(
+    core: &Rc<EntryCore>,
+    topic: WatchTopic,
+    listing: StoreListing,
+) -> StoreRevision {
+    let StoreListing { items, revision } = listing;
+    core.metrics.note_store("list", "done");
+    let now = Instant::now();
+    let mut entries = Vec::new();
+    let mut evacuated = BTreeSet::new();
+    for item in &items {
+        match subject_of(&item.key) {
+            KeySubject::Desired => apply_desired_item(core, item),
+            KeySubject::Evacuation(data_centre) => {
+                evacuated.insert(data_centre.into());
+            }
+            KeySubject::Backend(id) => match decode_backend(id, item) {
+                Ok(entry) => entries.push(entry),
+                Err(error) => reject_value(core, &error.to_string()),
+            },
+            KeySubject::Other => apply_preset_item(core, item),
+        }
+    }
+    match topic {
+        WatchTopic::Operator => apply_evacuations(core, &evacuated, revision),
+        WatchTopic::Replicas => {
+            let mut replicas = core.replicas.borrow_mut();
+            let changes = replicas.relist(entries, revision, now);
+            drop(replicas);
+            for (entry, change) in changes {
+                handle_entry_change(core, &entry, change);
+            }
+            core.note_listed();
+        }
+        WatchTopic::Preset => {}
+    }
+    core.log.write(
+        "listed",
+        serde_json::json!({"topic": format!("{topic:?}"), "revision": revision,
+            "items": items.len(), "version": core.version()}),
+    );
+    revision
+}
+
+/// Applies one change.
+pub(crate) fn apply_event(core: &Rc<EntryCore>, event: StoreEvent, now: Instant) {
+    match event {
+        StoreEvent::Written(item) => apply_write(core, &item, now),
+        StoreEvent::Removed { key, revision } => apply_removal(core, &key, revision, now),
+    }
+}
+
+fn apply_write(core: &Rc<EntryCore>, item: &StoreItem, now: Instant) {
+    match subject_of(&item.key) {
+        KeySubject::Desired => apply_desired_item(core, item),
+        KeySubject::Evacuation(data_centre) => {
+            read_evacuation(core, data_centre, true, item.revision);
+        }
+        KeySubject::Backend(id) => match decode_backend(id, item) {
+            Ok(entry) => {
+                queue_for_region(core, &entry.data_centre, |updates| {
+                    updates.written.push(entry.clone());
+                });
+                apply_entry(core, entry, now);
+            }
+            Err(error) => {
+                // The invalid value names no usable replica, and the previous one is no longer
+                // current.
+                reject_value(core, &error.to_string());
+                handle_backend_removal(core, id, item.revision, now);
+            }
+        },
+        KeySubject::Other => apply_preset_item(core, item),
+    }
+}
+
+fn apply_removal(core: &Rc<EntryCore>, key: &str, revision: StoreRevision, now: Instant) {
+    match subject_of(key) {
+        KeySubject::Evacuation(data_centre) => read_evacuation(core, data_centre, false, revision),
+        KeySubject::Backend(id) => handle_backend_removal(core, id, revision, now),
+        KeySubject::Desired => reject_value(core, "the desired state was removed"),
+        KeySubject::Other => {}
+    }
+}
+
+/// Handles a key that no longer names a replica, and informs the region.
+fn handle_backend_removal(core: &EntryCore, id: &str, revision: StoreRevision, now: Instant) {
+    let replicas = core.replicas.borrow();
+    let data_centre = replicas
+        .get(id)
+        .map(|replica_state| replica_state.entry.data_centre.clone());
+    drop(replicas);
+    if let Some(data_centre) = data_centre {
+        queue_for_region(core, &data_centre, |updates| {
+            updates.removed.push((id.into(), revision));
+        });
+    }
+    remove_replica(core, id, revision, now);
+}
+
+/// Applies a replica entry that this node or another one read from the store.
+fn apply_entry(core: &EntryCore, entry: ReplicaEntry, now: Instant) {
+    let change = core.replicas.borrow_mut().upsert(entry.clone(), now);
+    handle_entry_change(core, &entry, change);
+}
+
+/// Logs what an entry changed, and closes pooled channels to an earlier incarnation of the replica.
+fn handle_entry_change(core: &EntryCore, entry: &ReplicaEntry, change: EntryChange) {
+    let kind = match change {
+        EntryChange::None => return,
+        EntryChange::Belief => "replica",
+        EntryChange::NewLife(before) => {
+            core.pool.purge(before);
+            "replica-reborn"
+        }
+    };
+    core.log.write(
+        kind,
+        serde_json::json!({"replica": entry.id, "born_ms": entry.born, "leaving": entry.leaving,
+            "cold_ms": entry.cold_for.as_millis() as u64,
+            "gone_in_ms": entry.gone_in.map(|left| left.as_millis() as u64),
+            "revision": entry.revision}),
+    );
+}
+
+fn remove_replica(core: &EntryCore, id: &str, revision: StoreRevision, now: Instant) {
+    let mut replicas = core.replicas.borrow_mut();
+    if replicas.get(id).is_none() {
+        return;
+    }
+    replicas.vanish(id, revision, now);
+    drop(replicas);
+    core.log.write(
+        "replica-entry-gone",
+        serde_json::json!({"replica": id, "revision": revision}),
+    );
+}
+
+/// Applies replica updates from a node of the region.
+pub(crate) fn apply_replica_updates(core: &EntryCore, updates: ReplicaUpdates, now: Instant) {
+    for entry in updates.written {
+        apply_entry(core, entry, now);
+    }
+    for (id, revision) in updates.removed {
+        remove_replica(core, &id, revision, now);
+    }
+    for (data_centre, on, revision) in updates.evacuations {
+        apply_evacuation_change(core, &data_centre, on, revision);
+    }
+    apply_leaving_updates(core, &updates.leaving);
+}
+
+/// Queues a replica update for the other nodes of its region if this node is a store reader.
+fn queue_for_region(core: &EntryCore, data_centre: &str, queue: impl FnOnce(&mut ReplicaUpdates)) {
+    let same_region = core.settings.regions.get(data_centre) == Some(&core.settings.region);
+    if same_region && holds_role(core, STORE_READER_ROLE, STORE_READERS) {
+        queue(&mut core.replica_news.borrow_mut());
+        core.work_changed.notify_one();
+    }
+}
+
+/// Applies the complete set of evacuations as of a revision.
+fn apply_evacuations(
+    core: &EntryCore,
+    evacuated: &BTreeSet<DataCentreId>,
+    revision: StoreRevision,
+) {
+    let mut replicas = core.replicas.borrow_mut();
+    let changed = replicas.set_evacuated(evacuated, revision, Instant::now());
+    drop(replicas);
+    for data_centre in changed {
+        log_evacuation(core, &data_centre, evacuated.contains(&data_centre));
+    }
+}
+
+/// Applies an evacuation change read from the store, and queues it for the region if this node is a
+/// store reader.
+fn read_evacuation(core: &EntryCore, data_centre: &str, on: bool, revision: StoreRevision) {
+    let data_centre: DataCentreId = data_centre.into();
+    if holds_role(core, STORE_READER_ROLE, STORE_READERS) {
+        let mut updates = core.replica_news.borrow_mut();
+        updates
+            .evacuations
+            .push((data_centre.clone(), on, revision));
+        drop(updates);
+        core.work_changed.notify_one();
+    }
+    apply_evacuation_change(core, &data_centre, on, revision);
+}
+
+fn apply_evacuation_change(
+    core: &EntryCore,
+    data_centre: &DataCentreId,
+    on: bool,
+    revision: StoreRevision,
+) {
+    let mut replicas = core.replicas.borrow_mut();
+    let changed = replicas.note_evacuation(data_centre, on, revision);
+    drop(replicas);
+    if changed {
+        log_evacuation(core, data_centre, on);
+    }
+}
+
+fn log_evacuation(core: &EntryCore, data_centre: &DataCentreId, on: bool) {
+    core.log.write(
+        "evacuation",
+        serde_json::json!({"data_centre": data_centre, "on": on}),
+    );
+}
+
+fn apply_desired_item(core: &EntryCore, item: &StoreItem) {
+    match decode_desired(&item.value) {
+        Ok(state) => match unknown_home(core, &state) {
+            None => {
+                core.adopt(state, "store");
+            }
+            Some(problem) => reject_value(core, &problem),
+        },
+        Err(error) => reject_value(core, &error.to_string()),
+    }
+}
+
+/// Returns the problem with the first account home that is not a configured region.
+///
+/// If the account were served by its remaining homes, its data would be kept where it was not meant
+/// to be.
+fn unknown_home(core: &EntryCore, state: &DesiredState) -> Option<String> {
+    let regions: BTreeSet<&RegionId> = core.settings.regions.values().collect();
+    for account in &state.accounts {
+        for home in &account.homes {
+            if !regions.contains(home) {
+                return Some(format!(
+                    "account `{}`: home `{home}` is not a configured region",
+                    account.name
+                ));
+            }
+        }
+    }
+    None
+}
+
+/// Counts and logs a value that cannot be used; the last valid one stays in force.
+pub(crate) fn reject_value(core: &EntryCore, problem: &str) {
+    core.metrics.note_store("value", "rejected");
+    core.log
+        .write("value-rejected", serde_json::json!({"problem": problem}));
+}
+
+/// Applies one of the gateway's own keys: the preset in force.
+fn apply_preset_item(core: &EntryCore, item: &StoreItem) {
+    if &*item.key != PRESET_KEY {
+        return;
+    }
+    let text = String::from_utf8_lossy(&item.value);
+    match parse_serving_preset(PRESET_KEY, &text) {
+        Ok(preset) => core.adopt_preset(preset, "store"),
+        Err(error) => reject_value(core, &error.to_string()),
+    }
+}
