--- a/crates/zinniahatch_entry/src/store/watch.rs
+++ b/crates/zinniahatch_entry/src/store/watch.rs
@@ -1,15 +1,15 @@
-//! Following the store: desired state, evacuations, replicas, the preset.
+//! Watches on the store: desired state, evacuations, replicas and the preset.
 
+use crate::auth::proofs::note_proof;
 use crate::core::ACQUAINT_TIME;
 use crate::core::EntryCore;
-use crate::nodes::duty::READER_DUTY;
-use crate::nodes::duty::READERS;
-use crate::nodes::duty::has_duty;
-use crate::nodes::own_card::reader_cover;
-use crate::store::news::take_event;
-use crate::store::news::take_listing;
+use crate::nodes::own_info::store_reader_coverage;
+use crate::nodes::roles::STORE_READER_ROLE;
+use crate::nodes::roles::STORE_READERS;
+use crate::nodes::roles::holds_role;
+use crate::store::updates::apply_event;
+use crate::store::updates::apply_listing;
 use crate::store::watch_topic::WatchTopic;
-use crate::who::proofs::note_proof;
 use futures_util::StreamExt;
 use futures_util::stream::FuturesUnordered;
 use rand::RngExt;
@@ -19,56 +19,60 @@
 use zinniahatch_platform::KvError;
 use zinniahatch_route::CoverState;
 
-/// Nodes of a region that follow the preset; the others hear of it from them. Each node that did so cost
-/// three calls a minute for what changes a few times a day.
+/// Number of nodes per region that watch the preset; the others learn it by gossip. A watch on
+/// every node cost three calls per minute and node for a value that changes a few times a day.
 const PRESET_WATCHERS: usize = 2;
-/// The duty by which these are ranked.
-const PRESET_DUTY: &str = "preset";
-/// Pause between looks whether this node has that duty.
-const DUTY_LOOK: Duration = Duration::from_secs(1);
-/// Pause after a watch that brought news, so that changes which come together cost one call.
-const GATHER_TIME: Duration = Duration::from_millis(350);
-/// Pause added for each other node: a change wakes the watch of every node, so the calls of one change
-/// grow with the fleet, and 89 nodes spent 0.032 of a calm day's worth on them.
-const GATHER_EACH: Duration = Duration::from_millis(8);
-/// Longest pause; desired states have to be in force, and replicas to be left, within four seconds.
-const GATHER_MOST: Duration = Duration::from_millis(1_200);
-/// Pause after news of replicas for a node that hears of them from the readers of its region. Its own
-/// watch is for datagrams that were lost, and must still bring the news within four seconds.
-const GATHER_BACKUP: Duration = Duration::from_millis(2_500);
-/// Part of the store's history after which a node that hears of replicas from readers looks for itself.
-const LOOK_PART: f64 = 0.5;
-/// Pause between looks whether the readers still speak, and whether this node knows what they do.
-const COVER_LOOK: Duration = Duration::from_millis(500);
-/// Limit of a page of a listing; a store that is merely slow answers within it.
-const LIST_TIME: Duration = Duration::from_millis(1_500);
-/// Pause after which a listing is asked for again beside the ones that hang. A node without a desired
-/// state serves nobody: where all nodes had lost power while the store was silent, they waited up to
-/// 1.9 s after its return for calls that it had never seen.
-const LIST_PAUSE: Duration = Duration::from_millis(400);
-/// Wait of a watch that only asks for what has happened.
-const ANY_NEWS: Duration = Duration::ZERO;
-/// Shortest and longest pause after a failed call, and the jitter that keeps the nodes apart. A store
-/// that is away for 5 s is asked about seven times by each node.
-const RETRY_LEAST: Duration = Duration::from_millis(250);
-const RETRY_MOST: Duration = Duration::from_secs(1);
+/// Role name that is hashed to rank these nodes.
+const PRESET_WATCHER_ROLE: &str = "preset";
+/// Interval between checks whether this node holds that role.
+const ROLE_CHECK_INTERVAL: Duration = Duration::from_secs(1);
+/// Pause after a watch returned changes, so that changes in quick succession cost one call.
+const COALESCE_PAUSE: Duration = Duration::from_millis(350);
+/// Extra pause for each other node. A change wakes the watch of every node, so the calls per change
+/// grow with the fleet; at 89 nodes they made up 0.032 of a calm day's calls.
+const COALESCE_PAUSE_PER_NODE: Duration = Duration::from_millis(8);
+/// Longest pause: new desired states must be in force, and removed replicas out of use, within four
+/// seconds.
+const MAX_COALESCE_PAUSE: Duration = Duration::from_millis(1_200);
+/// Pause after replica changes on a node that learns them from the store readers of its region. Its
+/// own watch only covers lost datagrams, and must still deliver the changes within four seconds.
+const BACKUP_WATCH_PAUSE: Duration = Duration::from_millis(2_500);
+/// Part of the store's history after which a node that relies on store readers lists the topic
+/// itself.
+const OWN_LISTING_PART: f64 = 0.5;
+/// Interval between checks whether the store readers are alive and this node has the same state.
+const COVERAGE_CHECK_INTERVAL: Duration = Duration::from_millis(500);
+/// Time limit for a page of a listing; a store that is merely slow answers within it.
+const LIST_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// Delay before another listing is sent alongside those without an answer. A node without a desired
+/// state cannot serve: after a power loss of all nodes while the store hung, nodes waited up to 1.9
+/// s after its recovery for calls that it had never received.
+const LIST_HEDGE_DELAY: Duration = Duration::from_millis(400);
+/// Wait time of a watch call that returns at once with the changes so far.
+const NO_WAIT: Duration = Duration::ZERO;
+/// Shortest and longest pause after a failed call, and the jitter that spreads the nodes. During an
+/// outage of 5 s each node calls the store about seven times.
+const MIN_RETRY_PAUSE: Duration = Duration::from_millis(250);
+const MAX_RETRY_PAUSE: Duration = Duration::from_secs(1);
 const RETRY_JITTER: std::ops::Range<f64> = 0.6..1.2;
 
-/// Follows the store until the process ends.
+/// Watches a topic until the process ends.
 pub(crate) async fn run_watch(core: Rc<EntryCore>, topic: WatchTopic) {
     let mut watcher = TopicWatcher {
         core,
         topic,
         revision: None,
-        fine: true,
-        retry: RETRY_LEAST,
+        healthy: true,
+        retry_pause: MIN_RETRY_PAUSE,
     };
     loop {
-        if topic == WatchTopic::Preset && !has_duty(&watcher.core, PRESET_DUTY, PRESET_WATCHERS) {
-            sleep(DUTY_LOOK).await;
+        if topic == WatchTopic::Preset
+            && !holds_role(&watcher.core, PRESET_WATCHER_ROLE, PRESET_WATCHERS)
+        {
+            sleep(ROLE_CHECK_INTERVAL).await;
             continue;
         }
-        match watcher.ask().await {
+        match watcher.poll().await {
             Ok(next) => watcher.note_answer(next),
             Err(KvError::Compacted) => watcher.note_compacted(),
             Err(error) => watcher.pause_after(&error).await,
@@ -80,37 +84,37 @@
 struct TopicWatcher {
     core: Rc<EntryCore>,
     topic: WatchTopic,
-    /// The revision up to which the topic is known; none where it has to be listed.
+    /// The revision up to which the topic is known, or `None` if it has to be listed.
     revision: Option<StoreRevision>,
-    /// Whether the last call was answered.
-    fine: bool,
+    /// Whether the last call succeeded.
+    healthy: bool,
     /// Pause after the next failure.
-    retry: Duration,
+    retry_pause: Duration,
 }
 
 impl TopicWatcher {
-    /// Lists the topic or waits for changes; gives the revision reached.
-    async fn ask(&self) -> Result<StoreRevision, KvError> {
+    /// Lists the topic or waits for changes, and returns the revision reached.
+    async fn poll(&self) -> Result<StoreRevision, KvError> {
         let Some(after) = self.revision else {
             if self.topic != WatchTopic::SCOUT {
                 wait_for_store(&self.core).await;
             }
-            return list_soon(&self.core, self.topic).await;
+            return list_hedged(&self.core, self.topic).await;
         };
-        if self.fine {
-            match rest(&self.core, self.topic).await {
-                RestEnd::NoRest => {}
-                RestEnd::Behind => return follow(&self.core, self.topic, after, ANY_NEWS).await,
-                RestEnd::Over => return look(&self.core, self.topic).await,
+        if self.healthy {
+            match await_coverage_end(&self.core, self.topic).await {
+                CoverageEnd::NotCovered => {}
+                CoverageEnd::Behind => return watch(&self.core, self.topic, after, NO_WAIT).await,
+                CoverageEnd::ListingDue => return list_stale(&self.core, self.topic).await,
             }
         }
-        // An answer at once shows that a store that was lost is back.
-        let wait = if self.fine {
+        // After an outage, an immediate answer shows that the store is back.
+        let wait = if self.healthy {
             self.core.settings.watch_wait()
         } else {
-            ANY_NEWS
+            NO_WAIT
         };
-        follow(&self.core, self.topic, after, wait).await
+        watch(&self.core, self.topic, after, wait).await
     }
 
     fn log(&self, kind: &'static str, key: &str, value: impl serde::Serialize) {
@@ -121,12 +125,12 @@
     }
 
     fn note_answer(&mut self, next: StoreRevision) {
-        if !self.fine {
+        if !self.healthy {
             self.log("store-back", "revision", next);
         }
-        self.fine = true;
+        self.healthy = true;
         self.revision = Some(next);
-        self.retry = RETRY_LEAST;
+        self.retry_pause = MIN_RETRY_PAUSE;
         if self.topic == WatchTopic::SCOUT {
             self.core.store_serves.send_replace(true);
         }
@@ -145,16 +149,16 @@
         self.core.note_store_trouble();
         self.core.metrics.note_store("follow", "failed");
         self.log("store-lost", "error", error.to_string());
-        self.fine = false;
+        self.healthy = false;
         let is_scout = self.topic == WatchTopic::SCOUT;
         if is_scout {
             self.core.store_serves.send_replace(false);
         }
         let jitter = rand::rng().random_range(RETRY_JITTER);
-        sleep(self.retry.mul_f64(jitter)).await;
-        // A node that knows nothing yet goes on asking soon.
+        sleep(self.retry_pause.mul_f64(jitter)).await;
+        // A node without any state keeps retrying at the shortest pause.
         if self.revision.is_some() {
-            self.retry = (self.retry * 2).min(RETRY_MOST);
+            self.retry_pause = (self.retry_pause * 2).min(MAX_RETRY_PAUSE);
         }
         if !is_scout {
             wait_for_store(&self.core).await;
@@ -162,141 +166,144 @@
     }
 }
 
-/// Why a rest ended.
+/// Why a node stopped relying on the store readers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum RestEnd {
-    /// There was none: this node reads, or nobody does for it.
-    NoRest,
-    /// The readers know what this node does not.
+enum CoverageEnd {
+    /// It did not rely on them: it is a store reader itself, or no reader is active.
+    NotCovered,
+    /// The readers have state that this node lacks.
     Behind,
-    /// It is time to look.
-    Over,
+    /// The topic is due for a listing of its own.
+    ListingDue,
 }
 
-/// Leaves the reading of a topic to the readers of the region for as long as this node hears of them and
-/// knows the same.
+/// Leaves polling a topic to the store readers of the region while they are active and this node
+/// has the same state.
 ///
-/// A change wakes each watch that waits: 195 nodes made 28 calls each in 34 s, most of them for news that
-/// they had from other nodes already.
-async fn rest(core: &EntryCore, topic: WatchTopic) -> RestEnd {
-    let young = core.started.elapsed() < ACQUAINT_TIME;
-    if young || topic.digest().is_none() || has_duty(core, READER_DUTY, READERS) {
-        return RestEnd::NoRest;
+/// A change wakes every waiting watch: 195 nodes made 28 calls each in 34 s, mostly for changes
+/// that they had already learned from other nodes.
+async fn await_coverage_end(core: &EntryCore, topic: WatchTopic) -> CoverageEnd {
+    let starting = core.started.elapsed() < ACQUAINT_TIME;
+    if starting || topic.digest().is_none() || holds_role(core, STORE_READER_ROLE, STORE_READERS) {
+        return CoverageEnd::NotCovered;
     }
     let since = Instant::now();
-    let most = core.settings.store_history.mul_f64(LOOK_PART);
-    let mut end = RestEnd::NoRest;
-    while since.elapsed() < most {
-        match reader_cover(core, topic, Instant::now()) {
-            CoverState::Alone => return RestEnd::NoRest,
-            CoverState::Behind => return RestEnd::Behind,
+    let max_wait = core.settings.store_history.mul_f64(OWN_LISTING_PART);
+    let mut end = CoverageEnd::NotCovered;
+    while since.elapsed() < max_wait {
+        match store_reader_coverage(core, topic, Instant::now()) {
+            CoverState::Alone => return CoverageEnd::NotCovered,
+            CoverState::Behind => return CoverageEnd::Behind,
             CoverState::Covered => {}
         }
-        note_rest(core, topic, true);
-        sleep(COVER_LOOK).await;
-        note_rest(core, topic, false);
-        end = RestEnd::Over;
+        set_watch_skipped(core, topic, true);
+        sleep(COVERAGE_CHECK_INTERVAL).await;
+        set_watch_skipped(core, topic, false);
+        end = CoverageEnd::ListingDue;
     }
     end
 }
 
-fn note_rest(core: &EntryCore, topic: WatchTopic, rests: bool) {
+fn set_watch_skipped(core: &EntryCore, topic: WatchTopic, skips: bool) {
     if topic == WatchTopic::Operator {
-        core.rests.set(rests);
+        core.rests.set(skips);
     }
 }
 
-/// Looks at a topic that others read, at a tenth of the price of a call. What it shows may be seconds old;
-/// what this node knows of later revisions stays as it is.
-async fn look(core: &Rc<EntryCore>, topic: WatchTopic) -> Result<StoreRevision, KvError> {
-    let listing = core.store.old_items(topic.prefix(), LIST_TIME).await?;
-    Ok(take_listing(core, topic, listing))
+/// Lists a topic that the store readers poll, by a stale read at a tenth of the cost of a call.
+///
+/// The listing may be seconds old; it does not replace state of later revisions.
+async fn list_stale(core: &Rc<EntryCore>, topic: WatchTopic) -> Result<StoreRevision, KvError> {
+    let listing = core.store.old_items(topic.prefix(), LIST_TIMEOUT).await?;
+    Ok(apply_listing(core, topic, listing))
 }
 
-/// Gives the pause after news.
-fn gather_time(core: &EntryCore, topic: WatchTopic) -> Duration {
-    if topic == WatchTopic::Replicas && !has_duty(core, READER_DUTY, READERS) {
-        return GATHER_BACKUP;
+/// Returns the pause after changes.
+fn coalesce_pause(core: &EntryCore, topic: WatchTopic) -> Duration {
+    if topic == WatchTopic::Replicas && !holds_role(core, STORE_READER_ROLE, STORE_READERS) {
+        return BACKUP_WATCH_PAUSE;
     }
     let others = core.contacts.borrow().len();
-    let pause = GATHER_TIME + GATHER_EACH * u32::try_from(others).unwrap_or(u32::MAX);
-    pause.min(GATHER_MOST)
+    let pause =
+        COALESCE_PAUSE + COALESCE_PAUSE_PER_NODE * u32::try_from(others).unwrap_or(u32::MAX);
+    pause.min(MAX_COALESCE_PAUSE)
 }
 
-/// Lists a topic's keys, asking again while earlier asks hang, until one is answered or all that were
-/// made have failed.
+/// Lists a topic's keys with hedged calls, until one is answered or all of them have failed.
 ///
-/// All topics ask at once when the process starts, since the store may be 160 ms away; while it hangs
-/// the scout alone goes on asking, and the others ask again when it was answered.
-async fn list_soon(core: &Rc<EntryCore>, topic: WatchTopic) -> Result<StoreRevision, KvError> {
-    let ask = || async {
+/// At start all topics are listed at once, since a round trip to the store may take 160 ms. While
+/// the store hangs only the scout topic sends further calls, and the others send theirs once it was
+/// answered.
+async fn list_hedged(core: &Rc<EntryCore>, topic: WatchTopic) -> Result<StoreRevision, KvError> {
+    let send_listing = || async {
         let sent = core.clock.now();
-        let listing = core.store.items(topic.prefix(), LIST_TIME).await?;
+        let listing = core.store.items(topic.prefix(), LIST_TIMEOUT).await?;
         Ok((listing, sent))
     };
-    let mut asks = FuturesUnordered::from_iter([ask()]);
+    let mut pending = FuturesUnordered::from_iter([send_listing()]);
     let mut serves = core.store_serves.subscribe();
     loop {
-        let goes_on = topic == WatchTopic::SCOUT || *serves.borrow_and_update();
+        let hedges = topic == WatchTopic::SCOUT || *serves.borrow_and_update();
         tokio::select! {
-            answer = asks.next() => match answer {
+            answer = pending.next() => match answer {
                 Some(Ok((listing, sent))) => {
-                    let revision = take_listing(core, topic, listing);
-                    note_shown(core, topic, sent);
+                    let revision = apply_listing(core, topic, listing);
+                    note_topic_proof(core, topic, sent);
                     return Ok(revision);
                 }
-                Some(Err(error)) if asks.is_empty() => return Err(error),
+                Some(Err(error)) if pending.is_empty() => return Err(error),
                 _ => {}
             },
-            () = sleep(LIST_PAUSE), if goes_on => {
+            () = sleep(LIST_HEDGE_DELAY), if hedges => {
                 if topic == WatchTopic::SCOUT {
                     core.store_serves.send_replace(false);
                 }
-                asks.push(ask());
+                pending.push(send_listing());
             }
-            _ = serves.wait_for(|serves| *serves), if !goes_on => asks.push(ask()),
+            _ = serves.wait_for(|serves| *serves), if !hedges => pending.push(send_listing()),
         }
     }
 }
 
-/// Notes that a call which was sent at a moment showed all of a topic.
-fn note_shown(core: &EntryCore, topic: WatchTopic, sent: Duration) {
+/// Records that a call sent at `sent` returned the full state of a topic.
+fn note_topic_proof(core: &EntryCore, topic: WatchTopic, sent: Duration) {
     if topic == WatchTopic::Operator {
         note_proof(core, sent);
     }
 }
 
-/// Waits until the scout found the store serving; each further call to a store that is away has its price.
+/// Waits until the scout topic finds the store available, since every call during an outage has a
+/// cost.
 pub(crate) async fn wait_for_store(core: &EntryCore) {
     let mut serves = core.store_serves.subscribe();
-    // The sender lives as long as the process, so that there is no other end of this wait.
+    // The sender lives as long as the process, so the wait cannot end otherwise.
     let _ = serves.wait_for(|serves| *serves).await;
 }
 
-async fn follow(
+async fn watch(
     core: &Rc<EntryCore>,
     topic: WatchTopic,
     after: StoreRevision,
     wait: Duration,
 ) -> Result<StoreRevision, KvError> {
     let sent = core.clock.now();
-    // A store that turns this node away, or hangs, leaves a waiting watch without an answer, and this
-    // node would send to replicas that have left until the wait is over.
+    // A store that hangs or rejects this node may leave a waiting watch without an answer, and the
+    // node would send to replicas that have left until the wait times out.
     let changes = tokio::select! {
         changes = core.store.changes(topic.prefix(), after, wait) => changes?,
         () = core.store_lost.notified() => {
-            return Err(KvError::Unknown("the renewal of the key failed".into()));
+            return Err(KvError::Unknown("the renewal of the lease failed".into()));
         }
     };
     core.metrics.note_store("watch", "done");
     let now = Instant::now();
-    let quiet = changes.events.is_empty();
+    let unchanged = changes.events.is_empty();
     for event in changes.events {
-        take_event(core, event, now);
+        apply_event(core, event, now);
     }
-    note_shown(core, topic, sent);
-    if !quiet {
-        sleep(gather_time(core, topic)).await;
+    note_topic_proof(core, topic, sent);
+    if !unchanged {
+        sleep(coalesce_pause(core, topic)).await;
     }
     Ok(changes.revision.max(after))
 }
--- a/crates/zinniahatch_entry/src/store/watch_topic.rs
+++ b/crates/zinniahatch_entry/src/store/watch_topic.rs
@@ -1,12 +1,14 @@
-//! What the watches over the store follow.
+//! Topics of the store that are watched separately.
 
 use zinniahatch_config::PRESET_KEY;
 use zinniahatch_platform::BACKEND_PREFIX;
 use zinniahatch_platform::OPERATOR_PREFIX;
 use zinniahatch_route::ReadDigest;
 
-/// What one watch follows. Each wakes only for its own keys: where one watch saw all keys, every node
-/// woke for the key of each other node and for each account sheet, which is the square of the fleet.
+/// A set of keys with a watch of its own, which wakes only for these keys.
+///
+/// With a single watch over all keys, every node woke for the registration of each other node and
+/// for each account sheet, so the load grew with the square of the fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum WatchTopic {
     /// The desired state and evacuations.
@@ -21,10 +23,10 @@
     /// All topics.
     pub(crate) const ALL: [Self; 3] = [Self::Operator, Self::Replicas, Self::Preset];
 
-    /// The topic whose watch looks for the return of a store that is away.
+    /// The scout topic, whose watch detects the recovery of the store after an outage.
     pub(crate) const SCOUT: Self = Self::Operator;
 
-    /// Gives the start of its keys.
+    /// Returns the key prefix of the topic.
     pub(crate) fn prefix(self) -> &'static str {
         match self {
             Self::Operator => OPERATOR_PREFIX,
@@ -33,7 +35,8 @@
         }
     }
 
-    /// Gives the part of a reader's digest that stands for the topic; none where nobody reads it for all.
+    /// Returns the part of a store reader's digest that covers the topic, or `None` if store
+    /// readers do not cover it.
     pub(crate) fn digest(self) -> Option<fn(&ReadDigest) -> u64> {
         match self {
             Self::Operator => Some(|digest| digest.rules),
