--- a/crates/zinniahatch_entry/src/auth/identity.rs
+++ b/crates/zinniahatch_entry/src/auth/identity.rs
@@ -14,7 +14,7 @@
 
 /// The account that a request is served for, and the key that identified it.
 #[derive(Clone, Debug)]
-pub(crate) struct CallIdentity {
+pub(crate) struct RequestIdentity {
     pub(crate) account: Rc<DesiredAccount>,
     pub(crate) key: KeyDigest,
     /// Version of the desired state in which the key was found.
@@ -27,7 +27,7 @@
     core: &EntryCore,
     call: &ReceivedCall,
     route: &DesiredRoute,
-) -> Result<Option<CallIdentity>, ResultCode> {
+) -> Result<Option<RequestIdentity>, ResultCode> {
     let table = core.identities.borrow().clone();
     if let RequestHop::Forwarded(note) = &call.hop {
         if let Some(account) = &note.account {
@@ -50,7 +50,7 @@
     call: &ReceivedCall,
     route: &DesiredRoute,
     table: &AccountTable,
-) -> Result<Option<CallIdentity>, ResultCode> {
+) -> Result<Option<RequestIdentity>, ResultCode> {
     if route.open && call.credential == Credential::Missing {
         return Ok(None);
     }
@@ -61,7 +61,7 @@
     let problem = match call.credential {
         Credential::Key(key) => match table.find(&key) {
             KeyVerdict::Known(account) => {
-                return Ok(Some(CallIdentity {
+                return Ok(Some(RequestIdentity {
                     account,
                     key,
                     version: core.version(),
@@ -91,7 +91,7 @@
     note: &AccountNote,
     version: u64,
     table: &AccountTable,
-) -> Result<CallIdentity, ResultCode> {
+) -> Result<RequestIdentity, ResultCode> {
     if core.version() >= version && !table.holds(&note.key, &note.name) {
         core.metrics.note_refused_key("revoked");
         return Err(ResultCode::BadCredential);
@@ -107,7 +107,7 @@
             allowance: None,
         })
     });
-    Ok(CallIdentity {
+    Ok(RequestIdentity {
         account,
         key: note.key,
         version,
@@ -118,15 +118,15 @@
 ///
 /// The key may have been revoked while the request waited or was tried elsewhere, or before its
 /// interrupted stream resumes.
-pub(crate) fn key_still_valid(core: &EntryCore, identity: Option<&CallIdentity>) -> bool {
+pub(crate) fn key_still_valid(core: &EntryCore, identity: Option<&RequestIdentity>) -> bool {
     let Some(identity) = identity else {
         return true;
     };
     let table = core.identities.borrow();
     let name = &identity.account.name;
-    let counts = table.still_holds(&identity.key, name, identity.version, core.version());
-    if !counts {
+    let valid = table.still_holds(&identity.key, name, identity.version, core.version());
+    if !valid {
         core.metrics.note_refused_key("revoked");
     }
-    counts
+    valid
 }
--- a/crates/zinniahatch_entry/src/nodes/catch_up.rs
+++ b/crates/zinniahatch_entry/src/nodes/catch_up.rs
@@ -14,8 +14,8 @@
 
 /// Interval between comparisons with the versions that other nodes have.
 const CHECK_INTERVAL: Duration = Duration::from_millis(200);
-/// Lag behind the newest version known to any node before a snapshot is fetched; watches pause for
-/// up to 1.2 s after each change.
+/// How long this node's watch may be behind the newest version of another node before a snapshot is
+/// fetched; watches pause for up to 1.2 s after each change.
 const MAX_WATCH_LAG: Duration = Duration::from_millis(1500);
 /// The same limit for a node that leaves polling the store to the store readers: it has no watch
 /// result to wait for.
--- a/crates/zinniahatch_entry/src/nodes/replica_updates.rs
+++ b/crates/zinniahatch_entry/src/nodes/replica_updates.rs
@@ -21,7 +21,7 @@
 }
 
 impl ReplicaUpdates {
-    /// Removes and returns up to `most` updates.
+    /// Removes and returns up to `max` updates.
     pub(crate) fn take_batch(&mut self, max: usize) -> Self {
         let written = self.written.len().min(max);
         let removed = self.removed.len().min(max - written);
@@ -29,7 +29,7 @@
         Self {
             written: self.written.drain(..written).collect(),
             removed: self.removed.drain(..removed).collect(),
-            // Not limited by `most`: there are only a few data centres, so these always fit.
+            // Not limited by `max`: there are only a few data centres, so these always fit.
             evacuations: std::mem::take(&mut self.evacuations),
             leaving: self.leaving.drain(..leaving).collect(),
         }
--- a/crates/zinniahatch_entry/src/nodes/snapshot.rs
+++ b/crates/zinniahatch_entry/src/nodes/snapshot.rs
@@ -128,8 +128,8 @@
     let read = async {
         channel.send(peer, head.as_bytes(), body).await.ok()?;
         let head = channel.read_head(&Method::GET, EXCHANGE_ID).await.ok()?;
-        while let Some(piece) = channel.read_body().await.ok()? {
-            answer.extend_from_slice(&piece);
+        while let Some(chunk) = channel.read_body().await.ok()? {
+            answer.extend_from_slice(&chunk);
         }
         Some(head.status)
     };
--- a/crates/zinniahatch_entry/src/request/plan.rs
+++ b/crates/zinniahatch_entry/src/request/plan.rs
@@ -1,6 +1,6 @@
 //! What is fixed about a request before its first try, and what has happened to it since.
 
-use crate::auth::identity::CallIdentity;
+use crate::auth::identity::RequestIdentity;
 use crate::auth::identity::identify;
 use crate::core::EntryCore;
 use crate::core::StopPhase;
@@ -34,7 +34,7 @@
     pub(crate) spec: DesiredService,
     pub(crate) version: u64,
     /// Who asks; none where that does not matter.
-    pub(crate) identity: Option<CallIdentity>,
+    pub(crate) identity: Option<RequestIdentity>,
     /// Whether replicas are told the account in place of the credential.
     pub(crate) guarded: bool,
     /// Regions that may serve the request, by its route and its account; empty allows all.
--- a/crates/zinniahatch_entry/src/run.rs
+++ b/crates/zinniahatch_entry/src/run.rs
@@ -82,7 +82,7 @@
 
 /// Runs an entry VM until it is told to stop.
 ///
-/// `reread` loads the settings again when a signal reports a change.
+/// `load_settings` reads the settings again when a signal reports a change.
 ///
 /// # Errors
 ///
--- a/crates/zinniahatch_entry/src/store/restore_recovery.rs
+++ b/crates/zinniahatch_entry/src/store/restore_recovery.rs
@@ -1,7 +1,7 @@
 //! Recovery after the store was restored from an older backup.
 //!
-//! Failure: the store is unavailable for a moment and is restored from a backup that is some seconds
-//! old. Later writes and leases are lost, and their revision numbers are assigned again. If
+//! Failure: the store is unavailable for a moment and is restored from a backup that is some
+//! seconds old. Later writes and leases are lost, and their revision numbers are assigned again. If
 //! revisions were compared by number alone, new changes would be dropped as old ones until the
 //! numbers catch up, and evacuations and the preset in force would be lost.
 //!
