--- a/crates/zinniahatch_entry/src/request/answering.rs
+++ b/crates/zinniahatch_entry/src/request/answering.rs
@@ -42,7 +42,7 @@
         code
     };
     core.metrics.note_answer(&plan.service, code.name());
-    count(core, call, plan, &core.settings.region, code, None);
+    record_request(core, call, plan, &core.settings.region, code, None);
     core.log.write(
         "refused",
         serde_json::json!({"request": call.attempt, "content": call.content_text(),
@@ -93,7 +93,7 @@
         ResultCode::Answered
     };
     core.metrics.note_answer(&plan.service, result.name());
-    count(core, call, plan, &course.served(core), result, Some(took));
+    record_request(core, call, plan, &course.served(core), result, Some(took));
     core.log.write(
         "answered",
         serde_json::json!({"request": call.attempt, "content": call.content_text(),
--- a/crates/zinniahatch_entry/src/request/relay.rs
+++ b/crates/zinniahatch_entry/src/request/relay.rs
@@ -115,7 +115,7 @@
             .metrics
             .note_answer(&self.plan.service, result.name());
         let served = self.course.served(&self.core);
-        count(
+        record_request(
             &self.core, &self.call, &self.plan, &served, result, self.first,
         );
         let millis = |time: Duration| time.as_millis() as u64;
