--- a/crates/zinniahatch_entry/src/auth/proofs.rs
+++ b/crates/zinniahatch_entry/src/auth/proofs.rs
@@ -125,9 +125,9 @@
     let version = core.version();
     // A store restored from an older backup presents an older version as the newest; a node with a
     // newer version must not take that as a proof.
-    let heard = core.members.borrow().newest_version(Instant::now());
+    let newest = core.members.borrow().newest_version(Instant::now());
     let mut proofs = core.proofs.borrow_mut();
-    proofs.note(version.max(heard), sent, version);
+    proofs.note(version.max(newest), sent, version);
 }
 
 /// Merges a proof from another node.
--- a/crates/zinniahatch_entry/src/counts/pending_counts.rs
+++ b/crates/zinniahatch_entry/src/counts/pending_counts.rs
@@ -12,7 +12,7 @@
     pub(crate) book: RefCell<CountBook>,
     /// Counts received for merging into the store.
     pub(crate) merging: RefCell<MergeDesk>,
-    /// Numbers of merged sheets, by the node that has not been told of them yet.
+    /// Numbers of merged sheets that have not been reported back yet, by the node that sent them.
     pub(crate) unacknowledged: RefCell<BTreeMap<(NodeId, Incarnation), Vec<u64>>>,
 }
 
--- a/crates/zinniahatch_entry/src/run.rs
+++ b/crates/zinniahatch_entry/src/run.rs
@@ -80,7 +80,7 @@
     EntryError::Setup(error.to_string().into())
 }
 
-/// Runs an entry VM until it is told to stop.
+/// Runs an entry VM until it receives a stop signal.
 ///
 /// `load_settings` reads the settings again when a signal reports a change.
 ///
--- a/crates/zinniahatch_entry/src/store/quarantine_keys.rs
+++ b/crates/zinniahatch_entry/src/store/quarantine_keys.rs
@@ -3,7 +3,7 @@
 //! Failure: all nodes lose power and with it their state, and the request that had crashed replicas
 //! crashes three more. Therefore each node that saw one of these crashes stores the request's
 //! digest under a lease that expires with the quarantine, and two nodes of each region read these
-//! keys at start. Nodes share the result by gossip; nobody watches the keys.
+//! keys at start. Nodes share the result by gossip; no node watches the keys.
 
 use crate::core::EntryCore;
 use crate::decision_log::unix_millis;
--- a/crates/zinniahatch_entry/src/store/watch.rs
+++ b/crates/zinniahatch_entry/src/store/watch.rs
@@ -29,7 +29,7 @@
 /// Pause after a watch returned changes, so that changes in quick succession cost one call.
 const COALESCE_PAUSE: Duration = Duration::from_millis(350);
 /// Extra pause for each other node. A change wakes the watch of every node, so the calls per change
-/// grow with the fleet; at 89 nodes they made up 0.032 of a calm day's calls.
+/// grow with the fleet; at 89 nodes they made up 0.032 of the cost of a calm day.
 const COALESCE_PAUSE_PER_NODE: Duration = Duration::from_millis(8);
 /// Longest pause: new desired states must be in force, and removed replicas out of use, within four
 /// seconds.
