--- a/crates/zinniahatch_entry/src/core.rs
+++ b/crates/zinniahatch_entry/src/core.rs
@@ -1,14 +1,14 @@
 //! State shared by all tasks of the process.
 
-use crate::counts::count_desk::CountDesk;
+use crate::auth::allowances::quota_limits;
+use crate::auth::boot_clock::BootClock;
+use crate::counts::pending_counts::PendingCounts;
 use crate::decision_log::DecisionLog;
 use crate::metrics::EntryMetrics;
-use crate::nodes::replica_news::ReplicaNews;
-use crate::replicas::end_checks::EndChecks;
+use crate::nodes::replica_updates::ReplicaUpdates;
+use crate::replicas::crash_checks::CrashChecks;
 use crate::request::pool::ConnectionPool;
 use crate::store::watch_topic::WatchTopic;
-use crate::who::allowances::limits_of;
-use crate::who::boot_clock::BootClock;
 use std::cell::Cell;
 use std::cell::RefCell;
 use std::net::SocketAddrV4;
@@ -81,13 +81,13 @@
     pub(crate) quarantine_changed: watch::Sender<()>,
     /// Requests released from quarantine whose key in the store has to be removed.
     pub(crate) released_requests: RefCell<Vec<ContentDigest>>,
-    pub(crate) crash_checks: EndChecks,
+    pub(crate) crash_checks: CrashChecks,
     pub(crate) retry_budgets: RefCell<BTreeMap<ServiceId, RepeatBudget>>,
     /// Peer addresses of other nodes, learned from the store and from other nodes.
     pub(crate) heartbeat_targets: RefCell<ContactBook>,
-    pub(crate) counts: CountDesk,
+    pub(crate) counts: PendingCounts,
     /// Replica updates that have not been sent to the other nodes of the region.
-    pub(crate) replica_updates: RefCell<ReplicaNews>,
+    pub(crate) replica_updates: RefCell<ReplicaUpdates>,
     /// For each topic, how this node's state compares with that of its region's store readers.
     pub(crate) topic_coverage: RefCell<BTreeMap<WatchTopic, ReaderCover>>,
     /// Whether this node leaves reading the desired state from the store to other nodes.
@@ -154,10 +154,10 @@
             suspects: RefCell::default(),
             quarantine_changed: watch::Sender::new(()),
             released_requests: RefCell::default(),
-            crash_checks: EndChecks::default(),
+            crash_checks: CrashChecks::default(),
             retry_budgets: RefCell::default(),
             heartbeat_targets: RefCell::new(heartbeat_targets),
-            counts: CountDesk::default(),
+            counts: PendingCounts::default(),
             replica_updates: RefCell::default(),
             topic_coverage: RefCell::default(),
             skips_watch: Cell::new(false),
@@ -256,7 +256,7 @@
         );
         let identities = AccountTable::new(&state, &self.identities.borrow());
         *self.identities.borrow_mut() = Rc::new(identities);
-        let limits = limits_of(self, &state);
+        let limits = quota_limits(self, &state);
         self.quotas.borrow_mut().set_limits(&limits, Instant::now());
         self.key_freshness.borrow_mut().follow(state.version);
         *self.routes.borrow_mut() = Rc::new(RouteTable::new(&state));
--- a/crates/zinniahatch_entry/src/lib.rs
+++ b/crates/zinniahatch_entry/src/lib.rs
@@ -3,6 +3,7 @@
 //! `request` serves callers from the state in `core`, which `nodes`, `store`, `replicas` and `who`
 //! keep up to date.
 
+mod auth;
 mod core;
 mod counts;
 mod decision_log;
@@ -13,7 +14,6 @@
 mod request;
 mod run;
 mod store;
-mod who;
 
 pub use request::connection::BackendConnection;
 pub use request::connection::ConnectionError;
--- a/crates/zinniahatch_entry/src/request/placement.rs
+++ b/crates/zinniahatch_entry/src/request/placement.rs
@@ -1,7 +1,7 @@
 //! Chooses where the next try of a request goes, and sends it there.
 
 use crate::core::EntryCore;
-use crate::replicas::quarantine::hold_left;
+use crate::replicas::quarantine::quarantine_left;
 use crate::request::connection::ResponseHead;
 use crate::request::in_flight::InFlightRequest;
 use crate::request::plan::RequestPlan;
@@ -62,7 +62,7 @@
     progress: &RequestProgress,
     check_admission: bool,
 ) -> Placement {
-    if let Some(left) = hold_left(core, request) {
+    if let Some(left) = quarantine_left(core, request) {
         return Placement::Refuse(ResultCode::RequestQuarantined, left);
     }
     let now = Instant::now();
@@ -311,7 +311,7 @@
     match placement {
         Placement::Local(choice) => send_local(core, request, plan, choice, last_event).await,
         Placement::Remote(choice) => {
-            core.metrics.note_away(&plan.service, &choice.region);
+            core.metrics.note_remote(&plan.service, &choice.region);
             forward(core, request, plan, choice, last_event).await
         }
         Placement::Refuse(..) => Err(SendFailure::NotSent("the request has no placement".into())),
--- a/crates/zinniahatch_entry/src/request/plan.rs
+++ b/crates/zinniahatch_entry/src/request/plan.rs
@@ -1,11 +1,11 @@
 //! What is fixed about a request before its first try, and its progress since.
 
+use crate::auth::identity::RequestIdentity;
+use crate::auth::identity::identify;
 use crate::core::EntryCore;
 use crate::core::StopPhase;
 use crate::request::received::ReceivedRequest;
 use crate::request::received::RequestHop;
-use crate::who::identity::CallIdentity;
-use crate::who::identity::identify;
 use http::HeaderMap;
 use http::header;
 use std::borrow::Cow;
@@ -36,7 +36,7 @@
     pub(crate) spec: DesiredService,
     pub(crate) version: u64,
     /// The caller's client account and key. `None` if the route or deployment requires none.
-    pub(crate) identity: Option<CallIdentity>,
+    pub(crate) identity: Option<RequestIdentity>,
     /// Whether replicas receive the client account instead of the caller's credential.
     pub(crate) guarded: bool,
     /// Regions that may serve the request, by its route and its client account. Empty allows all.
@@ -200,7 +200,7 @@
         }
         let granted = core.with_retry_budget(&self.service, |budget| budget.take(Instant::now()));
         if granted {
-            core.metrics.note_repeat(&self.service, reason);
+            core.metrics.note_retry(&self.service, reason);
         }
         granted
     }
--- a/crates/zinniahatch_entry/src/request/relay.rs
+++ b/crates/zinniahatch_entry/src/request/relay.rs
@@ -1,9 +1,9 @@
 //! Forwards a stream as it arrives and resumes it at another replica if the route allows that.
 
 use crate::core::EntryCore;
-use crate::counts::counting::count;
-use crate::replicas::quarantine::note_answered;
-use crate::replicas::replica_check::note_break;
+use crate::counts::counting::record_request;
+use crate::replicas::crash_detection::handle_channel_break;
+use crate::replicas::quarantine::note_complete_answer;
 use crate::request::events::EventSplitter;
 use crate::request::in_flight::InFlightRequest;
 use crate::request::plan::InFlightGuard;
@@ -71,7 +71,7 @@
             };
             in_flight.record_failure();
             if end != RelayEnd::Silent {
-                note_break(&self.core, &self.request, &in_flight, &reason).await;
+                handle_channel_break(&self.core, &self.request, &in_flight, &reason).await;
             }
             if !self.plan.route.resumable {
                 break end;
@@ -97,7 +97,7 @@
         };
         if end == RelayEnd::Whole {
             self.record_length();
-            note_answered(&self.core, &self.request);
+            note_complete_answer(&self.core, &self.request);
             in_flight.finish(true);
         } else {
             drop(in_flight);
@@ -116,7 +116,7 @@
             .metrics
             .note_answer(&self.plan.service, result.name());
         let served = self.progress.serving_region(&self.core);
-        count(
+        record_request(
             &self.core,
             &self.request,
             &self.plan,
--- a/crates/zinniahatch_entry/src/request/response.rs
+++ b/crates/zinniahatch_entry/src/request/response.rs
@@ -1,9 +1,9 @@
 //! Responses to callers: a replica's buffered response, the start of a stream, or a refusal.
 
 use crate::core::EntryCore;
-use crate::counts::counting::count;
-use crate::replicas::quarantine::note_answered;
-use crate::replicas::replica_check::note_break;
+use crate::counts::counting::record_request;
+use crate::replicas::crash_detection::handle_channel_break;
+use crate::replicas::quarantine::note_complete_answer;
 use crate::request::connection::ResponseHead;
 use crate::request::gateway_response::gateway_response;
 use crate::request::in_flight::InFlightRequest;
@@ -42,7 +42,7 @@
         code
     };
     core.metrics.note_answer(&plan.service, code.name());
-    count(core, request, plan, &core.settings.region, code, None);
+    record_request(core, request, plan, &core.settings.region, code, None);
     core.log.write(
         "refused",
         serde_json::json!({"request": request.attempt, "content": request.content_text(),
@@ -78,7 +78,7 @@
         Ok(Ok(body)) => body,
         Ok(Err(error)) => {
             in_flight.record_failure();
-            note_break(core, request, &in_flight, &error.to_string()).await;
+            handle_channel_break(core, request, &in_flight, &error.to_string()).await;
             return Err(error.to_string().into());
         }
         Err(_) => return Err("response not complete in time".into()),
@@ -86,7 +86,7 @@
     let failed = head.status.is_server_error();
     let at = in_flight.replica().cloned();
     in_flight.finish(!failed);
-    note_answered(core, request);
+    note_complete_answer(core, request);
     let took = request.arrived.elapsed();
     core.metrics.note_first_event(&plan.service, took);
     let result = if failed {
@@ -95,7 +95,7 @@
         ResultCode::Answered
     };
     core.metrics.note_answer(&plan.service, result.name());
-    count(
+    record_request(
         core,
         request,
         plan,
--- a/crates/zinniahatch_entry/src/request/resume.rs
+++ b/crates/zinniahatch_entry/src/request/resume.rs
@@ -1,7 +1,7 @@
 //! Resumes a broken stream at another replica.
 
 use crate::core::EntryCore;
-use crate::replicas::quarantine::await_verdict;
+use crate::replicas::quarantine::await_quarantine_decision;
 use crate::request::in_flight::InFlightRequest;
 use crate::request::placement::Placement;
 use crate::request::placement::choose_placement;
@@ -30,7 +30,7 @@
         if Instant::now() >= plan.deadline || progress.unsent_tries >= MAX_UNSENT_TRIES {
             return None;
         }
-        await_verdict(core, request).await;
+        await_quarantine_decision(core, request).await;
         let placement = choose_placement(core, request, plan, progress, false);
         let refused = matches!(placement, Placement::Refuse(..));
         if refused || !plan.take_retry(core, progress, "resumed") {
--- a/crates/zinniahatch_entry/src/request/send.rs
+++ b/crates/zinniahatch_entry/src/request/send.rs
@@ -1,12 +1,13 @@
 //! Sends a request to a replica or to another node.
 
+use crate::auth::identity::key_still_valid;
 use crate::core::EntryCore;
-use crate::replicas::gate::claim_send;
-use crate::replicas::gate::permit_send;
-use crate::replicas::notice::hear_answer;
-use crate::replicas::quarantine::await_hold;
-use crate::replicas::quarantine::hold_left;
-use crate::replicas::replica_check::note_break;
+use crate::replicas::crash_detection::handle_channel_break;
+use crate::replicas::notice::apply_response_notice;
+use crate::replicas::quarantine::await_quarantine;
+use crate::replicas::quarantine::quarantine_left;
+use crate::replicas::send_admission::permit_send;
+use crate::replicas::send_admission::reserve_send;
 use crate::request::connection::ResponseHead;
 use crate::request::gateway_response::gateway_code;
 use crate::request::gateway_response::reports_not_run;
@@ -16,7 +17,6 @@
 use crate::request::plan::RequestPlan;
 use crate::request::pool::PoolError;
 use crate::request::received::ReceivedRequest;
-use crate::who::identity::still_counts;
 use http::StatusCode;
 use std::rc::Rc;
 use zinniahatch_base::prelude::*;
@@ -104,7 +104,7 @@
     last_event: Option<&str>,
 ) -> Result<(ResponseHead, InFlightRequest), SendFailure> {
     let now = Instant::now();
-    let claim = claim_send(core, &choice.replica, now).map_err(not_sent)?;
+    let claim = reserve_send(core, &choice.replica, now).map_err(not_sent)?;
     let address = claim.address();
     let copy_from = {
         let replicas = core.replicas.borrow();
@@ -136,10 +136,10 @@
     let used = connection.was_used();
     in_flight.connection = Some(connection);
     // The key may have been revoked while the request waited for the connection.
-    if !still_counts(core, plan.identity.as_ref()) {
+    if !key_still_valid(core, plan.identity.as_ref()) {
         return Err(SendFailure::KeyRevoked);
     }
-    if let Some(left) = hold_left(core, request) {
+    if let Some(left) = quarantine_left(core, request) {
         return Err(SendFailure::Quarantined(left));
     }
     let permit = match permit_send(core, claim) {
@@ -154,7 +154,7 @@
         exchanged = in_flight.exchange(permit, request, &head) => exchanged,
         // The request is still in the replica's queue and would end yet another replica if it ran
         // there. Replicas discard queued requests whose connection closes.
-        () = await_hold(core, request) => {
+        () = await_quarantine(core, request) => {
             return Err(SendFailure::Unknown("quarantined while queued at the replica".into()));
         }
     };
@@ -166,7 +166,7 @@
             if !used {
                 in_flight.record_failure();
             }
-            note_break(core, request, &in_flight, &error.to_string()).await;
+            handle_channel_break(core, request, &in_flight, &error.to_string()).await;
             core.pool.close_idle(address);
             Err(SendFailure::Unknown(error.to_string().into()))
         }
@@ -244,7 +244,7 @@
     in_flight: InFlightRequest,
 ) -> Result<(ResponseHead, InFlightRequest), SendFailure> {
     let now = Instant::now();
-    hear_answer(core, request, &in_flight, &head);
+    apply_response_notice(core, request, &in_flight, &head);
     if head.status == StatusCode::MISDIRECTED_REQUEST {
         in_flight.update_replica(|belief| belief.leaving = Some(LeaveReason::Replaced));
         core.log.write(
@@ -288,7 +288,7 @@
             return Err(SendFailure::NotSent(format!("{error:?}").into()));
         }
     };
-    if !still_counts(core, plan.identity.as_ref()) {
+    if !key_still_valid(core, plan.identity.as_ref()) {
         core.pool.release(address, connection, now);
         return Err(SendFailure::KeyRevoked);
     }
--- a/crates/zinniahatch_entry/src/request/serve.rs
+++ b/crates/zinniahatch_entry/src/request/serve.rs
@@ -1,7 +1,9 @@
 //! Serves a request: plans it, then tries it until there is a response or nothing left to try.
 
+use crate::auth::allowances::ChargedUnits;
+use crate::auth::allowances::charge_units;
 use crate::core::EntryCore;
-use crate::replicas::quarantine::await_verdict;
+use crate::replicas::quarantine::await_quarantine_decision;
 use crate::request::connection::ResponseHead;
 use crate::request::gateway_response::gateway_response;
 use crate::request::in_flight::InFlightRequest;
@@ -24,8 +26,6 @@
 use crate::request::send::SendFailure;
 use crate::request::startup::wait_for_members;
 use crate::request::startup::wait_for_state;
-use crate::who::allowances::TakenUnits;
-use crate::who::allowances::take_units;
 use http::Response;
 use std::rc::Rc;
 use tokio::time::timeout_at;
@@ -114,7 +114,7 @@
     /// A replica's error response, returned if no other try does better.
     fallback: Option<Response<ResponseBody>>,
     /// The units taken from the account's allowance.
-    units: Option<TakenUnits>,
+    units: Option<ChargedUnits>,
 }
 
 /// Result of one try.
@@ -130,14 +130,14 @@
 impl RequestRunner<'_> {
     async fn run(&mut self, guard: InFlightGuard) -> Result<Response<ResponseBody>, Refusal> {
         let mut guard = Some(guard);
-        match take_units(self.core, &self.request, &self.plan) {
+        match charge_units(self.core, &self.request, &self.plan) {
             Ok(units) => self.units = units,
             // An earlier retry would be refused again, so the time is not capped.
             Err(after) => return Err((ResultCode::OverAllowance, Some(after))),
         }
         loop {
             let (core, request) = (self.core, &self.request);
-            await_verdict(core, request).await;
+            await_quarantine_decision(core, request).await;
             let first = self.progress.sends == 0;
             let placement = choose_placement(core, request, &self.plan, &self.progress, first);
             if matches!(placement, Placement::Refuse(ResultCode::NoBackend, _))
