--- a/crates/zinniahatch_entry/src/core.rs
+++ b/crates/zinniahatch_entry/src/core.rs
@@ -19,19 +19,19 @@
 use zinniahatch_config::EntrySettings;
 use zinniahatch_platform::KvClient;
 use zinniahatch_route::AccountTable;
-use zinniahatch_route::ColdGate;
-use zinniahatch_route::ContactBook;
+use zinniahatch_route::ColdLimiter;
 use zinniahatch_route::DesiredService;
 use zinniahatch_route::DesiredState;
+use zinniahatch_route::HeartbeatTargets;
+use zinniahatch_route::KeyFreshness;
 use zinniahatch_route::MemberStage;
 use zinniahatch_route::MemberTable;
-use zinniahatch_route::ProofBook;
-use zinniahatch_route::QuotaBook;
-use zinniahatch_route::ReaderCover;
-use zinniahatch_route::RegionWays;
-use zinniahatch_route::RepeatBudget;
+use zinniahatch_route::QuotaTable;
+use zinniahatch_route::ReaderCoverage;
+use zinniahatch_route::RegionPaths;
 use zinniahatch_route::ReplicaTable;
-use zinniahatch_route::ReturnLine;
+use zinniahatch_route::RetryBudget;
+use zinniahatch_route::RetryQueue;
 use zinniahatch_route::RouteTable;
 use zinniahatch_route::ServingPreset;
 use zinniahatch_route::SuspectTable;
@@ -60,20 +60,20 @@
     /// The client accounts and their keys.
     pub(crate) identities: RefCell<Rc<AccountTable>>,
     /// Until when those keys may be trusted.
-    pub(crate) proofs: RefCell<ProofBook>,
+    pub(crate) proofs: RefCell<KeyFreshness>,
     pub(crate) clock: BootClock,
     /// The store's revision up to which this node has seen what the operators wrote.
     pub(crate) operator_revision: Cell<Option<StoreRevision>>,
     /// What the accounts may still use.
-    pub(crate) quotas: RefCell<QuotaBook>,
+    pub(crate) quotas: RefCell<QuotaTable>,
     pub(crate) preset: RefCell<ServingPreset>,
     pub(crate) replicas: RefCell<ReplicaTable>,
     pub(crate) members: RefCell<MemberTable>,
     /// Whether requests to other regions arrive there.
-    pub(crate) ways: RefCell<RegionWays>,
-    pub(crate) gate: RefCell<ColdGate>,
+    pub(crate) ways: RefCell<RegionPaths>,
+    pub(crate) gate: RefCell<ColdLimiter>,
     /// The callers of each service that were told when its replicas take work again.
-    pub(crate) return_lines: RefCell<BTreeMap<ServiceId, ReturnLine>>,
+    pub(crate) return_lines: RefCell<BTreeMap<ServiceId, RetryQueue>>,
     /// Requests under which replicas ended.
     pub(crate) suspects: RefCell<SuspectTable>,
     /// Told when one of them began or ceased to be held.
@@ -81,14 +81,14 @@
     /// Those whose key in the store is to be removed.
     pub(crate) released: RefCell<Vec<ContentDigest>>,
     pub(crate) end_checks: EndChecks,
-    pub(crate) budgets: RefCell<BTreeMap<ServiceId, RepeatBudget>>,
+    pub(crate) budgets: RefCell<BTreeMap<ServiceId, RetryBudget>>,
     /// Where other nodes may listen, from the store and from other nodes.
-    pub(crate) contacts: RefCell<ContactBook>,
+    pub(crate) contacts: RefCell<HeartbeatTargets>,
     pub(crate) counts: CountDesk,
     /// News of replicas that the other nodes of the region have not been told.
     pub(crate) replica_news: RefCell<ReplicaNews>,
     /// How what this node knows of each topic compares with what the readers of its region say.
-    pub(crate) covers: RefCell<BTreeMap<WatchTopic, ReaderCover>>,
+    pub(crate) covers: RefCell<BTreeMap<WatchTopic, ReaderCoverage>>,
     /// Whether this node leaves the reading of the desired state to others.
     pub(crate) rests: Cell<bool>,
     pub(crate) pool: ChannelPool,
@@ -121,7 +121,7 @@
         metrics: EntryMetrics,
         clock: BootClock,
     ) -> Self {
-        let quotas = QuotaBook::new(
+        let quotas = QuotaTable::new(
             origin_tag(&settings.name, incarnation),
             tag_of(&settings.region),
             settings.regions.values().map(|region| tag_of(region)),
@@ -129,10 +129,10 @@
         );
         let log = DecisionLog::new(settings.name.clone(), settings.log_budget);
         let store = KvClient::new(&settings.store.to_string());
-        let mut contacts = ContactBook::new(settings.listen.peer, &settings.region);
+        let mut contacts = HeartbeatTargets::new(settings.listen.peer, &settings.region);
         for seed in &settings.seeds {
             let port = settings.listen.peer.port();
-            contacts.note(SocketAddrV4::new(*seed.ip(), port), None);
+            contacts.add(SocketAddrV4::new(*seed.ip(), port), None);
         }
         Self {
             incarnation,
@@ -257,7 +257,7 @@
         *self.identities.borrow_mut() = Rc::new(identities);
         let limits = limits_of(self, &state);
         self.quotas.borrow_mut().set_limits(&limits, Instant::now());
-        self.proofs.borrow_mut().follow(state.version);
+        self.proofs.borrow_mut().set_version(state.version);
         *self.routes.borrow_mut() = Rc::new(RouteTable::new(&state));
         *self.desired.borrow_mut() = Some(Rc::new(state));
         self.learned.notify_waiters();
@@ -269,7 +269,7 @@
         let Some(bound) = self.settings.bounds.revoke else {
             return true;
         };
-        if !self.identities.borrow().is_guarded() {
+        if !self.identities.borrow().requires_key() {
             return true;
         }
         !self.may_be_behind() && self.proofs.borrow().is_fresh(bound, self.clock.now())
@@ -290,7 +290,7 @@
 
     /// Gives the time for which proofs count, where callers have to say who they are.
     pub(crate) fn key_bound(&self) -> Option<Duration> {
-        let guarded = self.identities.borrow().is_guarded();
+        let guarded = self.identities.borrow().requires_key();
         self.settings.bounds.revoke.filter(|_| guarded)
     }
 
@@ -323,14 +323,14 @@
     pub(crate) fn with_budget<T>(
         &self,
         service: &ServiceId,
-        run: impl FnOnce(&mut RepeatBudget) -> T,
+        run: impl FnOnce(&mut RetryBudget) -> T,
     ) -> T {
         let mut budgets = self.budgets.borrow_mut();
         let budget = budgets.entry(service.clone()).or_insert_with(|| {
             let bounds = &self.settings.bounds;
             let members = self.members.borrow().known().count();
             let nodes = members.max(self.contacts.borrow().len()) + 1;
-            RepeatBudget::new(
+            RetryBudget::new(
                 bounds.repeat_window,
                 bounds.repeat_ratio,
                 bounds.repeat_slack,
--- a/crates/zinniahatch_entry/src/nodes/catch_up.rs
+++ b/crates/zinniahatch_entry/src/nodes/catch_up.rs
@@ -9,7 +9,7 @@
 use std::rc::Rc;
 use tokio::time::sleep;
 use zinniahatch_base::prelude::*;
-use zinniahatch_route::PupilState;
+use zinniahatch_route::SyncState;
 
 /// Pause between looks at what the other nodes follow.
 const LOOK_TIME: Duration = Duration::from_millis(200);
@@ -27,16 +27,16 @@
     loop {
         sleep(LOOK_TIME).await;
         let now = Instant::now();
-        let sighted = !core.replicas.borrow().in_trouble(now);
-        let own = PupilState {
+        let store_reachable = !core.replicas.borrow().in_trouble(now);
+        let own = SyncState {
             region: &core.settings.region,
             version: core.version(),
             preset: core.preset.borrow().revision,
-            sighted,
+            store_reachable,
         };
         let teacher = {
             let members = core.members.borrow();
-            let found = members.teacher(&own, core.ticket(), now);
+            let found = members.sync_source(&own, core.ticket(), now);
             found.and_then(|card| members.permit(&card.node))
         };
         let Some(peer) = teacher else {
@@ -44,20 +44,20 @@
             continue;
         };
         let since = *behind_since.get_or_insert(now);
-        if now.saturating_duration_since(since) < patience(&core, sighted) {
+        if now.saturating_duration_since(since) < patience(&core, store_reachable) {
             continue;
         }
         fetch_snapshot(&core, peer).await;
         behind_since = None;
-        if !sighted {
+        if !store_reachable {
             sleep(BLIND_PAUSE).await;
         }
     }
 }
 
 /// Gives the time for which this node waits for its own watch before it asks a peer.
-fn patience(core: &EntryCore, sighted: bool) -> Duration {
-    if !sighted || !core.knows() {
+fn patience(core: &EntryCore, store_reachable: bool) -> Duration {
+    if !store_reachable || !core.knows() {
         return Duration::ZERO;
     }
     if !core.rests.get() {
--- a/crates/zinniahatch_entry/src/nodes/datagrams.rs
+++ b/crates/zinniahatch_entry/src/nodes/datagrams.rs
@@ -4,10 +4,10 @@
 use crate::nodes::node_gram::NodeGram;
 use std::net::SocketAddrV4;
 use tokio::net::UdpSocket;
-use zinniahatch_route::MemberCard;
+use zinniahatch_route::MemberInfo;
 
 /// Tells whether a node is of this one's region.
-pub(crate) fn is_near(core: &EntryCore, card: &MemberCard) -> bool {
+pub(crate) fn is_near(core: &EntryCore, card: &MemberInfo) -> bool {
     card.region == core.settings.region
 }
 
@@ -29,7 +29,7 @@
     core: &EntryCore,
     socket: &UdpSocket,
     gram: &NodeGram,
-    meant: impl Fn(&MemberCard) -> bool,
+    meant: impl Fn(&MemberInfo) -> bool,
 ) {
     let Ok(bytes) = postcard::to_allocvec(gram) else {
         return;
--- a/crates/zinniahatch_entry/src/nodes/gossip.rs
+++ b/crates/zinniahatch_entry/src/nodes/gossip.rs
@@ -26,9 +26,9 @@
 use tokio::time::interval;
 use tokio::time::sleep_until;
 use zinniahatch_base::prelude::*;
+use zinniahatch_route::FreshnessProof;
 use zinniahatch_route::LimitNews;
-use zinniahatch_route::RegionSpends;
-use zinniahatch_route::ToldProof;
+use zinniahatch_route::RegionUsage;
 
 /// Pause between cards; three are lost before a node counts as silent.
 const CARD_PAUSE: Duration = Duration::from_millis(500);
@@ -119,7 +119,7 @@
         // Read after the time for which the echo was held: the receiver takes that off the age of the proof.
         let sent = core.clock.now();
         gram.stamp = core.clock.stamp(sent);
-        gram.card.proof = core.proofs.borrow().told(sent);
+        gram.card.proof = core.proofs.borrow().to_share(sent);
         let card = NodeGram::Card(gram);
         let bytes = postcard::to_allocvec(&card);
         let NodeGram::Card(back) = card else {
@@ -157,10 +157,10 @@
 fn receivers(core: &EntryCore, now: Instant) -> BTreeMap<SocketAddrV4, bool> {
     let members = core.members.borrow();
     let mut found: BTreeMap<SocketAddrV4, bool> = members
-        .askers(now)
+        .awaiting_reply(now)
         .map(|address| (address, false))
         .collect();
-    for address in core.contacts.borrow_mut().round(now) {
+    for address in core.contacts.borrow_mut().next_targets(now) {
         found.insert(address, true);
     }
     found
@@ -180,7 +180,7 @@
     /// A card, and what its sender knows otherwise than this node.
     Card(CardDiffers),
     /// What the accounts use in another region.
-    Spends(RegionSpends),
+    Spends(RegionUsage),
 }
 
 /// Takes a datagram.
@@ -241,7 +241,7 @@
         let mut contacts = core.contacts.borrow_mut();
         contacts.note_heard(gram.card.peer, &gram.card.region, now);
         for (address, region) in &gram.hints {
-            contacts.note(*address, Some(region));
+            contacts.add(*address, Some(region));
         }
     }
     let (region, stage) = (gram.card.region.clone(), gram.card.stage);
@@ -251,7 +251,7 @@
         quotas.note_heard(tag_of(&region), now);
     }
     let asks = gram.asks;
-    let (fresh, replaced) = core.members.borrow_mut().hear(gram.card, asks, now);
+    let (fresh, replaced) = core.members.borrow_mut().update(gram.card, asks, now);
     if let Some(incarnation) = replaced
         && region == core.settings.region
     {
@@ -284,7 +284,7 @@
     region: &RegionId,
     stamp: u64,
     held: Duration,
-    proof: Option<ToldProof>,
+    proof: Option<FreshnessProof>,
 ) {
     let now = core.clock.now();
     // A node that has not heard of this start yet echoes a stamp of an earlier one.
@@ -294,12 +294,12 @@
     // The card that brings the echo was sent no earlier than this.
     let answered = asked + held;
     let trip = now.saturating_sub(answered);
-    core.members.borrow_mut().note_trip(node, trip);
+    core.members.borrow_mut().note_round_trip(node, trip);
     if let Some(told) = proof {
         hear_proof(core, told, answered);
     }
     let sent = Instant::now().checked_sub(now.saturating_sub(asked));
     if let Some(sent) = sent {
-        core.ways.borrow_mut().note_proof(region, sent);
+        core.ways.borrow_mut().note_delivered(region, sent);
     }
 }
--- a/crates/zinniahatch_entry/src/nodes/news_teller.rs
+++ b/crates/zinniahatch_entry/src/nodes/news_teller.rs
@@ -10,7 +10,7 @@
 use tokio::net::UdpSocket;
 use zinniahatch_base::prelude::*;
 use zinniahatch_route::LimitNews;
-use zinniahatch_route::MemberCard;
+use zinniahatch_route::MemberInfo;
 use zinniahatch_route::ReplicaLife;
 
 /// News in a datagram at most: about 60 bytes each, within one packet.
@@ -43,8 +43,11 @@
         tell_where(core, socket, &NodeGram::Suspects(batch.wide), |_| true).await;
     }
     if !batch.own.is_empty() {
-        let passers = core.members.borrow().one_each(&core.settings.name, now);
-        let meant = |card: &MemberCard| is_near(core, card) || passers.contains(&card.peer);
+        let passers = core
+            .members
+            .borrow()
+            .one_per_region(&core.settings.name, now);
+        let meant = |card: &MemberInfo| is_near(core, card) || passers.contains(&card.peer);
         tell_where(core, socket, &NodeGram::Suspects(batch.own), meant).await;
     }
     if !batch.passed.is_empty() {
@@ -65,7 +68,12 @@
 
 /// Tells a node of the region which limits and leaving replicas are known here, because it knows others.
 pub(crate) async fn tell_known_notices(core: &EntryCore, socket: &UdpSocket, to: SocketAddrV4) {
-    let leaving: Vec<ReplicaLife> = core.replicas.borrow().said_leaving().cloned().collect();
+    let leaving: Vec<ReplicaLife> = core
+        .replicas
+        .borrow()
+        .announced_leaving()
+        .cloned()
+        .collect();
     for part in leaving.chunks(MOST_NEWS) {
         let news = ReplicaNews {
             leaving: part.to_vec(),
--- a/crates/zinniahatch_entry/src/nodes/node_gram.rs
+++ b/crates/zinniahatch_entry/src/nodes/node_gram.rs
@@ -6,10 +6,10 @@
 use std::net::SocketAddrV4;
 use zinniahatch_base::prelude::*;
 use zinniahatch_route::LimitNews;
-use zinniahatch_route::MemberCard;
-use zinniahatch_route::RegionSpends;
+use zinniahatch_route::MemberInfo;
+use zinniahatch_route::RegionUsage;
 use zinniahatch_route::SuspectNews;
-use zinniahatch_route::WorkPart;
+use zinniahatch_route::WorkUpdate;
 
 /// A datagram.
 #[derive(Debug, Serialize, Deserialize)]
@@ -25,14 +25,14 @@
     /// Rate limits of the region's replicas.
     Limits(Vec<LimitNews>),
     /// What the accounts use in another region, to be passed on in this one.
-    Spends(RegionSpends),
+    Spends(RegionUsage),
 }
 
 /// Who a node is.
 #[derive(Debug, Serialize, Deserialize)]
 pub(crate) struct CardGram {
     /// Who sends.
-    pub(crate) card: MemberCard,
+    pub(crate) card: MemberInfo,
     /// Its clock, to measure the way there and back.
     pub(crate) stamp: u64,
     /// The receiver's last clock and how long it was held.
@@ -51,16 +51,16 @@
 #[derive(Debug, Serialize, Deserialize)]
 pub(crate) struct WorkGram {
     /// The news, by process.
-    pub(crate) parts: Vec<WorkPart>,
+    pub(crate) parts: Vec<WorkUpdate>,
     /// What the accounts use, by region.
-    pub(crate) spends: Vec<RegionSpends>,
+    pub(crate) spends: Vec<RegionUsage>,
     /// Whether the receiver should tell them to all nodes of the region.
     pub(crate) gather: bool,
 }
 
 impl WorkGram {
     /// Makes the datagram of what one node has to tell.
-    pub(crate) fn of(part: Option<WorkPart>, spends: Vec<RegionSpends>, gather: bool) -> NodeGram {
+    pub(crate) fn of(part: Option<WorkUpdate>, spends: Vec<RegionUsage>, gather: bool) -> NodeGram {
         NodeGram::Work(Self {
             parts: part.into_iter().collect(),
             spends,
--- a/crates/zinniahatch_entry/src/nodes/own_card.rs
+++ b/crates/zinniahatch_entry/src/nodes/own_card.rs
@@ -6,10 +6,10 @@
 use crate::nodes::duty::has_duty;
 use crate::store::watch_topic::WatchTopic;
 use zinniahatch_base::prelude::*;
-use zinniahatch_route::CoverState;
-use zinniahatch_route::MemberCard;
-use zinniahatch_route::ReadDigest;
-use zinniahatch_route::ServiceDigest;
+use zinniahatch_route::CoverageState;
+use zinniahatch_route::MemberInfo;
+use zinniahatch_route::ServiceCapacity;
+use zinniahatch_route::StoreDigest;
 
 /// Tells whether this node reads for its region what the store says.
 fn reads_for_all(core: &EntryCore, now: Instant) -> bool {
@@ -17,32 +17,32 @@
     served && core.knows() && has_duty(core, READER_DUTY, READERS)
 }
 
-fn read_digest(core: &EntryCore) -> ReadDigest {
+fn read_digest(core: &EntryCore) -> StoreDigest {
     let replicas = core.replicas.borrow();
     let settings = &core.settings;
-    ReadDigest {
+    StoreDigest {
         replicas: replicas.entries_digest(&settings.regions, &settings.region),
         rules: replicas.rules_digest(core.version()),
     }
 }
 
 /// Gives whether this node may leave the reading of a topic to the readers of its region.
-pub(crate) fn reader_cover(core: &EntryCore, topic: WatchTopic, now: Instant) -> CoverState {
+pub(crate) fn reader_cover(core: &EntryCore, topic: WatchTopic, now: Instant) -> CoverageState {
     let Some(part) = topic.digest() else {
-        return CoverState::Alone;
+        return CoverageState::NoReaders;
     };
     let own = part(&read_digest(core));
     let members = core.members.borrow();
     let told = members.live_in(&core.settings.region, now);
     let told = told
         .into_iter()
-        .filter_map(|card| card.read.as_ref().map(part));
+        .filter_map(|card| card.store_digest.as_ref().map(part));
     let mut covers = core.covers.borrow_mut();
-    covers.entry(topic).or_default().judge(own, told, now)
+    covers.entry(topic).or_default().check(own, told, now)
 }
 
 /// Gives what this node tells the others of itcore.
-pub(crate) fn own_card(core: &EntryCore, now: Instant) -> MemberCard {
+pub(crate) fn own_card(core: &EntryCore, now: Instant) -> MemberInfo {
     let replicas = core.replicas.borrow();
     let names: BTreeSet<&ServiceId> = replicas
         .rows()
@@ -52,23 +52,23 @@
     let services = names
         .into_iter()
         .map(|name| {
-            let digest = ServiceDigest::of(&replicas, &core.settings.regions, name, region, now);
+            let digest = ServiceCapacity::of(&replicas, &core.settings.regions, name, region, now);
             (tag_of(name), digest)
         })
         .collect();
-    MemberCard {
+    MemberInfo {
         node: core.settings.name.clone(),
         incarnation: core.incarnation,
         region: region.clone(),
         data_centre: core.settings.data_centre.clone(),
-        strength: core.settings.strength,
+        cpu_share: core.settings.strength,
         front: core.settings.listen.front,
         peer: core.settings.listen.peer,
         stage: core.stage(),
         version: core.version(),
         preset: core.preset.borrow().revision,
-        sighted: !replicas.in_trouble(now),
-        read: reads_for_all(core, now).then(|| read_digest(core)),
+        store_reachable: !replicas.in_trouble(now),
+        store_digest: reads_for_all(core, now).then(|| read_digest(core)),
         // It ages on until the card is sent.
         proof: None,
         services,
--- a/crates/zinniahatch_entry/src/nodes/snapshot.rs
+++ b/crates/zinniahatch_entry/src/nodes/snapshot.rs
@@ -10,12 +10,12 @@
 use tokio::time::timeout;
 use zinniahatch_base::prelude::*;
 use zinniahatch_route::DesiredState;
+use zinniahatch_route::FreshnessProof;
 use zinniahatch_route::NodePermit;
 use zinniahatch_route::ReplicaEntry;
 use zinniahatch_route::ReplicaLife;
 use zinniahatch_route::SendPermit;
 use zinniahatch_route::ServingPreset;
-use zinniahatch_route::ToldProof;
 
 /// Path of the snapshot on the listener for other nodes.
 pub(crate) const SNAPSHOT_PATH: &str = "/zinnia/snapshot";
@@ -32,7 +32,7 @@
     replicas: Vec<ReplicaEntry>,
     gone: Vec<ReplicaLife>,
     evacuated: BTreeSet<DataCentreId>,
-    proof: Option<ToldProof>,
+    proof: Option<FreshnessProof>,
 }
 
 /// Encodes this node's beliefs.
@@ -50,7 +50,7 @@
         replicas: entries.collect(),
         gone: replicas.gone().collect(),
         evacuated: replicas.evacuated().clone(),
-        proof: core.proofs.borrow().told(core.clock.now()),
+        proof: core.proofs.borrow().to_share(core.clock.now()),
     };
     // An empty answer is taken as no snapshot by the reader.
     postcard::to_allocvec(&snapshot).unwrap_or_default()
--- a/crates/zinniahatch_entry/src/nodes/work_teller.rs
+++ b/crates/zinniahatch_entry/src/nodes/work_teller.rs
@@ -12,14 +12,14 @@
 use std::net::SocketAddrV4;
 use tokio::net::UdpSocket;
 use zinniahatch_base::prelude::*;
-use zinniahatch_route::CollectorBook;
+use zinniahatch_route::CollectorSelector;
 use zinniahatch_route::OpenWork;
 use zinniahatch_route::REFRESH_TIME;
-use zinniahatch_route::RegionSpends;
-use zinniahatch_route::WorkGatherer;
-use zinniahatch_route::WorkPart;
+use zinniahatch_route::RegionUsage;
+use zinniahatch_route::WorkBatch;
 use zinniahatch_route::WorkPath;
-use zinniahatch_route::gather_time;
+use zinniahatch_route::WorkUpdate;
+use zinniahatch_route::batch_interval;
 
 /// Time after a change before it is told, so that changes which come together cost one datagram.
 const TELL_PAUSE: Duration = Duration::from_millis(4);
@@ -38,8 +38,8 @@
     path: WorkPath,
     /// Living nodes of the region besides this one.
     others: usize,
-    book: CollectorBook,
-    gathered: WorkGatherer,
+    book: CollectorSelector,
+    gathered: WorkBatch,
     /// When this node's changes are told.
     changes_due: Option<Instant>,
     /// When what was gathered is told.
@@ -54,8 +54,8 @@
             number: 0,
             path: WorkPath::All,
             others: 0,
-            book: CollectorBook::default(),
-            gathered: WorkGatherer::default(),
+            book: CollectorSelector::default(),
+            gathered: WorkBatch::default(),
             changes_due: None,
             gathered_due: None,
         }
@@ -90,7 +90,7 @@
     /// Tells open work again that was told a while ago, and looks who gathers now.
     pub(crate) async fn refresh(&mut self, core: &EntryCore, socket: &UdpSocket) {
         let now = Instant::now();
-        self.book.review(now);
+        self.book.drop_unresponsive(now);
         self.choose_path(core, now);
         let work = core.replicas.borrow_mut().take_unchanged(REFRESH_TIME, now);
         self.tell_part(core, socket, work, now).await;
@@ -115,7 +115,7 @@
 
     async fn tell_changes(&mut self, core: &EntryCore, socket: &UdpSocket, now: Instant) {
         let mut work = core.replicas.borrow_mut().take_changes(now);
-        if self.book.review(now) {
+        if self.book.drop_unresponsive(now) {
             // What the silent collector was told last may have reached nobody.
             self.choose_path(core, now);
             let told = core
@@ -135,10 +135,10 @@
         now: Instant,
     ) {
         let reads = core.replicas.borrow_mut().take_reads();
-        let spends = core.quotas.borrow_mut().take_news();
+        let spends = core.quotas.borrow_mut().take_local_usage();
         let part = (!work.is_empty() || !reads.is_empty()).then(|| {
             self.number += 1;
-            WorkPart {
+            WorkUpdate {
                 origin: self.origin,
                 number: self.number,
                 work,
@@ -153,8 +153,8 @@
         &mut self,
         core: &EntryCore,
         socket: &UdpSocket,
-        part: Option<WorkPart>,
-        spends: Option<RegionSpends>,
+        part: Option<WorkUpdate>,
+        spends: Option<RegionUsage>,
         now: Instant,
     ) {
         if part.is_none() && spends.is_none() {
@@ -166,7 +166,7 @@
             WorkPath::Own => self.gather(part, spends, now),
             WorkPath::All => tell_near(core, socket, &WorkGram::of(part, spends, gather)).await,
             WorkPath::Collector(collector) => {
-                self.book.note_told(collector, now);
+                self.book.note_sent(collector, now);
                 if let Ok(bytes) = postcard::to_allocvec(&WorkGram::of(part, spends, gather)) {
                     // A datagram that cannot be sent is as good as lost; the collector's silence shows it.
                     let _ = socket.send_to(&bytes, collector).await;
@@ -175,15 +175,15 @@
         }
     }
 
-    fn gather(&mut self, part: Option<WorkPart>, spends: Vec<RegionSpends>, now: Instant) {
+    fn gather(&mut self, part: Option<WorkUpdate>, spends: Vec<RegionUsage>, now: Instant) {
         if let Some(part) = part {
             self.gathered.add(part);
         }
         for spend in &spends {
-            self.gathered.add_spends(spend);
+            self.gathered.add_usage(spend);
         }
         self.gathered_due
-            .get_or_insert(now + gather_time(self.others));
+            .get_or_insert(now + batch_interval(self.others));
     }
 
     async fn tell_gathered(&mut self, core: &EntryCore, socket: &UdpSocket) {
@@ -204,21 +204,21 @@
         {
             let members = core.members.borrow();
             let neighbours = members.live_in(&core.settings.region, now).len();
-            core.quotas.borrow_mut().set_neighbours(neighbours);
+            core.quotas.borrow_mut().set_region_peers(neighbours);
         }
         if core.quotas.borrow().is_empty() {
             return;
         }
         if !has_duty(core, TELLER_DUTY, TELLERS) {
-            core.quotas.borrow_mut().drop_far_news();
+            core.quotas.borrow_mut().discard_remote_usage();
             return;
         }
-        let spends = core.quotas.borrow_mut().take_far_news();
+        let spends = core.quotas.borrow_mut().take_remote_usage();
         let own = &core.settings.region;
         let receivers = core
             .members
             .borrow()
-            .one_each_but(own, &core.settings.name, now);
+            .one_per_other_region(own, &core.settings.name, now);
         for part in spends.split(MOST_BYTES) {
             let Ok(bytes) = postcard::to_allocvec(&NodeGram::Spends(part)) else {
                 return;
@@ -235,10 +235,10 @@
         &mut self,
         core: &EntryCore,
         socket: &UdpSocket,
-        spends: &RegionSpends,
+        spends: &RegionUsage,
     ) {
         let now = Instant::now();
-        let fresh = core.quotas.borrow_mut().hear(spends, now);
+        let fresh = core.quotas.borrow_mut().apply_update(spends, now);
         self.tell_region(core, socket, None, Some(fresh), now).await;
     }
 
@@ -247,7 +247,7 @@
         if !speaks_near(core, from) {
             return;
         }
-        self.book.note_heard(from);
+        self.book.note_forwarded(from);
         let now = Instant::now();
         self.hear_spends(core, &gram, now);
         let mut replicas = core.replicas.borrow_mut();
@@ -273,7 +273,7 @@
         quotas.note_heard(tag_of(&core.settings.region), now);
         let mut fresh = Vec::new();
         for spends in &gram.spends {
-            fresh.push(quotas.hear(spends, now));
+            fresh.push(quotas.apply_update(spends, now));
         }
         drop(quotas);
         if gram.gather && !fresh.is_empty() {
--- a/crates/zinniahatch_entry/src/replicas/gate.rs
+++ b/crates/zinniahatch_entry/src/replicas/gate.rs
@@ -2,7 +2,7 @@
 
 use crate::core::EntryCore;
 use zinniahatch_base::prelude::*;
-use zinniahatch_route::ColdGate;
+use zinniahatch_route::ColdLimiter;
 use zinniahatch_route::ReplicaPermit;
 use zinniahatch_route::SendClaim;
 use zinniahatch_route::Withheld;
@@ -44,5 +44,5 @@
     };
     let rate = core.service(&service).map_or(0.0, |spec| spec.cold_rate);
     let peers = core.members.borrow().names_in(&core.settings.region);
-    ColdGate::share(core.cold_bound(rate), replica, &core.settings.name, &peers)
+    ColdLimiter::share(core.cold_bound(rate), replica, &core.settings.name, &peers)
 }
--- a/crates/zinniahatch_entry/src/replicas/notice.rs
+++ b/crates/zinniahatch_entry/src/replicas/notice.rs
@@ -9,10 +9,10 @@
 use http::StatusCode;
 use zinniahatch_base::prelude::*;
 use zinniahatch_platform::AnswerHeaders;
-use zinniahatch_route::AnswerProof;
-use zinniahatch_route::HeardNotice;
 use zinniahatch_route::NoticeEffect;
+use zinniahatch_route::ReceivedNotice;
 use zinniahatch_route::ReplicaLife;
+use zinniahatch_route::ResponseAuth;
 use zinniahatch_route::RestChange;
 
 /// Takes what an answer to a request says of the replica that gave it.
@@ -25,18 +25,18 @@
     let marks = &head.marks;
     note_unread(core, open.replica(), &head.headers);
     let speaker = if head.status == StatusCode::MISDIRECTED_REQUEST {
-        other_at(core, open, marks).map(|tag| (tag, AnswerProof::Named))
+        other_at(core, open, marks).map(|tag| (tag, ResponseAuth::Identified))
     } else {
         own_speaker(call, open, marks)
     };
-    let Some((replica, proof)) = speaker else {
+    let Some((replica, auth)) = speaker else {
         core.metrics.notices.note("unknown_replica");
         return;
     };
-    let heard = HeardNotice {
+    let heard = ReceivedNotice {
         replica,
         notice: &marks.notice,
-        proof,
+        auth,
         taken: !marks.not_run && head.status != StatusCode::MISDIRECTED_REQUEST,
         sent: open.sent_at(),
         draw: rand::random(),
@@ -49,15 +49,15 @@
     let marks = &head.marks;
     note_unread(core, Some(&life.id), &head.headers);
     let named = marks.replica.as_ref() == Some(&life.id);
-    let proof = if named {
-        AnswerProof::Named
+    let auth = if named {
+        ResponseAuth::Identified
     } else {
-        AnswerProof::Missing
+        ResponseAuth::Unverified
     };
-    let heard = HeardNotice {
+    let heard = ReceivedNotice {
         replica: life.tag(),
         notice: &marks.notice,
-        proof,
+        auth,
         taken: false,
         sent,
         draw: rand::random(),
@@ -70,17 +70,17 @@
     call: &ReceivedCall,
     open: &OpenCall,
     marks: &AnswerHeaders,
-) -> Option<(ShortTag, AnswerProof)> {
+) -> Option<(ShortTag, ResponseAuth)> {
     let mut tag = None;
     open.with_replica(|belief| tag = Some(belief.tag));
     let named = marks.replica.is_some() && marks.replica.as_ref() == open.replica();
     let echoes = marks.attempt.as_deref() == Some(&*call.attempt);
-    let proof = match (marks.sealed, named || echoes) {
-        (true, _) => AnswerProof::Sealed,
-        (false, true) => AnswerProof::Named,
-        (false, false) => AnswerProof::Missing,
+    let auth = match (marks.sealed, named || echoes) {
+        (true, _) => ResponseAuth::Authenticated,
+        (false, true) => ResponseAuth::Identified,
+        (false, false) => ResponseAuth::Unverified,
     };
-    Some((tag?, proof))
+    Some((tag?, auth))
 }
 
 /// Gives the life that answered in the place of the one that a request was for, where it is known.
@@ -92,13 +92,13 @@
 
 fn take_notice(
     core: &EntryCore,
-    heard: &HeardNotice<'_>,
+    heard: &ReceivedNotice<'_>,
     source: &'static str,
     request: Option<&RequestId>,
 ) {
     let (effect, life) = {
         let mut replicas = core.replicas.borrow_mut();
-        let effect = replicas.hear(heard, Instant::now());
+        let effect = replicas.apply_notice(heard, Instant::now());
         if effect == NoticeEffect::default() {
             return;
         }
@@ -139,7 +139,7 @@
 /// Takes another node's news of replicas that said that they leave.
 pub(crate) fn hear_leaving(core: &EntryCore, lives: &[ReplicaLife]) {
     for life in lives {
-        let new = core.replicas.borrow_mut().hear_leaving(life);
+        let new = core.replicas.borrow_mut().mark_leaving(life);
         if new {
             log_leaving(core, Some(&life.id), "near", None);
         }
@@ -149,7 +149,7 @@
 /// Counts the replicas that leave or rest.
 pub(crate) fn count_notices(core: &EntryCore) {
     let replicas = core.replicas.borrow();
-    let leaving = replicas.said_leaving().count();
+    let leaving = replicas.announced_leaving().count();
     let resting = replicas.rests.count();
     core.metrics.notices.set_counts(leaving, resting);
 }
@@ -161,14 +161,14 @@
     source: &'static str,
     request: Option<&RequestId>,
 ) {
-    let (event, time) = match effect.rest {
+    let (event, time) = match effect.backoff {
         Some(RestChange::Began(time)) => ("rest_began", Some(time)),
         Some(RestChange::Lengthened(time)) => ("rest_lengthened", Some(time)),
         Some(RestChange::Covered) => {
             core.metrics.notices.note("rest_covered");
             return;
         }
-        None if effect.serves => ("rest_ended", None),
+        None if effect.recovered => ("rest_ended", None),
         None => return,
     };
     core.metrics.notices.note(event);
--- a/crates/zinniahatch_entry/src/request/call.rs
+++ b/crates/zinniahatch_entry/src/request/call.rs
@@ -88,7 +88,7 @@
 impl Drop for AwayWait<'_> {
     fn drop(&mut self) {
         let mut ways = self.core.ways.borrow_mut();
-        ways.note_given_up(self.region, self.ticket);
+        ways.note_abandoned(self.region, self.ticket);
     }
 }
 
--- a/crates/zinniahatch_entry/src/request/placing.rs
+++ b/crates/zinniahatch_entry/src/request/placing.rs
@@ -14,17 +14,17 @@
 use zinniahatch_base::prelude::*;
 use zinniahatch_route::AdmissionRule;
 use zinniahatch_route::AwayChoice;
-use zinniahatch_route::EarliestReturn;
+use zinniahatch_route::EarliestRetry;
 use zinniahatch_route::LocalChoice;
 use zinniahatch_route::PlaceAsk;
 use zinniahatch_route::ServingPreset;
 use zinniahatch_route::Verdict;
 use zinniahatch_route::Withheld;
-use zinniahatch_route::all_leave;
+use zinniahatch_route::all_leaving;
 use zinniahatch_route::away_share;
 use zinniahatch_route::choose_away;
 use zinniahatch_route::choose_local;
-use zinniahatch_route::earliest_return;
+use zinniahatch_route::earliest_retry;
 
 /// Time that a caller is told to wait where no replica can be used.
 pub(crate) const NO_BACKEND_RETRY: Duration = Duration::from_millis(700);
@@ -135,7 +135,7 @@
     if let Some(after) = held_for(core, ask, now) {
         return NextPlace::Refuse(held_code(after.reason), after.after);
     }
-    let leaving = all_leave(&core.replicas.borrow(), &core.settings.regions, ask);
+    let leaving = all_leaving(&core.replicas.borrow(), &core.settings.regions, ask);
     let code = if leaving {
         ResultCode::ReplicasLeaving
     } else {
@@ -153,16 +153,16 @@
 
 /// Gives when a request may come back whose replicas all rest or are limited: when the first of them takes work again,
 /// behind the callers that were told so before.
-fn held_for(core: &EntryCore, ask: &PlaceAsk<'_>, now: Instant) -> Option<EarliestReturn> {
+fn held_for(core: &EntryCore, ask: &PlaceAsk<'_>, now: Instant) -> Option<EarliestRetry> {
     let replicas = core.replicas.borrow();
-    let first = earliest_return(&replicas, &core.settings.regions, ask, now)?;
+    let first = earliest_retry(&replicas, &core.settings.regions, ask, now)?;
     let hold = replicas.model_of(ask.service).hold();
     let nodes = ask.peers.len() as u32 + 1;
     let step = hold * nodes / first.slots.max(1);
     let mut lines = core.return_lines.borrow_mut();
     let line = lines.entry(ask.service.clone()).or_default();
-    let after = line.take(first.after, step, now);
-    Some(EarliestReturn { after, ..first })
+    let after = line.next_delay(first.after, step, now);
+    Some(EarliestRetry { after, ..first })
 }
 
 /// Gives when a request may come back that a replica turned away, where all others rest or are limited too.
@@ -255,7 +255,7 @@
     let members = core.members.borrow();
     let replicas = core.replicas.borrow();
     let mut tried = course.away.clone();
-    tried.regions.extend(core.ways.borrow().broken(now));
+    tried.regions.extend(core.ways.borrow().unreachable(now));
     choose_away(
         &members,
         &replicas,
--- a/crates/zinniahatch_entry/src/request/plan.rs
+++ b/crates/zinniahatch_entry/src/request/plan.rs
@@ -124,7 +124,7 @@
             urgent,
             cold_bound: core.cold_bound(spec.cold_rate),
             most_sends,
-            guarded: core.identities.borrow().is_guarded(),
+            guarded: core.identities.borrow().requires_key(),
             identity,
             homes,
             route,
@@ -189,7 +189,7 @@
         if course.sends >= self.most_sends {
             return false;
         }
-        let granted = core.with_budget(&self.service, |budget| budget.take(Instant::now()));
+        let granted = core.with_budget(&self.service, |budget| budget.try_take(Instant::now()));
         if granted {
             core.metrics.note_repeat(&self.service, reason);
         }
--- a/crates/zinniahatch_entry/src/request/serve.rs
+++ b/crates/zinniahatch_entry/src/request/serve.rs
@@ -51,7 +51,7 @@
     };
     core.with_budget(&plan.service, |budget| {
         if call.is_direct() {
-            budget.note_first(Instant::now());
+            budget.record_request(Instant::now());
         }
     });
     let mut runner = TryRunner {
--- a/crates/zinniahatch_entry/src/services.rs
+++ b/crates/zinniahatch_entry/src/services.rs
@@ -29,9 +29,9 @@
 use zinniahatch_platform::ResolveQuery;
 use zinniahatch_platform::decode_resolve;
 use zinniahatch_platform::encode_resolved;
-use zinniahatch_route::DirectoryAsk;
-use zinniahatch_route::NamedNodes;
-use zinniahatch_route::name_nodes;
+use zinniahatch_route::DirectoryAnswer;
+use zinniahatch_route::DirectoryQuery;
+use zinniahatch_route::select_nodes;
 
 /// Addresses that one answer of the directory names at most.
 const MOST_ADDRESSES: usize = 64;
@@ -200,17 +200,17 @@
     }
     let known = core.desired.borrow().is_some();
     let host = query.host.as_deref().unwrap_or_default();
-    let ask = DirectoryAsk {
+    let ask = DirectoryQuery {
         region,
         homes: known.then(|| core.routes.borrow().homes_of(host)),
-        key_bound: core.key_bound(),
-        own_proven: core.trusts_keys(),
+        max_proof_age: core.key_bound(),
+        own_proof_fresh: core.trusts_keys(),
         own_region: own,
         own_front: core.settings.listen.front,
         own_stage: core.stage(),
     };
-    let named = name_nodes(&members, &ask, now);
-    if let NamedNodes::Elsewhere(addresses) = &named {
+    let named = select_nodes(&members, &ask, now);
+    if let DirectoryAnswer::Remote(addresses) = &named {
         core.log.write(
             "directory-elsewhere",
             serde_json::json!({"region": region, "homes": ask.homes, "addresses": addresses,
--- a/crates/zinniahatch_entry/src/store/membership.rs
+++ b/crates/zinniahatch_entry/src/store/membership.rs
@@ -105,7 +105,7 @@
             reject(core, &format!("key `{}`: not `REGION IP:port`", item.key));
             continue;
         };
-        contacts.note(address, Some(&region));
+        contacts.add(address, Some(&region));
     }
     drop(contacts);
     core.note_looked();
--- a/crates/zinniahatch_entry/src/store/watch.rs
+++ b/crates/zinniahatch_entry/src/store/watch.rs
@@ -17,7 +17,7 @@
 use tokio::time::sleep;
 use zinniahatch_base::prelude::*;
 use zinniahatch_platform::KvError;
-use zinniahatch_route::CoverState;
+use zinniahatch_route::CoverageState;
 
 /// Nodes of a region that follow the preset; the others hear of it from them. Each node that did so cost
 /// three calls a minute for what changes a few times a day.
@@ -188,9 +188,9 @@
     let mut end = RestEnd::NoRest;
     while since.elapsed() < most {
         match reader_cover(core, topic, Instant::now()) {
-            CoverState::Alone => return RestEnd::NoRest,
-            CoverState::Behind => return RestEnd::Behind,
-            CoverState::Covered => {}
+            CoverageState::NoReaders => return RestEnd::NoRest,
+            CoverageState::Behind => return RestEnd::Behind,
+            CoverageState::Current => {}
         }
         note_rest(core, topic, true);
         sleep(COVER_LOOK).await;
--- a/crates/zinniahatch_entry/src/store/watch_topic.rs
+++ b/crates/zinniahatch_entry/src/store/watch_topic.rs
@@ -3,7 +3,7 @@
 use zinniahatch_config::PRESET_KEY;
 use zinniahatch_platform::BACKEND_PREFIX;
 use zinniahatch_platform::OPERATOR_PREFIX;
-use zinniahatch_route::ReadDigest;
+use zinniahatch_route::StoreDigest;
 
 /// What one watch follows. Each wakes only for its own keys: where one watch saw all keys, every node
 /// woke for the key of each other node and for each account sheet, which is the square of the fleet.
@@ -34,7 +34,7 @@
     }
 
     /// Gives the part of a reader's digest that stands for the topic; none where nobody reads it for all.
-    pub(crate) fn digest(self) -> Option<fn(&ReadDigest) -> u64> {
+    pub(crate) fn digest(self) -> Option<fn(&StoreDigest) -> u64> {
         match self {
             Self::Operator => Some(|digest| digest.rules),
             Self::Replicas => Some(|digest| digest.replicas),
--- a/crates/zinniahatch_entry/src/who/allowances.rs
+++ b/crates/zinniahatch_entry/src/who/allowances.rs
@@ -31,7 +31,7 @@
             return;
         }
         let mut quotas = self.core.quotas.borrow_mut();
-        quotas.give_back(self.account, self.units, Instant::now());
+        quotas.refund(self.account, self.units, Instant::now());
         drop(quotas);
         self.core.work_changed.notify_one();
     }
@@ -57,9 +57,9 @@
     };
     let (tag, units) = (account_tag(&account.name), allowance.charge(&call.size));
     let now = Instant::now();
-    let taken = core.quotas.borrow_mut().take(tag, units, now);
+    let taken = core.quotas.borrow_mut().try_take(tag, units, now);
     if let Err(after) = taken {
-        let left = core.quotas.borrow_mut().left(tag, now);
+        let left = core.quotas.borrow_mut().remaining(tag, now);
         core.metrics.note_over_allowance();
         core.log.write(
             "over-allowance",
--- a/crates/zinniahatch_entry/src/who/identity.rs
+++ b/crates/zinniahatch_entry/src/who/identity.rs
@@ -37,7 +37,7 @@
             return Ok(None);
         }
     }
-    if !table.is_guarded() {
+    if !table.requires_key() {
         return Ok(None);
     }
     identify_caller(core, call, route, &table)
--- a/crates/zinniahatch_entry/src/who/proofs.rs
+++ b/crates/zinniahatch_entry/src/who/proofs.rs
@@ -15,7 +15,7 @@
 use tokio::time::sleep;
 use zinniahatch_base::prelude::*;
 use zinniahatch_platform::KvError;
-use zinniahatch_route::ToldProof;
+use zinniahatch_route::FreshnessProof;
 
 /// Pause between looks at the age of the proof.
 const LOOK_TIME: Duration = Duration::from_millis(100);
@@ -69,7 +69,7 @@
     let Some(bound) = core.settings.bounds.revoke else {
         return false;
     };
-    if !core.identities.borrow().is_guarded() {
+    if !core.identities.borrow().requires_key() {
         return false;
     }
     let Some(age) = core.proofs.borrow().age(core.clock.now()) else {
@@ -122,11 +122,11 @@
     // knows better.
     let heard = core.members.borrow().newest_version(Instant::now());
     let mut proofs = core.proofs.borrow_mut();
-    proofs.note(version.max(heard), sent, version);
+    proofs.record(version.max(heard), sent, version);
 }
 
 /// Takes a proof that another node told; `asked` is when this one had asked it.
-pub(crate) fn hear_proof(core: &EntryCore, told: ToldProof, asked: Duration) {
+pub(crate) fn hear_proof(core: &EntryCore, told: FreshnessProof, asked: Duration) {
     let version = core.version();
-    core.proofs.borrow_mut().hear(told, asked, version);
+    core.proofs.borrow_mut().merge(told, asked, version);
 }
--- a/crates/zinniahatch_entry/tests/channel.rs
+++ b/crates/zinniahatch_entry/tests/channel.rs
@@ -13,7 +13,7 @@
 use zinniahatch_base::prelude::StoreRevision;
 use zinniahatch_entry::BackendChannel;
 use zinniahatch_entry::ChannelError;
-use zinniahatch_route::ColdGate;
+use zinniahatch_route::ColdLimiter;
 use zinniahatch_route::ReplicaEntry;
 use zinniahatch_route::ReplicaPermit;
 use zinniahatch_route::ReplicaTable;
@@ -59,7 +59,7 @@
         revision: StoreRevision::from(1),
     };
     table.upsert(entry, now);
-    let claim = table.claim(&mut ColdGate::default(), "i-1", 0, now);
+    let claim = table.claim(&mut ColdLimiter::default(), "i-1", 0, now);
     table.permit(claim.unwrap(), now).unwrap()
 }
 
--- a/crates/zinniahatch_route/src/account.rs
+++ b/crates/zinniahatch_route/src/account.rs
@@ -1,4 +1,5 @@
-//! Client accounts of the desired state: who a key belongs to, and where and how much an account may send.
+//! Client accounts of the desired state: which keys belong to them, and where and how much they
+//! may send.
 
 use crate::DesiredRoute;
 use crate::DesiredState;
@@ -7,25 +8,25 @@
 use zinniahatch_base::prelude::*;
 
 domain! {
-    /// What an allowance is counted in.
+    /// The unit in which an allowance is counted.
     #[derive(Copy, Eq)]
     pub enum AllowanceUnit {
         /// Requests.
         Requests,
-        /// Tokens in and the most tokens out.
+        /// Input tokens plus the maximum number of output tokens.
         Tokens,
     }
 
-    /// How much an account may send, over all nodes together.
+    /// Rate limit of an account over all nodes together.
     #[derive(Copy)]
     pub struct Allowance {
-        /// What it is counted in.
+        /// The unit of the rate and the burst.
         pub unit: AllowanceUnit,
-        /// Units a second.
+        /// Units per second.
         pub rate: f64,
-        /// Units beyond that at once.
+        /// Units above the rate that may be sent at once.
         pub burst: f64,
-        /// Tokens of a request that does not say how many it has.
+        /// Tokens charged for a request that does not state its size.
         pub plain_tokens: u32,
     }
 
@@ -35,54 +36,55 @@
         pub name: AccountId,
         /// The digests of its keys.
         pub keys: BTreeSet<KeyDigest>,
-        /// Its rank in place of that of its routes; 0 is the most urgent. None leaves the order to the routes.
+        /// Priority that replaces the one of its routes; 0 is the most urgent. `None` keeps the
+        /// routes' priorities.
         pub priority: Option<u8>,
-        /// Regions that may serve its requests and keep what they bring; empty allows all.
+        /// Regions that may serve its requests and store their data; empty allows all.
         pub homes: BTreeSet<RegionId>,
-        /// How much it may send; none is no limit.
+        /// Its rate limit; `None` means unlimited.
         pub allowance: Option<Allowance>,
     }
 }
 
 impl Allowance {
-    /// Gives the units that a request uses.
+    /// Returns the number of units that a request is charged.
     pub fn charge(&self, size: &PromptSize) -> u64 {
         match self.unit {
             AllowanceUnit::Requests => 1,
             AllowanceUnit::Tokens => match u64::from(size.tokens_in) + u64::from(size.tokens_out) {
                 0 => u64::from(self.plain_tokens),
-                told => told,
+                stated => stated,
             },
         }
     }
 }
 
-/// What a key is to the desired state in force.
+/// Result of looking up a key in the current desired state.
 #[derive(Clone, Debug, PartialEq)]
 pub enum KeyVerdict {
-    /// It belongs to an account.
+    /// The key belongs to an account.
     Known(Rc<DesiredAccount>),
-    /// It belonged to one and was taken away while this process ran.
+    /// The key belonged to an account and was revoked while this process ran.
     Revoked,
-    /// It belongs to none.
+    /// The key belongs to no account.
     Unknown,
 }
 
-/// The accounts of one version of the desired state, by key and by name.
+/// The accounts of one version of the desired state, indexed by key and by name.
 #[derive(Clone, Debug, Default)]
 pub struct AccountTable {
     accounts: BTreeMap<AccountId, Rc<DesiredAccount>>,
     keys: BTreeMap<KeyDigest, Rc<DesiredAccount>>,
-    /// Keys of versions before that are in none now.
+    /// Keys of earlier versions that the current version no longer contains.
     revoked: BTreeSet<KeyDigest>,
 }
 
-/// Keys that were taken away which are remembered at most, to tell them from those that never were.
-const MOST_REVOKED: usize = 10_000;
+/// Maximum number of revoked keys remembered, to tell them from keys that never existed.
+const MAX_REVOKED: usize = 10_000;
 
 impl AccountTable {
-    /// Builds the table of a version that follows another.
-    pub fn new(state: &DesiredState, before: &Self) -> Self {
+    /// Builds the table of a version from the desired state and the table of the previous version.
+    pub fn new(state: &DesiredState, previous: &Self) -> Self {
         let mut table = Self::default();
         for account in &state.accounts {
             let account = Rc::new(account.clone());
@@ -91,19 +93,20 @@
             }
             table.accounts.insert(account.name.clone(), account);
         }
-        // Those taken away now go first, so that a full memory forgets older ones.
-        let earlier = before.keys.keys().chain(&before.revoked);
+        // The keys revoked by this version come first, so that older ones are dropped once the
+        // limit is reached.
+        let earlier = previous.keys.keys().chain(&previous.revoked);
         let revoked = earlier.filter(|key| !table.keys.contains_key(*key));
-        let revoked = revoked.take(MOST_REVOKED).copied().collect();
+        let revoked = revoked.take(MAX_REVOKED).copied().collect();
         Self { revoked, ..table }
     }
 
-    /// Tells whether callers have to say who they are.
-    pub fn is_guarded(&self) -> bool {
+    /// Returns whether callers must present a key.
+    pub fn requires_key(&self) -> bool {
         !self.accounts.is_empty()
     }
 
-    /// Finds the account of a key.
+    /// Looks up the account of a key.
     pub fn find(&self, key: &KeyDigest) -> KeyVerdict {
         match self.keys.get(key) {
             Some(account) => KeyVerdict::Known(Rc::clone(account)),
@@ -112,41 +115,43 @@
         }
     }
 
-    /// Tells whether an account still has a key.
+    /// Returns whether a key currently belongs to an account.
     pub fn holds(&self, key: &KeyDigest, account: &str) -> bool {
         self.keys
             .get(key)
             .is_some_and(|holder| *holder.name == *account)
     }
 
-    /// Tells whether an account's key that was found by version `found` still counts by this table, which is of version
-    /// `own`.
+    /// Returns whether a key that another node resolved to an account under version `found` is
+    /// still valid under this table, which has version `own`.
     ///
-    /// A node that is behind the one that found the key has never known it, and takes its word; one that is as new has
-    /// the last say.
+    /// A node on an older version than the resolving node may not know the key yet and accepts the
+    /// result; a node on the same or a newer version checks its own table.
     pub fn still_holds(&self, key: &KeyDigest, account: &str, found: u64, own: u64) -> bool {
         own < found || self.holds(key, account)
     }
 
-    /// Gives an account by its name.
+    /// Returns an account by its name.
     pub fn named(&self, name: &str) -> Option<&Rc<DesiredAccount>> {
         self.accounts.get(name)
     }
 }
 
-/// Gives the regions that may serve a route for an account; empty allows all, and none is that there is no such
-/// region. The homes of both bind.
+/// Returns the regions that may serve a route for an account; an empty set allows all regions, and
+/// `None` means that no region qualifies.
+///
+/// The homes of the route and of the account both apply.
 pub fn common_homes(
     route: &DesiredRoute,
     account: Option<&DesiredAccount>,
 ) -> Option<BTreeSet<RegionId>> {
-    let bound = account.map(|account| &account.homes);
-    let Some(bound) = bound.filter(|homes| !homes.is_empty()) else {
+    let allowed = account.map(|account| &account.homes);
+    let Some(allowed) = allowed.filter(|homes| !homes.is_empty()) else {
         return Some(route.homes.clone());
     };
     if route.homes.is_empty() {
-        return Some(bound.clone());
+        return Some(allowed.clone());
     }
-    let common: BTreeSet<RegionId> = route.homes.intersection(bound).cloned().collect();
+    let common: BTreeSet<RegionId> = route.homes.intersection(allowed).cloned().collect();
     (!common.is_empty()).then_some(common)
 }
--- a/crates/zinniahatch_route/src/budget.rs
+++ b/crates/zinniahatch_route/src/budget.rs
@@ -1,43 +1,44 @@
-//! Budgets that hold over all nodes without a message between them.
+//! Rate budgets that hold across all nodes without communication between them.
 //!
-//! Each node takes a fixed share of what the fleet may do, so that the sum holds also where nodes
-//! cannot hear each other.
+//! Each node gets a fixed share of the total budget, so that the sum also holds during a network
+//! partition.
 
 use std::collections::VecDeque;
 use zinniahatch_base::prelude::*;
 
 /// Part of the allowed ratio that a node uses; the rest covers requests that were cut off before
-/// a backend server's side counted them.
+/// the backend server counted them.
 const RATIO_SAFETY: f64 = 0.85;
-/// Part of the shared slack that nodes use together. A process that is restarted forgets what its
-/// predecessor spent; all of ten nodes may start anew within the window, and their slacks still
-/// fit. The ratio needs no such care: a fresh process starts with no requests to take it from.
+/// Part of the shared slack that all nodes together use. A restarted process does not know what
+/// its predecessor spent; even if all of ten nodes restart within the window, their slacks still
+/// fit. The ratio needs no such margin, since a fresh process starts without requests to derive
+/// retries from.
 const SLACK_SAFETY: f64 = 0.5;
 
-/// Sending a request once more, for one service on one node.
+/// Retry budget of one service on one node.
 #[derive(Clone, Debug)]
-pub struct RepeatBudget {
+pub struct RetryBudget {
     window: Duration,
     ratio: f64,
     slack: f64,
-    firsts: VecDeque<Instant>,
-    repeats: VecDeque<Instant>,
+    requests: VecDeque<Instant>,
+    retries: VecDeque<Instant>,
 }
 
-impl RepeatBudget {
-    /// Makes the share of one node out of `nodes`.
+impl RetryBudget {
+    /// Creates the share of one node out of `nodes`.
     pub fn new(window: Duration, ratio: f64, slack: f64, nodes: usize) -> Self {
         Self {
             window,
             ratio: ratio * RATIO_SAFETY,
             slack: slack * SLACK_SAFETY / nodes.max(1) as f64,
-            firsts: VecDeque::new(),
-            repeats: VecDeque::new(),
+            requests: VecDeque::new(),
+            retries: VecDeque::new(),
         }
     }
 
     fn prune(&mut self, now: Instant) {
-        for queue in [&mut self.firsts, &mut self.repeats] {
+        for queue in [&mut self.requests, &mut self.retries] {
             while queue
                 .front()
                 .is_some_and(|at| now.saturating_duration_since(*at) > self.window)
@@ -47,43 +48,46 @@
         }
     }
 
-    /// Notes a request that callers sent.
-    pub fn note_first(&mut self, now: Instant) {
+    /// Records a request received from a caller.
+    pub fn record_request(&mut self, now: Instant) {
         self.prune(now);
-        self.firsts.push_back(now);
+        self.requests.push_back(now);
     }
 
-    /// Takes one repeat if the budget allows it.
-    pub fn take(&mut self, now: Instant) -> bool {
+    /// Consumes one retry if the budget allows it.
+    pub fn try_take(&mut self, now: Instant) -> bool {
         self.prune(now);
-        let allowed = self.ratio * self.firsts.len() as f64 + self.slack;
-        if self.repeats.len() as f64 + 1.0 > allowed {
+        let allowed = self.ratio * self.requests.len() as f64 + self.slack;
+        if self.retries.len() as f64 + 1.0 > allowed {
             return false;
         }
-        self.repeats.push_back(now);
+        self.retries.push_back(now);
         true
     }
 }
 
-/// Requests to cold replicas, of one node.
+/// Rate limit of one node's requests to cold replicas.
 ///
-/// The bound counts any span of a second over all nodes, so a token bucket, which lets a burst
-/// and a refill into one second, would not hold; this counts the last second and a bit, for
-/// requests that are delayed on the way.
+/// The bound applies to any one-second span over all nodes. A token bucket would not hold it,
+/// since a burst and a refill can fall into the same second; this counts the requests in a sliding
+/// window slightly longer than a second, to allow for network delay.
 #[derive(Clone, Debug, Default)]
-pub struct ColdGate {
+pub struct ColdLimiter {
     sent: BTreeMap<ReplicaId, VecDeque<Instant>>,
 }
 
-/// The span counted; one second and 100 ms for differing delays on the way.
+/// Length of the sliding window: one second plus 100 ms for varying network delay.
 const COLD_SPAN: Duration = Duration::from_millis(1100);
-/// Nodes that send to one cold replica at most; more would leave each less than one a second.
+/// Maximum number of nodes that send to one cold replica; more would leave each of them less than
+/// one request per second.
 const COLD_SENDERS: usize = 3;
 
-impl ColdGate {
-    /// Gives what this node may send to a cold replica in a second: the fleet's bound split over
-    /// the few nodes with the highest rank for that replica, 0 for the others. The split is the same
-    /// where there are fewer nodes, since a node cannot tell that from not knowing them.
+impl ColdLimiter {
+    /// Returns how many requests per second this node may send to a cold replica.
+    ///
+    /// The bound is split over the few nodes with the highest rendezvous rank for the replica; the
+    /// others get 0. The split is the same in smaller regions, since a node cannot tell missing
+    /// nodes from nodes that it does not know yet.
     pub fn share(bound: f64, replica: &str, node: &str, peers: &BTreeSet<NodeId>) -> usize {
         let own = zinniahatch_base::rank_member(replica, node);
         let above = peers
@@ -91,8 +95,9 @@
             .filter(|peer| &***peer != node)
             .filter(|peer| zinniahatch_base::rank_member(replica, peer) > own)
             .count();
-        // A node that has just started may know nobody yet; counted alone, it took the whole bound
-        // beside the parts of the others, and a cold replica got eight requests of six.
+        // The number of senders does not depend on the known peers: a node that has just started
+        // may know none, and when it took the whole bound beside the shares of the others, a cold
+        // replica got eight requests instead of six.
         let senders = COLD_SENDERS.min(bound.max(1.0) as usize);
         if above >= senders {
             return 0;
@@ -100,7 +105,7 @@
         (bound / senders as f64) as usize
     }
 
-    /// Tells whether one more request may go to the replica.
+    /// Returns whether one more request may be sent to the replica.
     pub fn allows(&self, replica: &str, share: usize, now: Instant) -> bool {
         let recent = self.sent.get(replica).map_or(0, |queue| {
             queue
@@ -111,7 +116,7 @@
         recent < share
     }
 
-    /// Notes a request to a cold replica.
+    /// Records a request to a cold replica.
     pub fn note(&mut self, replica: &ReplicaId, now: Instant) {
         let queue = self.sent.entry(replica.clone()).or_default();
         while queue
@@ -123,7 +128,7 @@
         queue.push_back(now);
     }
 
-    /// Forgets a replica that is gone.
+    /// Removes a replica that is gone.
     pub fn forget(&mut self, replica: &str) {
         self.sent.remove(replica);
     }
--- a/crates/zinniahatch_route/src/collectors.rs
+++ b/crates/zinniahatch_route/src/collectors.rs
@@ -1,90 +1,98 @@
-//! Which way a node's news of open work go to the other nodes of its region.
+//! Dissemination of a node's in-flight work to the other nodes of its region.
 //!
-//! Weighed, for 65 nodes of a region that place 1,100 requests/s: every node tells every other one (26,000
-//! datagrams/s received at a pause of 20 ms, 2.5% of a core a node); a node that counts for a replica and is
-//! asked on the way (a round trip on each request, and its loss stops placement); choices divided among
-//! nodes (callers, not nodes, choose the node). Chosen: a node sends its news at once to one node that
-//! gathers those of many for a few ms and tells all. Nodes need not agree on who gathers, since any node
-//! does so for whoever asks, and a collector that does not pass on what it was told is left at once.
+//! Alternatives considered, for 65 nodes in a region that place 1,100 requests/s:
+//!
+//! - Every node sends to every other one: 26,000 datagrams/s received with a pause of 20 ms, 2.5%
+//! of a core per node.
+//! - One node counts the work of a replica and is asked for each placement: a round trip per
+//! request, and placement stops when that node fails.
+//! - Each node places a fixed part of the requests: not possible, since callers choose the node.
+//!
+//! Instead, each node sends its updates at once to one collector, which batches those of many
+//! nodes for a few ms and forwards them to all. Nodes need not agree on the collector, since any
+//! node batches for whoever asks, and a collector that does not forward the updates it received is
+//! abandoned at once.
 
-use crate::MemberCard;
+use crate::MemberInfo;
 use std::cmp::Reverse;
 use std::net::SocketAddrV4;
 use zinniahatch_base::prelude::*;
 use zinniahatch_base::rank_member;
 
-/// The duty by which collectors are ranked.
+/// Duty name by which collectors are ranked.
 const COLLECTOR_DUTY: &str = "work";
-/// Other nodes of a region up to which each tells all of them by itself.
-const DIRECT_NODES: usize = 8;
-/// Nodes for which one collector gathers; it sends to all nodes of the region some 60 times a second.
-const NODES_EACH: usize = 64;
-/// Time in which a collector has to pass on what it was told; twice what a slow one takes.
-const ECHO_TIME: Duration = Duration::from_millis(150);
-/// Time for which a collector that did not is left out. News go through another one meanwhile.
-const AVOID_TIME: Duration = Duration::from_secs(3);
-/// Time for which news are gathered, and what is added for each node of the region: the sends of a
-/// collector grow with the nodes, and its rate falls with them. At 65 nodes it makes 15 ms, in which 16 of
-/// 1,100 requests/s are placed.
-const GATHER_TIME: Duration = Duration::from_millis(8);
-const GATHER_EACH: Duration = Duration::from_micros(100);
+/// Number of other nodes in the region up to which each node sends to all of them directly.
+const MAX_DIRECT_NODES: usize = 8;
+/// Nodes served by one collector, which sends to all nodes of the region some 60 times a second.
+const NODES_PER_COLLECTOR: usize = 64;
+/// Time within which a collector must forward what it received; twice what a slow one takes.
+const FORWARD_TIMEOUT: Duration = Duration::from_millis(150);
+/// Time for which a collector that missed this deadline is not used. Updates go through another
+/// one meanwhile.
+const EXCLUSION_TIME: Duration = Duration::from_secs(3);
+/// Batching time, and the time added for each node of the region: a collector's sends grow with
+/// the number of nodes, so its rate falls with them. With 65 nodes the interval is 15 ms, during
+/// which 16 of 1,100 requests/s are placed.
+const BATCH_BASE: Duration = Duration::from_millis(8);
+const BATCH_PER_NODE: Duration = Duration::from_micros(100);
 
-/// The way of news of this node's work.
+/// The path that updates of this node's work take.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WorkPath {
-    /// To every node of the region.
+    /// Directly to every node of the region.
     All,
-    /// To the node that gathers.
+    /// To the collector at this address.
     Collector(SocketAddrV4),
-    /// This node gathers them itself.
+    /// This node is its own collector.
     Own,
 }
 
-/// Gives the time for which news are gathered in a region of so many other nodes.
-pub fn gather_time(others: usize) -> Duration {
-    GATHER_TIME + GATHER_EACH * u32::try_from(others).unwrap_or(u32::MAX)
+/// Returns the batching interval of a collector in a region with `others` other nodes.
+pub fn batch_interval(others: usize) -> Duration {
+    BATCH_BASE + BATCH_PER_NODE * u32::try_from(others).unwrap_or(u32::MAX)
 }
 
-/// Who gathers this node's news, and whether they are passed on.
+/// Chooses the collector of this node's updates and detects collectors that do not forward them.
 #[derive(Clone, Debug, Default)]
-pub struct CollectorBook {
-    /// Since when each collector that was told something has not been heard.
+pub struct CollectorSelector {
+    /// Per collector, the time of the oldest update that it has not forwarded yet.
     waiting: BTreeMap<SocketAddrV4, Instant>,
-    /// Until when collectors that passed nothing on are left out.
-    avoided: BTreeMap<SocketAddrV4, Instant>,
+    /// Collectors that are not used, and until when.
+    excluded: BTreeMap<SocketAddrV4, Instant>,
 }
 
-impl CollectorBook {
-    /// Chooses the way of news, among the living nodes of the region.
+impl CollectorSelector {
+    /// Chooses the path of updates, given the live nodes of the region.
     ///
-    /// The strongest nodes gather, since a collector sends some 4,000 datagrams a second at 65 nodes, a
-    /// tenth of the processor of a weak one; among equals the rendezvous rank decides.
+    /// The nodes with the largest CPU share are collectors, since a collector sends some 4,000
+    /// datagrams/s at 65 nodes, a tenth of the CPU of a small node; ties are broken by rendezvous
+    /// rank.
     pub fn choose(
         &self,
         own: &NodeId,
-        strength: u32,
-        living: &[&MemberCard],
+        cpu_share: u32,
+        live: &[&MemberInfo],
         now: Instant,
     ) -> WorkPath {
-        if living.len() <= DIRECT_NODES {
+        if live.len() <= MAX_DIRECT_NODES {
             return WorkPath::All;
         }
-        let sound = living
+        let usable = live
             .iter()
             .filter(|card| {
-                self.avoided
+                self.excluded
                     .get(&card.peer)
                     .is_none_or(|until| now >= *until)
             })
-            .map(|card| (card.strength, &card.node, WorkPath::Collector(card.peer)));
-        let mut ranked: Vec<_> = sound.chain([(strength, own, WorkPath::Own)]).collect();
-        ranked.sort_by_key(|(strength, node, _)| {
+            .map(|card| (card.cpu_share, &card.node, WorkPath::Collector(card.peer)));
+        let mut ranked: Vec<_> = usable.chain([(cpu_share, own, WorkPath::Own)]).collect();
+        ranked.sort_by_key(|(cpu_share, node, _)| {
             (
-                Reverse(*strength),
+                Reverse(*cpu_share),
                 Reverse(rank_member(COLLECTOR_DUTY, node)),
             )
         });
-        ranked.truncate(living.len().div_ceil(NODES_EACH));
+        ranked.truncate(live.len().div_ceil(NODES_PER_COLLECTOR));
         let own_rank = |node: &NodeId| rank_member(own, node);
         ranked
             .into_iter()
@@ -92,30 +100,32 @@
             .map_or(WorkPath::All, |(_, _, path)| path)
     }
 
-    /// Notes that a collector was told something.
-    pub fn note_told(&mut self, collector: SocketAddrV4, now: Instant) {
+    /// Records that an update was sent to a collector.
+    pub fn note_sent(&mut self, collector: SocketAddrV4, now: Instant) {
         self.waiting.entry(collector).or_insert(now);
     }
 
-    /// Notes that a collector passed news on.
-    pub fn note_heard(&mut self, collector: SocketAddrV4) {
+    /// Records that a collector forwarded updates.
+    pub fn note_forwarded(&mut self, collector: SocketAddrV4) {
         self.waiting.remove(&collector);
     }
 
-    /// Leaves out the collectors that do not pass on what they were told; tells whether there is one.
+    /// Excludes collectors that do not forward what they received; returns whether one was newly
+    /// excluded.
     ///
-    /// A collector that died, froze or was cut off would keep this node's placements from all others until
-    /// its silence shows in the cards, 1.8 s later, and they would send to the replicas that it has filled.
-    pub fn review(&mut self, now: Instant) -> bool {
-        self.avoided.retain(|_, until| now < *until);
-        let avoided = self.avoided.len();
+    /// A collector that crashed, froze or was partitioned would hide this node's placements from
+    /// all others until its missing heartbeats are noticed 1.8 s later, and they would send to the
+    /// replicas that this node has filled.
+    pub fn drop_unresponsive(&mut self, now: Instant) -> bool {
+        self.excluded.retain(|_, until| now < *until);
+        let excluded = self.excluded.len();
         let since = |at: Instant| now.saturating_duration_since(at);
         for (collector, at) in &self.waiting {
-            if since(*at) > ECHO_TIME {
-                self.avoided.insert(*collector, now + AVOID_TIME);
+            if since(*at) > FORWARD_TIMEOUT {
+                self.excluded.insert(*collector, now + EXCLUSION_TIME);
             }
         }
-        self.waiting.retain(|_, at| since(*at) <= ECHO_TIME);
-        self.avoided.len() > avoided
+        self.waiting.retain(|_, at| since(*at) <= FORWARD_TIMEOUT);
+        self.excluded.len() > excluded
     }
 }
--- a/crates/zinniahatch_route/src/desired.rs
+++ b/crates/zinniahatch_route/src/desired.rs
@@ -1,31 +1,31 @@
-//! The operators' desired state as the gateway understands it.
+//! The operators' desired state in the form that the gateway uses.
 
 use crate::DesiredAccount;
 use zinniahatch_base::prelude::*;
 
 /// Engine rank of the most urgent routes.
-const URGENT_RANK: u8 = 3;
-/// Engine rank of all routes from some priority on, the one that engines take without a rank; below it a route
-/// would stand behind whoever else uses the engine.
-const COMMON_RANK: u8 = 5;
+const URGENT_ENGINE_RANK: u8 = 3;
+/// Engine rank of all other routes, which is the engines' default; with a higher number a route
+/// would be served after all other users of the engine.
+const DEFAULT_ENGINE_RANK: u8 = 5;
 
 domain! {
-    /// How often a request of a route may run.
+    /// How often a request of a route may be executed.
     #[derive(Copy, Eq)]
     pub enum RepeatKind {
-        /// It may run more than once.
+        /// May be executed more than once.
         Idempotent,
-        /// It may run at most once for each attempt of the caller.
+        /// May be executed at most once for each attempt of the caller.
         Once,
-        /// A stream of events; at most once, unless the route allows resuming.
+        /// An event stream; executed at most once, unless the route allows resuming.
         Streaming,
     }
 
-    /// One of the services that a route's requests go to.
+    /// One of the services to which a route sends requests.
     pub struct WeightedTarget {
         /// The service.
         pub service: ServiceId,
-        /// Its share, relative to the other weights of the route.
+        /// Its weight relative to the other targets of the route.
         pub weight: u32,
     }
 
@@ -35,25 +35,26 @@
         pub name: Box<str>,
         /// The host that a request must name.
         pub host: Box<str>,
-        /// The start of the path; begins and ends with a slash.
+        /// The path prefix; begins and ends with a slash.
         pub path_prefix: Box<str>,
-        /// How often a request may run.
+        /// How often a request may be executed.
         pub repeat: RepeatKind,
-        /// Longest time until the final answer.
+        /// Maximum time until the complete answer.
         pub timeout: Duration,
-        /// Time to the (first event of the) answer at which it earns its full worth.
+        /// Latency target: the time to the answer, or to its first event, up to which a request
+        /// earns its full score.
         pub goal: Duration,
-        /// Rank among the routes; 0 is the most urgent.
+        /// Priority among the routes; 0 is the most urgent.
         pub priority: u8,
-        /// Where requests go; more than one entry is a split.
+        /// Services that receive the requests; more than one entry is a traffic split.
         pub targets: Vec<WeightedTarget>,
-        /// Backend servers that one attempt of a caller may be sent to, at most.
+        /// Maximum number of backend servers to which one attempt of a caller may be sent.
         pub max_attempts: u32,
-        /// Whether a broken stream may go on at another replica.
+        /// Whether an interrupted stream may be resumed at another replica.
         pub resumable: bool,
-        /// Longest pause between events of an answer that is still in time; 0 is no limit.
+        /// Maximum pause between events for an answer to count as in time; 0 is no limit.
         pub pause_limit: Duration,
-        /// Regions that may serve and keep the requests; empty allows all.
+        /// Regions that may serve the requests and store their data; empty allows all.
         pub homes: BTreeSet<RegionId>,
         /// Whether callers need no key.
         pub open: bool,
@@ -63,33 +64,33 @@
     pub struct DesiredService {
         /// Path of its health check.
         pub health_path: Box<str>,
-        /// Channels that one replica accepts from all callers together.
+        /// Connections that one replica accepts from all callers together.
         pub max_channels: u32,
-        /// How long a replica is cold after it starts.
+        /// How long a replica is cold after its start.
         pub warmup: Duration,
-        /// Requests a second that a cold replica bears; 0 where the service knows no cold.
+        /// Requests per second that a cold replica accepts; 0 if the service has no warm-up.
         pub cold_rate: f64,
-        /// Tokens that a replica's memory holds; 0 for plain services.
+        /// Tokens that fit in a replica's KV cache; 0 for plain services.
         pub kv_tokens: u64,
-        /// Time in which one replica copies a kept token from another; zero where it cannot.
+        /// Time in which one replica copies a cached token from another; zero if it cannot.
         pub copy_token: Duration,
     }
 
-    /// What callers may send and how long they may take.
+    /// Size limits and time-outs for callers.
     pub struct CallerLimits {
-        /// Bytes of a request's head.
+        /// Maximum size of a request's head, in bytes.
         pub max_header_bytes: usize,
-        /// Bytes of a request's body.
+        /// Maximum size of a request's body, in bytes.
         pub max_body_bytes: usize,
-        /// Time for a head to arrive.
+        /// Time-out for receiving a head.
         pub header_timeout: Duration,
-        /// Time for which an idle channel stays open.
+        /// Time after which an idle connection is closed.
         pub idle_timeout: Duration,
     }
 
-    /// The whole desired state.
+    /// The complete desired state.
     pub struct DesiredState {
-        /// Its version; a process never goes back to a lower one.
+        /// Its version; a process never returns to a lower one.
         pub version: u64,
         /// The routes.
         pub routes: Vec<DesiredRoute>,
@@ -97,21 +98,24 @@
         pub services: BTreeMap<ServiceId, DesiredService>,
         /// Limits for callers.
         pub limits: CallerLimits,
-        /// The client accounts; none where callers need not say who they are.
+        /// The client accounts; empty if callers need no key.
         pub accounts: Vec<DesiredAccount>,
     }
 }
 
-/// Gives the rank of requests in an engine, by their priority.
+/// Returns the rank that requests of a priority get in an engine.
 ///
-/// With two ranks alone, short verdicts of priority 1 waited behind the longest prompts of priority 2: 545 of
-/// 16,582 were late, 476 with three.
+/// Three ranks are used, because with two, short verdicts of priority 1 waited behind the longest
+/// prompts of priority 2: 545 of 16,582 were late, compared with 476 with three.
 pub fn engine_rank(priority: u8) -> u8 {
-    URGENT_RANK.saturating_add(priority).min(COMMON_RANK)
+    URGENT_ENGINE_RANK
+        .saturating_add(priority)
+        .min(DEFAULT_ENGINE_RANK)
 }
 
 impl DesiredRoute {
-    /// Tells whether a request may be sent to a second replica after the first may have run it.
+    /// Returns whether a request may be sent to a second replica after the first may have executed
+    /// it.
     pub fn may_repeat(&self) -> bool {
         match self.repeat {
             RepeatKind::Idempotent => true,
@@ -120,12 +124,12 @@
         }
     }
 
-    /// Tells whether a region may serve the route.
+    /// Returns whether a region may serve the route.
     pub fn allows(&self, region: &str) -> bool {
         self.homes.is_empty() || self.homes.contains(region)
     }
 
-    /// Picks the target for a request by a hash of its id, so that every node picks the same.
+    /// Picks the target of a request by a hash of its id, so that every node picks the same one.
     pub fn target(&self, request: &str) -> Option<&WeightedTarget> {
         let total: u64 = self
             .targets
@@ -148,7 +152,7 @@
 }
 
 impl Default for CallerLimits {
-    /// The limits until a desired state is known.
+    /// Returns the limits that apply until a desired state is known.
     fn default() -> Self {
         Self {
             max_header_bytes: 16 << 10,
--- a/crates/zinniahatch_route/src/earliest_return.rs
+++ b/crates/zinniahatch_route/src/earliest_retry.rs
@@ -1,4 +1,4 @@
-//! When a request that no replica can take now may come back.
+//! Computes when a request that no replica can take now may be retried.
 
 use crate::PlaceAsk;
 use crate::ReplicaTable;
@@ -6,25 +6,27 @@
 use crate::placement::takes_work;
 use zinniahatch_base::prelude::*;
 
-/// When the first of a region's replicas takes work again, where none does now.
+/// When the first of a region's replicas takes work again, if none does now.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct EarliestReturn {
-    /// Why it does not now.
+pub struct EarliestRetry {
+    /// Why it does not take work now.
     pub reason: Withheld,
     /// The time until it does.
     pub after: Duration,
-    /// Requests that all of them work on at once.
+    /// Requests that these replicas process concurrently, in total.
     pub slots: u32,
 }
 
-/// Gives when the first replica of a service takes work again, where all that could serve rest or have used up their
-/// rate limits; none where some takes work now, or where none will.
-pub fn earliest_return(
+/// Returns when the first replica of a service takes work again, if all that could serve are
+/// resting or have used up their rate limits.
+///
+/// Returns `None` if some replica takes work now, or if none will.
+pub fn earliest_retry(
     table: &ReplicaTable,
     regions: &BTreeMap<DataCentreId, RegionId>,
     ask: &PlaceAsk<'_>,
     now: Instant,
-) -> Option<EarliestReturn> {
+) -> Option<EarliestRetry> {
     let mut first: Option<(Duration, Withheld)> = None;
     let mut slots = 0;
     for belief in table.rows() {
@@ -52,15 +54,15 @@
         }
     }
     let (after, reason) = first?;
-    Some(EarliestReturn {
+    Some(EarliestRetry {
         reason,
         after,
         slots,
     })
 }
 
-/// Tells whether replicas of a service in a region are there and all of them leave.
-pub fn all_leave(
+/// Returns whether a service has replicas in a region and all of them are leaving.
+pub fn all_leaving(
     table: &ReplicaTable,
     regions: &BTreeMap<DataCentreId, RegionId>,
     ask: &PlaceAsk<'_>,
--- a/crates/zinniahatch_route/src/members.rs
+++ b/crates/zinniahatch_route/src/members.rs
@@ -1,363 +1,368 @@
-//! The other entry VMs: who lives, where, and what their region can take.
+//! The other entry VMs: which are live, where they are, and the capacity of their regions.
 
-use crate::ToldProof;
+use crate::FreshnessProof;
 use std::net::SocketAddrV4;
 use zinniahatch_base::prelude::*;
 use zinniahatch_base::rank_member;
 
-/// Silence after which a node counts as not living. Cards come every 200 to 500 ms; three lost
-/// ones in a row are rare even on a link that loses one packet in thirty.
-const SILENCE: Duration = Duration::from_millis(1800);
-/// Silence after which a node that still has a key in the store may be named to callers, where
-/// nobody else is left.
-const KEY_SILENCE: Duration = Duration::from_secs(4);
-/// Round trip assumed until one was measured.
-const PRIOR_TRIP: Duration = Duration::from_millis(120);
-/// Weight of a new measurement of a round trip.
-const TRIP_GAIN: f64 = 0.2;
-/// Silence after which a node is forgotten.
-const FORGET: Duration = Duration::from_secs(30);
+/// Time without a heartbeat after which a node no longer counts as live. Heartbeats come every 200
+/// to 500 ms; three consecutive losses are rare even on a link that loses one packet in thirty.
+const LIVE_TIMEOUT: Duration = Duration::from_millis(1800);
+/// Time without a heartbeat for which a node that still has a key in the store may be returned to
+/// callers, if no other node is left.
+const REGISTERED_TIMEOUT: Duration = Duration::from_secs(4);
+/// Round-trip time assumed until one is measured.
+const DEFAULT_ROUND_TRIP: Duration = Duration::from_millis(120);
+/// Weight of a new measurement in the smoothed round-trip time.
+const ROUND_TRIP_GAIN: f64 = 0.2;
+/// Time without a heartbeat after which a node is dropped.
+const DROP_AFTER: Duration = Duration::from_secs(30);
 
 domain! {
-    /// What a region can take of one service.
+    /// Capacity of a region for one service.
     #[derive(Copy, Eq, Default)]
-    pub struct ServiceDigest {
-        /// Sound replicas.
-        pub sound: u16,
+    pub struct ServiceCapacity {
+        /// Number of healthy replicas.
+        pub healthy: u16,
         /// Expected wait at the best of them, in ms.
         pub wait_ms: u32,
-        /// Pause between the events of a stream there, in us; 0 where none was seen.
+        /// Time between the events of a stream there, in us; 0 if none was observed.
         pub pause_us: u32,
-        /// Requests in progress at one replica in the mean, in tenths.
+        /// Mean number of requests in progress at one replica, in tenths.
         pub running: u16,
     }
 
-    /// Digests of what a node read in the store.
+    /// Digests of what a node read from the store.
     #[derive(Copy, Eq)]
-    pub struct ReadDigest {
-        /// Of the replicas of its region.
+    pub struct StoreDigest {
+        /// Digest of the replicas of its region.
         pub replicas: u64,
-        /// Of the desired state's version and the evacuations.
+        /// Digest of the desired state's version and the evacuations.
         pub rules: u64,
     }
 
-    /// How far a node is between its start and its end.
+    /// Lifecycle stage of a node.
     #[derive(Copy, Eq)]
     pub enum MemberStage {
-        /// It does not know enough yet to serve.
+        /// Does not know enough yet to serve.
         Starting,
-        /// It takes callers.
+        /// Accepts callers.
         Ready,
-        /// It was told to stop and serves whoever still comes.
+        /// Was proof to stop; still serves callers that come.
         Leaving,
-        /// It was told to stop and takes only requests that end soon, since nobody else of its region is
-        /// ready.
+        /// Was proof to stop and accepts only requests that end soon, because no other node of its
+        /// region is ready.
         PlainOnly,
-        /// It takes no more requests and ends those that it has.
+        /// Accepts no more requests and finishes those in progress.
         Closing,
     }
 
-    /// What a node tells the others of itself.
-    pub struct MemberCard {
+    /// What a node announces about itself in its heartbeats.
+    pub struct MemberInfo {
         /// Its name.
         pub node: NodeId,
-        /// Number of this start.
+        /// Number of this start of the node.
         pub incarnation: Incarnation,
         /// Its region.
         pub region: RegionId,
         /// Its data centre.
         pub data_centre: DataCentreId,
-        /// Share of a processor core that it has, in hundredths.
-        pub strength: u32,
-        /// Where callers reach it.
+        /// CPU quota, in hundredths of a core.
+        pub cpu_share: u32,
+        /// Address for callers.
         pub front: SocketAddrV4,
-        /// Where other nodes reach it.
+        /// Address for other nodes.
         pub peer: SocketAddrV4,
-        /// How far it is.
+        /// Its lifecycle stage.
         pub stage: MemberStage,
-        /// The version of the desired state that it follows.
+        /// The version of the desired state that it uses.
         pub version: u64,
-        /// Number of the switch that put its preset in force.
+        /// Revision of the preset that it uses.
         pub preset: Revision,
-        /// Whether the store serves it.
-        pub sighted: bool,
-        /// What the store says, from the nodes that read it for all of their region.
-        pub read: Option<ReadDigest>,
-        /// How far it knows which keys were taken away; none where it has no proof.
-        pub proof: Option<ToldProof>,
-        /// What its region can take, by the tag of the service.
-        pub services: BTreeMap<ShortTag, ServiceDigest>,
+        /// Whether it can reach the store.
+        pub store_reachable: bool,
+        /// Digests of the store's content; only from nodes that read it on behalf of their region.
+        pub store_digest: Option<StoreDigest>,
+        /// Its proof of how current its keys are; `None` if it has none.
+        pub proof: Option<FreshnessProof>,
+        /// The capacity of its region, by the tag of the service.
+        pub services: BTreeMap<ShortTag, ServiceCapacity>,
     }
 }
 
-/// What a node follows itself, to find another that is ahead.
+/// State of this node that is compared with other nodes to find one that is ahead.
 #[derive(Clone, Copy, Debug)]
-pub struct PupilState<'a> {
+pub struct SyncState<'a> {
     /// Its region.
     pub region: &'a RegionId,
-    /// The version of the desired state that it follows.
+    /// The version of the desired state that it uses.
     pub version: u64,
-    /// Number of the switch that put its preset in force.
+    /// Revision of the preset that it uses.
     pub preset: Revision,
-    /// Whether the store serves it.
-    pub sighted: bool,
+    /// Whether it can reach the store.
+    pub store_reachable: bool,
 }
 
 #[derive(Clone, Debug)]
-struct MemberRow {
-    card: MemberCard,
+struct MemberState {
+    info: MemberInfo,
     heard: Instant,
-    trip: Option<Duration>,
-    /// When it last asked for an answer.
+    round_trip: Option<Duration>,
+    /// When it last asked for a reply.
     asked: Option<Instant>,
 }
 
 /// The other nodes.
 #[derive(Clone, Debug, Default)]
 pub struct MemberTable {
-    rows: BTreeMap<NodeId, MemberRow>,
+    rows: BTreeMap<NodeId, MemberState>,
     addresses: BTreeMap<SocketAddrV4, NodeId>,
 }
 
 impl MemberTable {
-    /// Takes a card that came straight from its node, and whether it asks for an answer; tells
-    /// whether it is a new start, and which one it replaces.
-    pub fn hear(
+    /// Applies a heartbeat received directly from its node; `asks` tells whether the node wants a
+    /// reply.
+    ///
+    /// Returns whether this is a new start of the node, and the incarnation that it replaces.
+    pub fn update(
         &mut self,
-        card: MemberCard,
+        info: MemberInfo,
         asks: bool,
         now: Instant,
     ) -> (bool, Option<Incarnation>) {
-        let old = self.rows.get(&card.node);
-        let fresh = old.is_none_or(|row| row.card.incarnation != card.incarnation);
+        let old = self.rows.get(&info.node);
+        let is_new = old.is_none_or(|row| row.info.incarnation != info.incarnation);
         let replaced = old
-            .map(|row| row.card.incarnation)
-            .filter(|incarnation| *incarnation != card.incarnation);
-        let trip = old.and_then(|row| row.trip);
+            .map(|row| row.info.incarnation)
+            .filter(|incarnation| *incarnation != info.incarnation);
+        let round_trip = old.and_then(|row| row.round_trip);
         let asked = if asks {
             Some(now)
         } else {
             old.and_then(|row| row.asked)
         };
-        self.addresses.insert(card.peer, card.node.clone());
+        self.addresses.insert(info.peer, info.node.clone());
         self.rows.insert(
-            card.node.clone(),
-            MemberRow {
-                card,
+            info.node.clone(),
+            MemberState {
+                info,
                 heard: now,
-                trip,
+                round_trip,
                 asked,
             },
         );
-        (fresh, replaced)
+        (is_new, replaced)
     }
 
-    /// Gives the node that speaks from an address.
-    pub fn at_address(&self, peer: SocketAddrV4) -> Option<&MemberCard> {
+    /// Returns the node that sends from an address.
+    pub fn at_address(&self, peer: SocketAddrV4) -> Option<&MemberInfo> {
         let row = self.rows.get(self.addresses.get(&peer)?)?;
-        (row.card.peer == peer).then_some(&row.card)
+        (row.info.peer == peer).then_some(&row.info)
     }
 
-    /// Gives the addresses of the nodes that asked lately and wait for this one's card.
-    pub fn askers(&self, now: Instant) -> impl Iterator<Item = SocketAddrV4> {
+    /// Returns the addresses of nodes that recently asked for a reply.
+    pub fn awaiting_reply(&self, now: Instant) -> impl Iterator<Item = SocketAddrV4> {
         self.rows
             .values()
             .filter(move |row| {
                 row.asked
-                    .is_some_and(|at| now.saturating_duration_since(at) <= SILENCE)
+                    .is_some_and(|at| now.saturating_duration_since(at) <= LIVE_TIMEOUT)
             })
-            .map(|row| row.card.peer)
+            .map(|row| row.info.peer)
     }
 
-    /// Gives the address of one living node of each region, of those the first by rank for a node. All nodes of a
-    /// region together ask different ones.
-    pub fn one_each(&self, node: &NodeId, now: Instant) -> BTreeSet<SocketAddrV4> {
+    /// Returns the address of one live node per region, the highest by rendezvous rank for `node`.
+    ///
+    /// The nodes of a region together choose different ones.
+    pub fn one_per_region(&self, node: &NodeId, now: Instant) -> BTreeSet<SocketAddrV4> {
         let mut first: BTreeMap<&RegionId, (u64, SocketAddrV4)> = BTreeMap::new();
         for row in self.rows.values() {
-            if now.saturating_duration_since(row.heard) > SILENCE {
+            if now.saturating_duration_since(row.heard) > LIVE_TIMEOUT {
                 continue;
             }
-            let ranked = (rank_member(node, &row.card.node), row.card.peer);
-            let known = first.entry(&row.card.region).or_insert(ranked);
+            let ranked = (rank_member(node, &row.info.node), row.info.peer);
+            let known = first.entry(&row.info.region).or_insert(ranked);
             *known = ranked.max(*known);
         }
         first.into_values().map(|(_, peer)| peer).collect()
     }
 
-    /// Gives the same for the regions other than one.
-    pub fn one_each_but(
+    /// Returns the address of one live node of each region other than `region`.
+    pub fn one_per_other_region(
         &self,
         region: &RegionId,
         node: &NodeId,
         now: Instant,
     ) -> BTreeSet<SocketAddrV4> {
-        let mut found = self.one_each(node, now);
+        let mut found = self.one_per_region(node, now);
         found.retain(|peer| {
             self.at_address(*peer)
-                .is_none_or(|card| card.region != *region)
+                .is_none_or(|info| info.region != *region)
         });
         found
     }
 
-    /// Notes a measured round trip.
-    pub fn note_trip(&mut self, node: &str, trip: Duration) {
+    /// Records a measured round-trip time.
+    pub fn note_round_trip(&mut self, node: &str, round_trip: Duration) {
         let Some(row) = self.rows.get_mut(node) else {
             return;
         };
-        row.trip = Some(match row.trip {
-            Some(old) => old.mul_f64(1.0 - TRIP_GAIN) + trip.mul_f64(TRIP_GAIN),
-            None => trip,
+        row.round_trip = Some(match row.round_trip {
+            Some(old) => old.mul_f64(1.0 - ROUND_TRIP_GAIN) + round_trip.mul_f64(ROUND_TRIP_GAIN),
+            None => round_trip,
         });
     }
 
-    /// Gives the round trip to a node.
+    /// Returns the smoothed round-trip time to a node.
     pub fn round_trip(&self, node: &str) -> Duration {
         self.rows
             .get(node)
-            .and_then(|row| row.trip)
-            .unwrap_or(PRIOR_TRIP)
+            .and_then(|row| row.round_trip)
+            .unwrap_or(DEFAULT_ROUND_TRIP)
     }
 
-    /// Notes that a node could not be reached; it is tried again when it is heard of.
+    /// Records that a node could not be reached; it is tried again after its next heartbeat.
     pub fn note_unreachable(&mut self, node: &str, now: Instant) {
         if let Some(row) = self.rows.get_mut(node) {
-            row.heard = row.heard.min(now.checked_sub(SILENCE).unwrap_or(now));
+            row.heard = row.heard.min(now.checked_sub(LIVE_TIMEOUT).unwrap_or(now));
         }
     }
 
-    /// Gives the living nodes of a region that take callers.
-    pub fn live_in(&self, region: &str, now: Instant) -> Vec<&MemberCard> {
-        self.heard_in(region, MemberStage::Ready, SILENCE, now)
+    /// Returns the live nodes of a region that accept callers.
+    pub fn live_in(&self, region: &str, now: Instant) -> Vec<&MemberInfo> {
+        self.at_stage(region, MemberStage::Ready, LIVE_TIMEOUT, now)
     }
 
-    /// Gives those of them that have a proof of their keys younger than a bound.
-    pub fn proven_in(&self, region: &str, bound: Duration, now: Instant) -> Vec<&MemberCard> {
-        let living = self.live_in(region, now);
-        let proven = |card: &&MemberCard| {
-            let heard = self.rows.get(&card.node).map_or(now, |row| row.heard);
+    /// Returns those live nodes of a region whose key freshness proof is younger than a bound.
+    pub fn proven_in(&self, region: &str, bound: Duration, now: Instant) -> Vec<&MemberInfo> {
+        let live = self.live_in(region, now);
+        let proven = |info: &&MemberInfo| {
+            let heard = self.rows.get(&info.node).map_or(now, |row| row.heard);
             let since = now.saturating_duration_since(heard);
-            card.proof
-                .is_some_and(|told| Duration::from_millis(u64::from(told.age_ms)) + since <= bound)
+            info.proof.is_some_and(|proof| {
+                Duration::from_millis(u64::from(proof.age_ms)) + since <= bound
+            })
         };
-        living.into_iter().filter(proven).collect()
+        live.into_iter().filter(proven).collect()
     }
 
-    /// Gives the newest version of the desired state that a living node follows; 0 where none is known.
+    /// Returns the newest version of the desired state that a live node uses; 0 if none is known.
     pub fn newest_version(&self, now: Instant) -> u64 {
-        let living = self.rows.values();
-        living
-            .filter(|row| now.saturating_duration_since(row.heard) <= SILENCE)
-            .map(|row| row.card.version)
+        let live = self.rows.values();
+        live.filter(|row| now.saturating_duration_since(row.heard) <= LIVE_TIMEOUT)
+            .map(|row| row.info.version)
             .max()
             .unwrap_or(0)
     }
 
-    /// Gives the nodes of a region that were told to stop and still serve whoever comes.
-    pub fn leaving_in(&self, region: &str, now: Instant) -> Vec<&MemberCard> {
-        self.heard_in(region, MemberStage::Leaving, SILENCE, now)
+    /// Returns the nodes of a region that were told to stop and still serve callers.
+    pub fn leaving_in(&self, region: &str, now: Instant) -> Vec<&MemberInfo> {
+        self.at_stage(region, MemberStage::Leaving, LIVE_TIMEOUT, now)
     }
 
-    /// Gives the nodes of a region that still take requests that end soon.
-    pub fn plain_only_in(&self, region: &str, now: Instant) -> Vec<&MemberCard> {
-        self.heard_in(region, MemberStage::PlainOnly, SILENCE, now)
+    /// Returns the nodes of a region that only accept requests that end soon.
+    pub fn plain_only_in(&self, region: &str, now: Instant) -> Vec<&MemberInfo> {
+        self.at_stage(region, MemberStage::PlainOnly, LIVE_TIMEOUT, now)
     }
 
-    /// Gives the nodes of a region that were heard of at a stage not longer ago than a bound.
-    fn heard_in(
+    /// Returns the nodes of a region at a stage whose last heartbeat is no older than a bound.
+    fn at_stage(
         &self,
         region: &str,
         stage: MemberStage,
         bound: Duration,
         now: Instant,
-    ) -> Vec<&MemberCard> {
+    ) -> Vec<&MemberInfo> {
         self.rows
             .values()
-            .filter(|row| *row.card.region == *region && row.card.stage == stage)
+            .filter(|row| *row.info.region == *region && row.info.stage == stage)
             .filter(|row| now.saturating_duration_since(row.heard) <= bound)
-            .map(|row| &row.card)
+            .map(|row| &row.info)
             .collect()
     }
 
-    /// Gives the living nodes of all other regions that take callers, by region.
-    pub fn live_elsewhere(&self, own: &str, now: Instant) -> BTreeMap<RegionId, Vec<&MemberCard>> {
-        let mut regions: BTreeMap<RegionId, Vec<&MemberCard>> = BTreeMap::new();
+    /// Returns the live nodes of all other regions that accept callers, by region.
+    pub fn live_elsewhere(&self, own: &str, now: Instant) -> BTreeMap<RegionId, Vec<&MemberInfo>> {
+        let mut regions: BTreeMap<RegionId, Vec<&MemberInfo>> = BTreeMap::new();
         for row in self.rows.values() {
-            if *row.card.region == *own || row.card.stage != MemberStage::Ready {
+            if *row.info.region == *own || row.info.stage != MemberStage::Ready {
                 continue;
             }
-            if now.saturating_duration_since(row.heard) > SILENCE {
+            if now.saturating_duration_since(row.heard) > LIVE_TIMEOUT {
                 continue;
             }
             regions
-                .entry(row.card.region.clone())
+                .entry(row.info.region.clone())
                 .or_default()
-                .push(&row.card);
+                .push(&row.info);
         }
         regions
     }
 
-    /// Gives all nodes that were heard of lately, living or not, to be told of this node.
-    pub fn known(&self) -> impl Iterator<Item = &MemberCard> {
-        self.rows.values().map(|row| &row.card)
+    /// Returns all nodes that were not dropped yet, live or not.
+    pub fn known(&self) -> impl Iterator<Item = &MemberInfo> {
+        self.rows.values().map(|row| &row.info)
     }
 
-    /// Gives a node that was heard of lately.
-    pub fn card(&self, node: &str) -> Option<&MemberCard> {
-        self.rows.get(node).map(|row| &row.card)
+    /// Returns a node that was not dropped yet.
+    pub fn get(&self, node: &str) -> Option<&MemberInfo> {
+        self.rows.get(node).map(|row| &row.info)
     }
 
-    /// Gives the names of the nodes of a region that may still run, for splits of a bound: one
-    /// that is merely silent here may go on spending its share.
+    /// Returns the names of the nodes of a region that may still run, to split a bound between
+    /// them; a node that is merely silent here may go on spending its share.
     pub fn names_in(&self, region: &str) -> BTreeSet<NodeId> {
         self.rows
             .values()
-            .filter(|row| *row.card.region == *region)
-            .map(|row| row.card.node.clone())
+            .filter(|row| *row.info.region == *region)
+            .map(|row| row.info.node.clone())
             .collect()
     }
 
-    /// Gives the nodes of a region that were heard of within the longer bound.
-    pub fn perhaps_live_in(&self, region: &str, now: Instant) -> Vec<&MemberCard> {
-        self.heard_in(region, MemberStage::Ready, KEY_SILENCE, now)
+    /// Returns the nodes of a region that were heard from within the longer bound for nodes with a
+    /// store key.
+    pub fn recently_live_in(&self, region: &str, now: Instant) -> Vec<&MemberInfo> {
+        self.at_stage(region, MemberStage::Ready, REGISTERED_TIMEOUT, now)
     }
 
-    /// Forgets nodes that were silent for long, and gives their last cards.
-    pub fn tick(&mut self, now: Instant) -> Vec<MemberCard> {
-        let mut forgotten = Vec::new();
+    /// Drops nodes that were silent for long, and returns their last state.
+    pub fn tick(&mut self, now: Instant) -> Vec<MemberInfo> {
+        let mut dropped = Vec::new();
         self.rows.retain(|_, row| {
-            let keep = now.saturating_duration_since(row.heard) <= FORGET;
+            let keep = now.saturating_duration_since(row.heard) <= DROP_AFTER;
             if !keep {
-                forgotten.push(row.card.clone());
+                dropped.push(row.info.clone());
             }
             keep
         });
         self.addresses
             .retain(|_, node| self.rows.contains_key(node));
-        forgotten
+        dropped
     }
 
-    /// Chooses the node from which to take over news: one that follows a newer desired state or
-    /// preset, or, for a node that the store does not serve, any that it serves.
+    /// Chooses the node from which to catch up: one with a newer desired state or preset or, if
+    /// this node cannot reach the store, any that can.
     ///
-    /// Those of the own region go first, since a snapshot has tens of kilobytes; `pick` is a random
-    /// number, so that a change does not bring all nodes to one.
-    pub fn teacher(&self, pupil: &PupilState, pick: u64, now: Instant) -> Option<&MemberCard> {
-        let living = self
+    /// Nodes of the own region are preferred, since a snapshot has tens of kilobytes. `random` is
+    /// a random number, so that a change does not send all nodes to the same one.
+    pub fn sync_source(&self, own: &SyncState, random: u64, now: Instant) -> Option<&MemberInfo> {
+        let live = self
             .rows
             .values()
-            .filter(|row| now.saturating_duration_since(row.heard) <= SILENCE)
-            .map(|row| &row.card);
-        let newer = |card: &MemberCard| card.version > pupil.version || card.preset > pupil.preset;
-        let able = living.filter(|card| newer(card) || (!pupil.sighted && card.sighted));
-        let (near, far): (Vec<_>, Vec<_>) = able.partition(|card| card.region == *pupil.region);
+            .filter(|row| now.saturating_duration_since(row.heard) <= LIVE_TIMEOUT)
+            .map(|row| &row.info);
+        let newer = |info: &MemberInfo| info.version > own.version || info.preset > own.preset;
+        let candidates =
+            live.filter(|info| newer(info) || (!own.store_reachable && info.store_reachable));
+        let (near, far): (Vec<_>, Vec<_>) = candidates.partition(|info| info.region == *own.region);
         let choices = if near.is_empty() { far } else { near };
         let count = choices.len() as u64;
-        (count > 0).then(|| choices[(pick % count) as usize])
+        (count > 0).then(|| choices[(random % count) as usize])
     }
 }
 
-impl ServiceDigest {
-    /// Sums up what a region can take of a service.
+impl ServiceCapacity {
+    /// Summarises the capacity of a region for a service.
     pub fn of(
         table: &crate::ReplicaTable,
         regions: &BTreeMap<DataCentreId, RegionId>,
--- a/crates/zinniahatch_route/src/placement.rs
+++ b/crates/zinniahatch_route/src/placement.rs
@@ -5,12 +5,12 @@
 //! it keeps need not be read again, and the penalty of the others covers the memory they would
 //! spend on a second copy.
 
-use crate::ColdGate;
+use crate::ColdLimiter;
 use crate::MemberTable;
 use crate::PromptSize;
 use crate::ReplicaBelief;
 use crate::ReplicaTable;
-use crate::ServiceDigest;
+use crate::ServiceCapacity;
 use crate::StreamModel;
 use crate::cost::COLD_COST;
 use crate::cost::PlaceCost;
@@ -138,7 +138,7 @@
 /// Chooses the replica with the least expected time among those that may get new work.
 pub fn choose_local(
     table: &ReplicaTable,
-    gate: &ColdGate,
+    gate: &ColdLimiter,
     regions: &BTreeMap<DataCentreId, RegionId>,
     ask: &PlaceAsk<'_>,
     now: Instant,
@@ -154,7 +154,7 @@
         }
         let cold = belief.is_cold(now);
         if cold {
-            let share = ColdGate::share(ask.cold_bound, &belief.entry.id, ask.node, ask.peers);
+            let share = ColdLimiter::share(ask.cold_bound, &belief.entry.id, ask.node, ask.peers);
             if !gate.allows(&belief.entry.id, share, now) {
                 continue;
             }
@@ -214,7 +214,7 @@
     keeper: Option<&(ReplicaId, usize)>,
     ask: &PlaceAsk<'_>,
 ) -> PromptPlan {
-    let kept = belief.kept.leading(&ask.size.parts);
+    let kept = belief.kept.cached_prefix(&ask.size.parts);
     let own = ask
         .size
         .tokens_after(ask.size.parts.len().saturating_sub(1));
@@ -243,7 +243,7 @@
     }
     let shared = &ask.size.parts[..ask.size.parts.len() - 1];
     candidates(table, regions, ask, now)
-        .map(|belief| (belief.entry.id.clone(), belief.kept.leading(shared)))
+        .map(|belief| (belief.entry.id.clone(), belief.kept.cached_prefix(shared)))
         .filter(|(_, parts)| *parts > 0)
         .max_by_key(|(_, parts)| *parts)
 }
@@ -340,7 +340,7 @@
             .filter(|card| !tried.nodes.contains(&card.node))
             .filter_map(|card| {
                 let digest = card.services.get(&tag_of(ask.service))?;
-                (digest.sound > 0).then_some((card, digest))
+                (digest.healthy > 0).then_some((card, digest))
             })
             .collect();
         if able.is_empty() {
@@ -382,7 +382,7 @@
     service: &ServiceId,
     region: &str,
     now: Instant,
-) -> ServiceDigest {
+) -> ServiceCapacity {
     let model = table.model_of(service);
     let mut waits = Vec::new();
     let mut running = 0;
@@ -408,8 +408,8 @@
     let mean = f64::from(running) / waits.len().max(1) as f64;
     let streams = table.stream_model(service);
     let pause = streams.map_or(Duration::ZERO, |streams| streams.region_pause(now));
-    ServiceDigest {
-        sound: waits.len() as u16,
+    ServiceCapacity {
+        healthy: waits.len() as u16,
         wait_ms: wait.unwrap_or(0),
         pause_us: pause.as_micros() as u32,
         running: (mean * RUNNING_SCALE) as u16,
--- a/crates/zinniahatch_route/src/preset.rs
+++ b/crates/zinniahatch_route/src/preset.rs
@@ -1,40 +1,42 @@
-//! The preset in force: how eagerly requests are admitted and sent away.
+//! The preset in force: how readily requests are admitted and sent to other regions.
 //!
-//! The desired state says what may happen (routes, homes, limits, timeouts); a preset only says
-//! how the gateway chooses among what may happen, so the two never contradict each other.
+//! The desired state defines what is permitted (routes, homes, limits, time-outs). A preset only
+//! affects how the gateway chooses among the permitted options, so the two never contradict each
+//! other.
 
 use zinniahatch_base::prelude::*;
 
 domain! {
-    /// A preset.
+    /// A named set of tuning parameters.
     pub struct ServingPreset {
         /// Its name.
         pub name: PresetId,
-        /// Number of the switch that put it in force; it only rises.
+        /// Number of the switch that put it in force; it only increases.
         pub revision: Revision,
-        /// Part of what is left of the goal, after the time spent and the way to another region, up to which
-        /// the expected time of an admitted request may go.
+        /// Part of the remaining latency target, after the time spent and the round trip to
+        /// another region, that the expected time of an admitted request may take up.
         pub goal_margin: f64,
-        /// Wait that every request may have, as a part of its goal.
+        /// Wait that every request is allowed, as a fraction of its latency target.
         pub least_wait: f64,
-        /// Expected time elsewhere, as a part of that at home, below which a late request goes
-        /// away.
+        /// A late request is sent to another region if the expected time there, as a fraction of
+        /// that in the own region, is below this value.
         pub away_gain: f64,
-        /// Goal of urgent routes at admission, as a multiple of the real one.
+        /// Latency target used at admission of urgent routes, as a multiple of the actual one.
         pub urgent_favour: f64,
     }
 }
 
 impl Default for ServingPreset {
-    /// The preset for ordinary days, in force until an operator puts another in force.
+    /// Returns the preset for normal operation, in force until an operator selects another.
     ///
-    /// A margin of 0.5 leaves room for what the estimate cannot know, above all what other nodes sent in
-    /// the last tenth of a second: on an overloaded site of 71 nodes, 7,975 of 12,688 long summaries
-    /// began within their goal with a margin of 0.9 and a least wait of 0.4, 9,080 with 0.7 and 0.2,
-    /// and 9,714 with 0.55 and 0.1, while 652, 740 and 835 were refused. A replica is busy with a
-    /// short queue as with a long one. A long prompt cannot meet the goal even on an idle replica, and
-    /// without a wait of its own it would be turned away at any load. Going away must gain a fifth,
-    /// because the estimate for another region is older than the one for here.
+    /// A margin of 0.5 leaves room for what the estimate does not include, above all what other
+    /// nodes sent in the last tenth of a second. On an overloaded site of 71 nodes, 7,975 of
+    /// 12,688 long summaries began within their latency target with a margin of 0.9 and a least
+    /// wait of 0.4, 9,080 with 0.7 and 0.2, and 9,714 with 0.55 and 0.1, while 652, 740 and 835
+    /// were refused. A replica is fully used with a short queue as well as with a long one. A long
+    /// prompt cannot meet the target even on an idle replica, and without an allowed wait it would
+    /// be refused at any load. Sending a request away must gain a fifth, because the estimate for
+    /// another region is older than the local one.
     fn default() -> Self {
         Self {
             name: "ordinary".into(),
--- a/crates/zinniahatch_route/src/quota.rs
+++ b/crates/zinniahatch_route/src/quota.rs
@@ -1,103 +1,108 @@
-//! Allowances of client accounts that all nodes keep together, without one that owns them.
+//! Allowances of client accounts, enforced by all nodes together without an owner.
 //!
-//! Load pattern: callers of an account come to whichever node they like, one region carries nearly all at its hour,
-//! and an account at times sends seven times its usual. Equal parts for the nodes would refuse what is allowed
-//! wherever callers gather; so each node keeps the bucket of the whole account, takes off at once what it lets
-//! pass, and what the others tell as soon as it hears of it.
+//! Load pattern: callers of an account use any node, one region carries nearly all of them at its
+//! peak hour, and an account at times sends seven times its usual load. Equal shares per node
+//! would refuse permitted requests wherever callers concentrate. Each node therefore keeps a token
+//! bucket for the whole account and deducts its own requests at once, and those of the other nodes
+//! when their updates arrive.
 //!
-//! What is not heard yet is estimated: each region is taken to go on as it did last. One that stays silent is cut
-//! off or lost; from then on every part takes only its share of the allowance, by what the regions used before, so
-//! that the parts together keep within it.
+//! Usage that was not reported yet is estimated: each region is assumed to continue at its last
+//! rate. A region that stays silent is partitioned or lost. From then on each part of the network
+//! uses only its share of the allowance, derived from the regions' earlier usage, so that the
+//! parts together stay within it.
 
-use crate::quota_row::QuotaLimit;
-use crate::quota_row::QuotaRow;
-use crate::quota_row::SILENCE;
-use crate::spend_news::RegionSpends;
-use crate::spend_news::SpendNews;
-use crate::spend_news::SpentCount;
+use crate::account_bucket::AccountBucket;
+use crate::account_bucket::QuotaLimit;
+use crate::account_bucket::SILENCE_TIMEOUT;
+use crate::usage::ProcessUsage;
+use crate::usage::RegionUsage;
+use crate::usage::UsageCounter;
 use zinniahatch_base::prelude::*;
 
-/// Time after which the counts of a process that says nothing are forgotten.
-const FORGET: Duration = Duration::from_secs(60);
+/// Time without updates after which the counters of a process are dropped.
+const DROP_AFTER: Duration = Duration::from_secs(60);
 
-/// What one process has used, as it told.
+/// Usage reported by one process.
 #[derive(Clone, Debug)]
-struct OriginRow {
+struct ProcessCounters {
     at: Instant,
-    /// With the time of the last news of each.
-    counts: BTreeMap<AccountTag, (SpentCount, Instant)>,
+    /// The counters, each with the time of its last update.
+    counts: BTreeMap<AccountTag, (UsageCounter, Instant)>,
 }
 
 /// The allowances of all accounts as one node sees them.
 #[derive(Clone, Debug)]
-pub struct QuotaBook {
+pub struct QuotaTable {
     /// The tag of this process.
     own: ShortTag,
     region: ShortTag,
-    /// When a process of each region was heard of last; of those that never were, since when that is so.
+    /// When a process of each region was last heard from; for a region never heard from, a time
+    /// long enough ago for it to count as silent.
     heard: BTreeMap<ShortTag, Instant>,
-    /// Other nodes of the region.
-    neighbours: usize,
-    rows: BTreeMap<AccountTag, QuotaRow>,
-    origins: BTreeMap<ShortTag, OriginRow>,
-    /// What this process has to tell its region.
-    untold: BTreeMap<AccountTag, SpentCount>,
-    /// What this region has to tell the others.
-    untold_far: RegionSpends,
+    /// Number of other nodes in the region.
+    region_peers: usize,
+    buckets: BTreeMap<AccountTag, AccountBucket>,
+    origins: BTreeMap<ShortTag, ProcessCounters>,
+    /// Usage that this process has not announced to its region yet.
+    unannounced: BTreeMap<AccountTag, UsageCounter>,
+    /// Usage that this region has not announced to the other regions yet.
+    unannounced_remote: RegionUsage,
 }
 
-impl QuotaBook {
-    /// Makes the book of a process, in one of several regions.
+impl QuotaTable {
+    /// Creates the table of a process in one of several regions.
     pub fn new(
         own: ShortTag,
         region: ShortTag,
         regions: impl IntoIterator<Item = ShortTag>,
         now: Instant,
     ) -> Self {
-        // Nobody has been heard yet.
-        let silent = now.checked_sub(SILENCE * 2).unwrap_or(now);
+        // All regions count as silent until they are heard from.
+        let silent = now.checked_sub(SILENCE_TIMEOUT * 2).unwrap_or(now);
         Self {
             own,
             region,
             heard: regions.into_iter().map(|region| (region, silent)).collect(),
-            neighbours: 0,
-            rows: BTreeMap::new(),
+            region_peers: 0,
+            buckets: BTreeMap::new(),
             origins: BTreeMap::new(),
-            untold: BTreeMap::new(),
-            untold_far: RegionSpends::of(region),
+            unannounced: BTreeMap::new(),
+            unannounced_remote: RegionUsage::of(region),
         }
     }
 
-    /// Tells whether no account has a limit.
+    /// Returns whether no account has a limit.
     pub fn is_empty(&self) -> bool {
-        self.rows.is_empty()
+        self.buckets.is_empty()
     }
 
-    /// Puts the limits of a desired state in force.
+    /// Applies the limits of a desired state.
     pub fn set_limits(&mut self, limits: &BTreeMap<AccountTag, QuotaLimit>, now: Instant) {
-        self.rows.retain(|account, _| limits.contains_key(account));
+        self.buckets
+            .retain(|account, _| limits.contains_key(account));
         for (account, limit) in limits {
-            if self.rows.contains_key(account) {
+            if self.buckets.contains_key(account) {
                 self.advance(*account, now);
             }
-            let row = self.rows.entry(*account);
-            let row = row.or_insert_with(|| QuotaRow::new(*limit, now));
-            row.limit = *limit;
-            row.level = row.level.min(limit.burst);
+            let bucket = self.buckets.entry(*account);
+            let bucket = bucket.or_insert_with(|| AccountBucket::new(*limit, now));
+            bucket.limit = *limit;
+            bucket.level = bucket.level.min(limit.burst);
         }
     }
 
-    /// Sets how many other nodes the region has.
-    pub fn set_neighbours(&mut self, neighbours: usize) {
-        self.neighbours = neighbours;
+    /// Sets the number of other nodes in the region.
+    pub fn set_region_peers(&mut self, region_peers: usize) {
+        self.region_peers = region_peers;
     }
 
-    /// Notes that a node of a region was heard of.
+    /// Records that a node of a region was heard from.
     pub fn note_heard(&mut self, region: ShortTag, now: Instant) {
         if let Some(at) = self.heard.get(&region).copied()
-            && now.saturating_duration_since(at) > SILENCE
+            && now.saturating_duration_since(at) > SILENCE_TIMEOUT
         {
-            // Its share was taken off while it was silent.
+            // The region's share for the time of its silence is deducted before it counts as heard
+            // again.
             for account in self.accounts() {
                 self.advance(account, now);
             }
@@ -106,21 +111,22 @@
     }
 
     fn accounts(&self) -> Vec<AccountTag> {
-        self.rows.keys().copied().collect()
+        self.buckets.keys().copied().collect()
     }
 
     fn is_silent(&self, region: ShortTag, now: Instant) -> bool {
-        // A region of one node hears nobody else.
-        if region == self.region && self.neighbours == 0 {
+        // The only node of a region hears from nobody else there.
+        if region == self.region && self.region_peers == 0 {
             return false;
         }
         self.heard
             .get(&region)
-            .is_some_and(|at| now.saturating_duration_since(*at) > SILENCE)
+            .is_some_and(|at| now.saturating_duration_since(*at) > SILENCE_TIMEOUT)
     }
 
-    /// Gives the regions that are silent, and the part of an allowance that is not this node's to use for each: all
-    /// of its share, or of the own region that of the other nodes.
+    /// Returns the silent regions, each with the part of its share that this node may not use.
+    ///
+    /// That is the whole share, or for the own region the part of the other nodes.
     fn silent_parts(&self, now: Instant) -> BTreeMap<ShortTag, f64> {
         let mut parts = BTreeMap::new();
         for region in self.heard.keys() {
@@ -128,7 +134,7 @@
                 continue;
             }
             let others = if *region == self.region {
-                self.neighbours as f64 / (self.neighbours + 1) as f64
+                self.region_peers as f64 / (self.region_peers + 1) as f64
             } else {
                 1.0
             };
@@ -137,24 +143,25 @@
         parts
     }
 
-    /// Fills a bucket up to now.
+    /// Refills a bucket up to `now`.
     fn advance(&mut self, account: AccountTag, now: Instant) {
         let silent = self.silent_parts(now);
-        if let Some(row) = self.rows.get_mut(&account) {
-            row.advance(&self.heard, &silent, now);
+        if let Some(bucket) = self.buckets.get_mut(&account) {
+            bucket.advance(&self.heard, &silent, now);
         }
     }
 
-    /// Gives the units that an account has left, but for what other regions used that was not heard yet.
-    fn level(&self, row: &QuotaRow, now: Instant) -> f64 {
+    /// Returns the units left to an account, minus the estimated unreported usage of other
+    /// regions.
+    fn level(&self, bucket: &AccountBucket, now: Instant) -> f64 {
         let heard = self.heard.iter();
         let others = heard.filter(|(region, _)| {
-            // From its silence on, what a region may use is taken off.
+            // For a silent region, its share is deducted instead.
             **region != self.region && !self.is_silent(**region, now)
         });
-        row.level
+        bucket.level
             - others
-                .map(|(region, at)| row.unheard(*region, *at, now))
+                .map(|(region, at)| bucket.unreported(*region, *at, now))
                 .sum::<f64>()
     }
 
@@ -162,159 +169,172 @@
     ///
     /// # Errors
     ///
-    /// Gives the time after which there is room again.
-    pub fn take(&mut self, account: AccountTag, units: u64, now: Instant) -> Result<(), Duration> {
+    /// Returns the time after which units are available again.
+    pub fn try_take(
+        &mut self,
+        account: AccountTag,
+        units: u64,
+        now: Instant,
+    ) -> Result<(), Duration> {
         self.advance(account, now);
-        let Some(row) = self.rows.get(&account) else {
+        let Some(bucket) = self.buckets.get(&account) else {
             return Ok(());
         };
-        let level = self.level(row, now);
-        if level <= 0.0 && !row.is_spared() {
-            return Err(row.wait_for(-level, &self.silent_parts(now)));
+        let level = self.level(bucket, now);
+        if level <= 0.0 && !bucket.has_floor() {
+            return Err(bucket.refill_time(-level, &self.silent_parts(now)));
         }
         self.spend(account, units, now);
         Ok(())
     }
 
     fn spend(&mut self, account: AccountTag, units: u64, now: Instant) {
-        let count = SpentCount {
+        let count = UsageCounter {
             spent: units,
             added: units as i64,
-            ..SpentCount::default()
+            ..UsageCounter::default()
         };
-        self.note_own(account, count, now);
+        self.record_own(account, count, now);
     }
 
-    /// Gives units back for a request that did not run.
-    pub fn give_back(&mut self, account: AccountTag, units: u64, now: Instant) {
-        let count = SpentCount {
+    /// Returns the units of a request that did not run.
+    pub fn refund(&mut self, account: AccountTag, units: u64, now: Instant) {
+        let count = UsageCounter {
             returned: units,
             added: -(units as i64),
-            ..SpentCount::default()
+            ..UsageCounter::default()
         };
-        self.note_own(account, count, now);
+        self.record_own(account, count, now);
     }
 
-    fn note_own(&mut self, account: AccountTag, change: SpentCount, now: Instant) {
+    fn record_own(&mut self, account: AccountTag, change: UsageCounter, now: Instant) {
         let region = self.region;
-        if !self.rows.contains_key(&account) {
+        if !self.buckets.contains_key(&account) {
             return;
         }
-        let origin = self.origins.entry(self.own).or_insert_with(|| OriginRow {
-            at: now,
-            counts: BTreeMap::new(),
-        });
+        let origin = self
+            .origins
+            .entry(self.own)
+            .or_insert_with(|| ProcessCounters {
+                at: now,
+                counts: BTreeMap::new(),
+            });
         origin.at = now;
         let (total, _) = origin
             .counts
             .entry(account)
-            .or_insert((SpentCount::default(), now));
+            .or_insert((UsageCounter::default(), now));
         total.spent += change.spent;
         total.returned += change.returned;
-        let told = SpentCount {
+        let announced = UsageCounter {
             added: change.added,
             ..*total
         };
-        self.untold.entry(account).or_default().merge(&told);
-        self.untold_far.add(self.own, account, &told);
+        self.unannounced
+            .entry(account)
+            .or_default()
+            .merge(&announced);
+        self.unannounced_remote.add(self.own, account, &announced);
         self.charge(region, account, change.added as f64, false, now);
     }
 
-    /// Takes off what a region used; `spans` tells whether a silence lay between these news and the ones before.
+    /// Deducts a region's usage; `after_silence` tells whether the region was silent between this
+    /// update and the previous one.
     fn charge(
         &mut self,
         region: ShortTag,
         account: AccountTag,
         units: f64,
-        spans: bool,
+        after_silence: bool,
         now: Instant,
     ) {
         self.advance(account, now);
         let own = region == self.region;
-        if let Some(row) = self.rows.get_mut(&account) {
-            row.charge(region, units, own, spans, now);
+        if let Some(bucket) = self.buckets.get_mut(&account) {
+            bucket.charge(region, units, own, after_silence, now);
         }
     }
 
-    /// Takes what processes of a region told; gives what was new of it.
-    pub fn hear(&mut self, spends: &RegionSpends, now: Instant) -> RegionSpends {
-        let mut fresh = RegionSpends::of(spends.region);
-        self.note_heard(spends.region, now);
-        for news in &spends.news {
-            if news.origin == self.own {
+    /// Applies usage reported by processes of a region; returns the part that was new.
+    pub fn apply_update(&mut self, usage: &RegionUsage, now: Instant) -> RegionUsage {
+        let mut fresh = RegionUsage::of(usage.region);
+        self.note_heard(usage.region, now);
+        for process in &usage.processes {
+            if process.origin == self.own {
                 continue;
             }
             let origin = self
                 .origins
-                .entry(news.origin)
-                .or_insert_with(|| OriginRow {
+                .entry(process.origin)
+                .or_insert_with(|| ProcessCounters {
                     at: now,
                     counts: BTreeMap::new(),
                 });
             origin.at = now;
             let mut charges = Vec::new();
-            for (account, told) in &news.counts {
+            for (account, announced) in &process.counts {
                 let known = origin.counts.get(account).copied();
                 let (units, before) = match known {
-                    Some((known, _)) if !told.is_newer(&known) => continue,
-                    Some((known, at)) => (told.since(&known), at),
-                    // The rest of the total was told before this process listened.
-                    None => (told.added as f64, now),
+                    Some((known, _)) if !announced.is_newer(&known) => continue,
+                    Some((known, at)) => (announced.since(&known), at),
+                    // The rest of the total was reported before this process started to listen.
+                    None => (announced.added as f64, now),
                 };
-                let kept = origin.counts.entry(*account);
-                let (kept, at) = kept.or_insert((SpentCount::default(), now));
-                kept.merge(told);
-                kept.added = 0;
+                let counter = origin.counts.entry(*account);
+                let (counter, at) = counter.or_insert((UsageCounter::default(), now));
+                counter.merge(announced);
+                counter.added = 0;
                 *at = now;
-                fresh.add(news.origin, *account, told);
-                let spans = now.saturating_duration_since(before) > SILENCE;
-                charges.push((*account, units, spans));
+                fresh.add(process.origin, *account, announced);
+                let after_silence = now.saturating_duration_since(before) > SILENCE_TIMEOUT;
+                charges.push((*account, units, after_silence));
             }
-            for (account, units, spans) in charges {
-                self.charge(spends.region, account, units, spans, now);
+            for (account, units, after_silence) in charges {
+                self.charge(usage.region, account, units, after_silence, now);
             }
         }
-        if spends.region == self.region {
-            self.untold_far.merge(&fresh);
+        if usage.region == self.region {
+            self.unannounced_remote.merge(&fresh);
         }
         fresh
     }
 
-    /// Takes what this process has to tell its region.
-    pub fn take_news(&mut self) -> Option<RegionSpends> {
-        if self.untold.is_empty() {
+    /// Takes the usage that this process has to announce to its region.
+    pub fn take_local_usage(&mut self) -> Option<RegionUsage> {
+        if self.unannounced.is_empty() {
             return None;
         }
-        let counts = std::mem::take(&mut self.untold);
-        Some(RegionSpends {
+        let counts = std::mem::take(&mut self.unannounced);
+        Some(RegionUsage {
             region: self.region,
-            news: vec![SpendNews {
+            processes: vec![ProcessUsage {
                 origin: self.own,
                 counts: counts.into_iter().collect(),
             }],
         })
     }
 
-    /// Takes what this region has to tell the others; without news it still says that the region lives.
-    pub fn take_far_news(&mut self) -> RegionSpends {
-        std::mem::replace(&mut self.untold_far, RegionSpends::of(self.region))
+    /// Takes the usage that this region has to announce to the others; an empty update still shows
+    /// that the region is live.
+    pub fn take_remote_usage(&mut self) -> RegionUsage {
+        std::mem::replace(&mut self.unannounced_remote, RegionUsage::of(self.region))
     }
 
-    /// Drops what this region would have to tell the others, where another node tells it.
-    pub fn drop_far_news(&mut self) {
-        self.untold_far = RegionSpends::of(self.region);
+    /// Discards the usage to be announced to the other regions, because another node announces it.
+    pub fn discard_remote_usage(&mut self) {
+        self.unannounced_remote = RegionUsage::of(self.region);
     }
 
-    /// Gives the units that an account has left now; none where it has no limit.
-    pub fn left(&mut self, account: AccountTag, now: Instant) -> Option<f64> {
+    /// Returns the units left to an account; `None` if it has no limit.
+    pub fn remaining(&mut self, account: AccountTag, now: Instant) -> Option<f64> {
         self.advance(account, now);
-        let row = self.rows.get(&account)?;
-        Some(self.level(row, now))
+        let bucket = self.buckets.get(&account)?;
+        Some(self.level(bucket, now))
     }
 
-    /// Runs once a tick: forgets processes that have ended.
+    /// Drops processes that have ended; called once per tick.
     pub fn tick(&mut self, now: Instant) {
         self.origins
-            .retain(|_, row| now.saturating_duration_since(row.at) <= FORGET);
+            .retain(|_, process| now.saturating_duration_since(process.at) <= DROP_AFTER);
     }
 }
--- /dev/null
+++ b/crates/zinniahatch_route/src/region_paths.rs
@@ -0,0 +1,91 @@
+//! Tracks whether requests reach other regions and their answers come back.
+//!
+//! Load pattern: a region at its peak sends streams to a faster one. If a network partition cuts
+//! only one direction, the heartbeats of that region keep arriving and show it as idle, while the
+//! requests sent there are lost until their callers give up.
+
+use zinniahatch_base::prelude::*;
+
+/// Time without confirmation of both directions after which a region gets no requests. A node
+/// there replies to each heartbeat within 1.2 s, and one of these replies may be lost.
+const CONFIRMATION_TIMEOUT: Duration = Duration::from_millis(1_800);
+/// Time for which requests may be outstanding without any answer or confirmation. Answers begin
+/// within 700 ms, including a network delay of 160 ms, unless the region is overloaded, and then
+/// nothing should be sent there either.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(900);
+
+/// State of the path to one region and back.
+#[derive(Clone, Debug, Default)]
+struct PathState {
+    /// Sending time of the latest message that is known to have been received there.
+    delivered: Option<Instant>,
+    /// When an answer to a request last began.
+    answered: Option<Instant>,
+    /// Sending time of each request whose answer has not begun, by request number.
+    outstanding: BTreeMap<u64, Instant>,
+}
+
+impl PathState {
+    fn works(&self, now: Instant) -> bool {
+        let since = |at: Instant| now.saturating_duration_since(at);
+        if self
+            .delivered
+            .is_some_and(|at| since(at) > CONFIRMATION_TIMEOUT)
+        {
+            return false;
+        }
+        let Some(oldest) = self.outstanding.values().min().copied() else {
+            return true;
+        };
+        let signs = [Some(oldest), self.answered, self.delivered];
+        let last = signs.into_iter().flatten().max().unwrap_or(oldest);
+        since(last) <= ANSWER_TIMEOUT
+    }
+}
+
+/// The paths to the other regions.
+#[derive(Clone, Debug, Default)]
+pub struct RegionPaths {
+    paths: BTreeMap<RegionId, PathState>,
+}
+
+impl RegionPaths {
+    fn path(&mut self, region: &RegionId) -> &mut PathState {
+        self.paths.entry(region.clone()).or_default()
+    }
+
+    /// Records that a node of the region received a message sent at that time.
+    pub fn note_delivered(&mut self, region: &RegionId, sent: Instant) {
+        let path = self.path(region);
+        path.delivered = path.delivered.max(Some(sent));
+    }
+
+    /// Records that a request is sent to the region.
+    pub fn note_sent(&mut self, region: &RegionId, ticket: u64, now: Instant) {
+        self.path(region).outstanding.insert(ticket, now);
+    }
+
+    /// Records that the answer to a request began.
+    pub fn note_answer(&mut self, region: &RegionId, ticket: u64, now: Instant) {
+        let path = self.path(region);
+        path.outstanding.remove(&ticket);
+        path.answered = Some(now);
+    }
+
+    /// Records that a request was abandoned without an answer.
+    pub fn note_abandoned(&mut self, region: &RegionId, ticket: u64) {
+        self.path(region).outstanding.remove(&ticket);
+    }
+
+    /// Returns the regions that should get no requests now.
+    ///
+    /// Heartbeats are still sent there: a reply shows that the path works again, without risking a
+    /// caller's request.
+    pub fn unreachable(&self, now: Instant) -> BTreeSet<RegionId> {
+        let paths = self.paths.iter();
+        paths
+            .filter(|(_, path)| !path.works(now))
+            .map(|(region, _)| region.clone())
+            .collect()
+    }
+}
--- a/crates/zinniahatch_route/src/replica_belief.rs
+++ b/crates/zinniahatch_route/src/replica_belief.rs
@@ -1,9 +1,9 @@
 //! What a node believes about one life of a replica.
 
 use crate::HealthRecord;
-use crate::KeptParts;
 use crate::OpenWork;
 use crate::PaceMeter;
+use crate::PrefixCache;
 use crate::ReplicaEntry;
 use zinniahatch_base::prelude::*;
 
@@ -54,7 +54,7 @@
     /// Running and waiting requests as the replica reported them.
     pub reported: Option<(u32, u32, Instant)>,
     /// Which prompt parts it probably keeps.
-    pub kept: KeptParts,
+    pub kept: PrefixCache,
     /// What answers say of its health.
     pub health: HealthRecord,
     /// The pauses between the events of its streams.
@@ -79,7 +79,7 @@
             told: (OpenWork::default(), now),
             peers: BTreeMap::new(),
             reported: None,
-            kept: KeptParts::default(),
+            kept: PrefixCache::default(),
             health: HealthRecord::new(now),
             pace: PaceMeter::new(now),
             slowness: 1.0,
--- a/crates/zinniahatch_route/src/replicas.rs
+++ b/crates/zinniahatch_route/src/replicas.rs
@@ -12,7 +12,7 @@
 use crate::RestBook;
 use crate::StreamModel;
 use crate::prompt::session_rank;
-use crate::work_news::WorkNews;
+use crate::work_sync::WorkSync;
 use std::net::SocketAddrV4;
 use zinniahatch_base::prelude::*;
 
@@ -93,7 +93,7 @@
     evacuated: BTreeSet<DataCentreId>,
     /// The store's revision of the last news of each data centre's evacuation.
     evacuation_revisions: BTreeMap<DataCentreId, StoreRevision>,
-    pub(crate) news: WorkNews,
+    pub(crate) news: WorkSync,
     /// The rate limits that replicas named.
     pub limits: LimitBook,
     /// The rests that replicas asked of this node.
--- a/crates/zinniahatch_route/src/send_gate.rs
+++ b/crates/zinniahatch_route/src/send_gate.rs
@@ -10,7 +10,7 @@
 //! }
 //! ```
 
-use crate::ColdGate;
+use crate::ColdLimiter;
 use crate::LeaveReason;
 use crate::MemberTable;
 use crate::ReplicaTable;
@@ -111,7 +111,7 @@
     /// Says why the replica is sent nothing now.
     pub fn claim(
         &mut self,
-        gate: &mut ColdGate,
+        gate: &mut ColdLimiter,
         id: &str,
         cold_share: usize,
         now: Instant,
@@ -173,7 +173,7 @@
 impl MemberTable {
     /// Gives leave to write one request to another node; none where this node does not know it.
     pub fn permit(&self, node: &str) -> Option<NodePermit> {
-        let card = self.card(node)?;
+        let card = self.get(node)?;
         Some(NodePermit { address: card.peer })
     }
 }
--- a/crates/zinniahatch_route/tests/accounts.rs
+++ b/crates/zinniahatch_route/tests/accounts.rs
@@ -12,9 +12,9 @@
 use zinniahatch_route::Allowance;
 use zinniahatch_route::AllowanceUnit;
 use zinniahatch_route::DesiredAccount;
+use zinniahatch_route::KeyFreshness;
 use zinniahatch_route::KeyVerdict;
 use zinniahatch_route::PromptSize;
-use zinniahatch_route::ProofBook;
 use zinniahatch_route::common_homes;
 
 fn account(name: &str, keys: &[&str], homes: &[&str]) -> DesiredAccount {
@@ -42,9 +42,9 @@
 #[test]
 fn keys_follow_their_version() {
     let none = AccountTable::default();
-    assert!(!none.is_guarded());
+    assert!(!none.requires_key());
     let first = table(1, vec![account("a", &["k", "l"], &[])], &none);
-    assert!(first.is_guarded() && first.holds(&digest("k"), "a"));
+    assert!(first.requires_key() && first.holds(&digest("k"), "a"));
     assert_eq!(first.find(&digest("m")), KeyVerdict::Unknown);
     let second = table(2, vec![account("a", &["l"], &[])], &first);
     assert_eq!(second.find(&digest("k")), KeyVerdict::Revoked);
@@ -134,13 +134,13 @@
 /// later; the node stops in time by itself.
 #[test]
 fn proof_lapses_before_the_bound() {
-    let mut book = ProofBook::default();
+    let mut book = KeyFreshness::default();
     assert!(!book.is_fresh(BOUND, at(0)));
-    book.note(3, at(0), 3);
+    book.record(3, at(0), 3);
     assert!(book.is_fresh(BOUND, at(4_400)));
     assert!(!book.is_fresh(BOUND, at(4_600)));
     // An answer that was asked for earlier and comes late proves no more.
-    book.note(3, at(0), 3);
+    book.record(3, at(0), 3);
     assert!(!book.is_fresh(BOUND, at(4_600)));
 }
 
@@ -148,11 +148,11 @@
 /// knows; once it follows the version, it is.
 #[test]
 fn proof_of_a_newer_version_waits_for_it() {
-    let mut book = ProofBook::default();
-    book.note(3, at(0), 3);
-    book.note(4, at(4_000), 3);
+    let mut book = KeyFreshness::default();
+    book.record(3, at(0), 3);
+    book.record(4, at(4_000), 3);
     assert!(!book.is_fresh(BOUND, at(4_600)));
-    book.follow(4);
+    book.set_version(4);
     assert!(book.is_fresh(BOUND, at(8_000)));
 }
 
@@ -160,12 +160,12 @@
 /// way, or in a queue, makes it older and never younger.
 #[test]
 fn proof_ages_on_its_way() {
-    let (mut first, mut second) = (ProofBook::default(), ProofBook::default());
-    first.note(3, at(0), 3);
-    let told = first.told(at(1_000)).expect("there is one");
+    let (mut first, mut second) = (KeyFreshness::default(), KeyFreshness::default());
+    first.record(3, at(0), 3);
+    let told = first.to_share(at(1_000)).expect("there is one");
     assert_eq!(told.age_ms, 1_000);
     // Asked at 900, answered at 1,000, heard at 9,000.
-    second.hear(told, at(900), 3);
+    second.merge(told, at(900), 3);
     assert_eq!(second.age(at(9_000)), Some(Duration::from_millis(9_100)));
     assert!(!second.is_fresh(BOUND, at(9_000)));
     assert!(second.is_fresh(BOUND, at(2_000)));
--- a/crates/zinniahatch_route/tests/beliefs.rs
+++ b/crates/zinniahatch_route/tests/beliefs.rs
@@ -8,7 +8,7 @@
 use zinniahatch_base::prelude::*;
 use zinniahatch_route::EntryChange;
 use zinniahatch_route::HealthRecord;
-use zinniahatch_route::KeptParts;
+use zinniahatch_route::PrefixCache;
 use zinniahatch_route::PromptPart;
 
 /// The store was away for some seconds, all entries of replicas lapsed, and callers were refused
@@ -135,13 +135,16 @@
 #[test]
 fn leading_counts_from_the_front() {
     let part = |tag, tokens| PromptPart { tag, tokens };
-    let mut kept = KeptParts::default();
+    let mut kept = PrefixCache::default();
     kept.note(&[part(1, 100), part(2, 100)], 1_000);
-    assert_eq!(kept.leading(&[part(1, 100), part(2, 100), part(3, 9)]), 2);
-    assert_eq!(kept.leading(&[part(9, 100), part(2, 100)]), 0);
+    assert_eq!(
+        kept.cached_prefix(&[part(1, 100), part(2, 100), part(3, 9)]),
+        2
+    );
+    assert_eq!(kept.cached_prefix(&[part(9, 100), part(2, 100)]), 0);
     kept.note(&[part(4, 950)], 1_000);
-    assert_eq!(kept.leading(&[part(1, 100)]), 0, "the oldest yields");
-    assert_eq!(kept.leading(&[part(4, 950)]), 1);
+    assert_eq!(kept.cached_prefix(&[part(1, 100)]), 0, "the oldest yields");
+    assert_eq!(kept.cached_prefix(&[part(4, 950)]), 1);
 }
 
 /// A node heard from another one that a replica had left, and its own watch brought the older entry a
--- a/crates/zinniahatch_route/tests/common/mod.rs
+++ b/crates/zinniahatch_route/tests/common/mod.rs
@@ -9,7 +9,7 @@
 use zinniahatch_route::DesiredRoute;
 use zinniahatch_route::DesiredService;
 use zinniahatch_route::DesiredState;
-use zinniahatch_route::MemberCard;
+use zinniahatch_route::MemberInfo;
 use zinniahatch_route::MemberStage;
 use zinniahatch_route::PlaceAsk;
 use zinniahatch_route::PromptPart;
@@ -17,7 +17,7 @@
 use zinniahatch_route::RepeatKind;
 use zinniahatch_route::ReplicaEntry;
 use zinniahatch_route::ReplicaTable;
-use zinniahatch_route::ServiceDigest;
+use zinniahatch_route::ServiceCapacity;
 use zinniahatch_route::WeightedTarget;
 
 pub(crate) fn address(last: u8) -> SocketAddrV4 {
@@ -149,25 +149,25 @@
     }
 }
 
-pub(crate) fn card(node: &str, region: &str, wait_ms: u32, sound: u16) -> MemberCard {
-    MemberCard {
+pub(crate) fn card(node: &str, region: &str, wait_ms: u32, healthy: u16) -> MemberInfo {
+    MemberInfo {
         node: node.into(),
         incarnation: 1,
         region: region.into(),
         data_centre: "b".into(),
-        strength: 100,
+        cpu_share: 100,
         front: address(2),
         peer: address(3),
         stage: MemberStage::Ready,
         version: 1,
         preset: 0,
-        sighted: true,
-        read: None,
+        store_reachable: true,
+        store_digest: None,
         proof: None,
         services: [(
             tag_of("s"),
-            ServiceDigest {
-                sound,
+            ServiceCapacity {
+                healthy,
                 wait_ms,
                 pause_us: 0,
                 running: 0,
--- a/crates/zinniahatch_route/tests/contacts.rs
+++ b/crates/zinniahatch_route/tests/contacts.rs
@@ -4,7 +4,7 @@
 use std::net::Ipv4Addr;
 use std::net::SocketAddrV4;
 use zinniahatch_base::prelude::*;
-use zinniahatch_route::ContactBook;
+use zinniahatch_route::HeartbeatTargets;
 
 const ROUND: Duration = Duration::from_millis(500);
 /// Contacts in each other region.
@@ -19,11 +19,11 @@
 }
 
 /// A book of the first node of the first region that knows all others from the store.
-fn book(regions: usize, nodes: usize) -> ContactBook {
-    let mut book = ContactBook::new(address(0, 0), &region(0));
+fn book(regions: usize, nodes: usize) -> HeartbeatTargets {
+    let mut book = HeartbeatTargets::new(address(0, 0), &region(0));
     for place in 0..regions {
         for node in 0..nodes {
-            book.note(address(place, node), Some(&region(place)));
+            book.add(address(place, node), Some(&region(place)));
         }
     }
     book
@@ -31,7 +31,7 @@
 
 /// Runs rounds in which the nodes for which `lives` holds answer at once; gives the last choice.
 fn rounds(
-    book: &mut ContactBook,
+    book: &mut HeartbeatTargets,
     count: u32,
     start: Instant,
     lives: impl Fn(&SocketAddrV4) -> bool,
@@ -39,7 +39,7 @@
     let mut chosen = Vec::new();
     for number in 0..count {
         let now = start + ROUND * number;
-        chosen = book.round(now);
+        chosen = book.next_targets(now);
         for address in chosen.iter().filter(|address| lives(address)) {
             let place = usize::from(address.ip().octets()[2]);
             book.note_heard(*address, &region(place), now);
@@ -54,7 +54,7 @@
 fn round_grows_with_the_regions() {
     let now = Instant::now();
     let (regions, nodes) = (9, 37);
-    let chosen = book(regions, nodes).round(now);
+    let chosen = book(regions, nodes).next_targets(now);
     assert_eq!(chosen.len(), nodes - 1 + (regions - 1) * FAR);
 }
 
--- a/crates/zinniahatch_route/tests/directory.rs
+++ b/crates/zinniahatch_route/tests/directory.rs
@@ -7,11 +7,11 @@
 use std::net::SocketAddrV4;
 use test_case::test_case;
 use zinniahatch_base::prelude::*;
-use zinniahatch_route::DirectoryAsk;
+use zinniahatch_route::DirectoryAnswer;
+use zinniahatch_route::DirectoryQuery;
 use zinniahatch_route::MemberStage;
 use zinniahatch_route::MemberTable;
-use zinniahatch_route::NamedNodes;
-use zinniahatch_route::name_nodes;
+use zinniahatch_route::select_nodes;
 
 /// Nodes as `(name, region, stage, last digits of the front address)`.
 type NodeRows<'a> = &'a [(&'a str, &'a str, MemberStage, u8)];
@@ -23,7 +23,7 @@
         card.stage = *stage;
         card.front = address(*last);
         card.peer = address(100 + *last);
-        members.hear(card, false, now);
+        members.update(card, false, now);
     }
     members
 }
@@ -31,16 +31,16 @@
 fn named(nodes: NodeRows<'_>, region: &str, homes: Option<&[&str]>) -> Vec<SocketAddrV4> {
     let now = Instant::now();
     let own_region: RegionId = "west".into();
-    let ask = DirectoryAsk {
+    let ask = DirectoryQuery {
         region,
         homes: homes.map(|homes| homes.iter().map(|home| (*home).into()).collect()),
-        key_bound: None,
-        own_proven: true,
+        max_proof_age: None,
+        own_proof_fresh: true,
         own_region: &own_region,
         own_front: address(50),
         own_stage: MemberStage::Ready,
     };
-    name_nodes(&members(nodes, now), &ask, now).addresses()
+    select_nodes(&members(nodes, now), &ask, now).addresses()
 }
 
 /// Surveyors of the north had a bound query read by a node in the west: the nodes of both homes were stopped
@@ -100,15 +100,15 @@
 fn name_nodes_own_region_names_itself() {
     let now = Instant::now();
     let own_region: RegionId = "west".into();
-    let ask = DirectoryAsk {
+    let ask = DirectoryQuery {
         region: "west",
         homes: Some(BTreeSet::new()),
-        key_bound: None,
-        own_proven: true,
+        max_proof_age: None,
+        own_proof_fresh: true,
         own_region: &own_region,
         own_front: address(50),
         own_stage: MemberStage::Leaving,
     };
-    let named = name_nodes(&MemberTable::default(), &ask, now);
-    assert_eq!(named, NamedNodes::Near(vec![address(50)]));
+    let named = select_nodes(&MemberTable::default(), &ask, now);
+    assert_eq!(named, DirectoryAnswer::Local(vec![address(50)]));
 }
--- a/crates/zinniahatch_route/tests/hearing.rs
+++ b/crates/zinniahatch_route/tests/hearing.rs
@@ -5,16 +5,16 @@
 use common::entry;
 use test_case::test_case;
 use zinniahatch_base::prelude::*;
-use zinniahatch_route::AnswerProof;
-use zinniahatch_route::ColdGate;
-use zinniahatch_route::HeardNotice;
+use zinniahatch_route::ColdLimiter;
 use zinniahatch_route::NamedLeaving;
 use zinniahatch_route::NamedLimit;
 use zinniahatch_route::NamedRest;
 use zinniahatch_route::NoticeEffect;
+use zinniahatch_route::ReceivedNotice;
 use zinniahatch_route::ReplicaEntry;
 use zinniahatch_route::ReplicaNotice;
 use zinniahatch_route::ReplicaTable;
+use zinniahatch_route::ResponseAuth;
 use zinniahatch_route::RestChange;
 use zinniahatch_route::Withheld;
 
@@ -37,22 +37,22 @@
 fn hear(
     table: &mut ReplicaTable,
     notice: &ReplicaNotice,
-    proof: AnswerProof,
+    auth: ResponseAuth,
     now: Instant,
 ) -> NoticeEffect {
-    let heard = HeardNotice {
+    let heard = ReceivedNotice {
         replica: life(1, 0).life().tag(),
         notice,
-        proof,
+        auth,
         taken: false,
         sent: now,
         draw: 0,
     };
-    table.hear(&heard, now)
+    table.apply_notice(&heard, now)
 }
 
 fn withheld(table: &mut ReplicaTable, now: Instant) -> Option<Withheld> {
-    let claim = table.claim(&mut ColdGate::default(), "r", 0, now);
+    let claim = table.claim(&mut ColdLimiter::default(), "r", 0, now);
     claim.and_then(|claim| table.permit(claim, now)).err()
 }
 
@@ -76,8 +76,8 @@
     let now = Instant::now();
     let mut table = ReplicaTable::default();
     table.upsert(life(1, 10), now);
-    assert!(hear(&mut table, &LEAVING, AnswerProof::Sealed, now).leaving);
-    assert!(!hear(&mut table, &LEAVING, AnswerProof::Sealed, now).leaving);
+    assert!(hear(&mut table, &LEAVING, ResponseAuth::Authenticated, now).leaving);
+    assert!(!hear(&mut table, &LEAVING, ResponseAuth::Authenticated, now).leaving);
     match word {
         LaterWord::Ready => {
             table.upsert(life(1, 11), now);
@@ -115,13 +115,13 @@
     let now = Instant::now();
     let mut table = ReplicaTable::default();
     table.upsert(life(1, 10), now);
-    hear(&mut table, &LEAVING, AnswerProof::Sealed, now);
+    hear(&mut table, &LEAVING, ResponseAuth::Authenticated, now);
     table.upsert(life(2, 11), now);
     assert_eq!(withheld(&mut table, now), None);
     // An answer of the life before that was late.
-    let effect = hear(&mut table, &LEAVING, AnswerProof::Sealed, now);
+    let effect = hear(&mut table, &LEAVING, ResponseAuth::Authenticated, now);
     assert_eq!(effect, NoticeEffect::default());
-    assert!(!table.hear_leaving(&life(1, 0).life()));
+    assert!(!table.mark_leaving(&life(1, 0).life()));
     assert_eq!(withheld(&mut table, now), None);
 }
 
@@ -131,8 +131,10 @@
     let now = Instant::now();
     let mut table = ReplicaTable::default();
     table.upsert(life(1, 10), now);
-    let claim = table.claim(&mut ColdGate::default(), "r", 0, now).unwrap();
-    hear(&mut table, &LEAVING, AnswerProof::Named, now);
+    let claim = table
+        .claim(&mut ColdLimiter::default(), "r", 0, now)
+        .unwrap();
+    hear(&mut table, &LEAVING, ResponseAuth::Identified, now);
     assert_eq!(table.permit(claim, now).unwrap_err(), Withheld::Leaving);
 }
 
@@ -142,12 +144,12 @@
     let now = Instant::now();
     let mut told = ReplicaTable::default();
     told.upsert(life(1, 10), now);
-    hear(&mut told, &LEAVING, AnswerProof::Sealed, now);
+    hear(&mut told, &LEAVING, ResponseAuth::Authenticated, now);
     let mut other = ReplicaTable::default();
     other.upsert(life(1, 10), now);
     assert_ne!(told.leaving_digest(), other.leaving_digest());
-    for life in told.said_leaving() {
-        assert!(other.hear_leaving(life));
+    for life in told.announced_leaving() {
+        assert!(other.mark_leaving(life));
     }
     assert_eq!(told.leaving_digest(), other.leaving_digest());
     assert_eq!(withheld(&mut other, now), Some(Withheld::Leaving));
@@ -167,15 +169,15 @@
 
 /// Takes an answer to a request that the replica took.
 fn hear_taken(table: &mut ReplicaTable, sent: Instant, now: Instant) -> NoticeEffect {
-    let heard = HeardNotice {
+    let heard = ReceivedNotice {
         replica: life(1, 0).life().tag(),
         notice: &ReplicaNotice::default(),
-        proof: AnswerProof::Sealed,
+        auth: ResponseAuth::Authenticated,
         taken: true,
         sent,
         draw: 0,
     };
-    table.hear(&heard, now)
+    table.apply_notice(&heard, now)
 }
 
 /// Guards against a rest that something ends early: a shorter one, an answer to a request sent before, a probe.
@@ -184,18 +186,18 @@
     let now = Instant::now();
     let mut table = ReplicaTable::default();
     table.upsert(life(1, 10), now);
-    let effect = hear(&mut table, &rest(3.0), AnswerProof::Named, now);
-    assert_eq!(effect.rest, Some(RestChange::Began(seconds(3.0))));
+    let effect = hear(&mut table, &rest(3.0), ResponseAuth::Identified, now);
+    assert_eq!(effect.backoff, Some(RestChange::Began(seconds(3.0))));
     let later = now + seconds(1.0);
-    let effect = hear(&mut table, &rest(0.5), AnswerProof::Named, later);
-    assert_eq!(effect.rest, Some(RestChange::Covered));
-    assert!(!hear_taken(&mut table, now, later).serves);
+    let effect = hear(&mut table, &rest(0.5), ResponseAuth::Identified, later);
+    assert_eq!(effect.backoff, Some(RestChange::Covered));
+    assert!(!hear_taken(&mut table, now, later).recovered);
     assert_eq!(
         withheld(&mut table, now + seconds(2.9)),
         Some(Withheld::Resting)
     );
-    let effect = hear(&mut table, &rest(3.0), AnswerProof::Named, later);
-    assert_eq!(effect.rest, Some(RestChange::Lengthened(seconds(3.0))));
+    let effect = hear(&mut table, &rest(3.0), ResponseAuth::Identified, later);
+    assert_eq!(effect.backoff, Some(RestChange::Lengthened(seconds(3.0))));
     assert_eq!(
         withheld(&mut table, now + seconds(3.9)),
         Some(Withheld::Resting)
@@ -209,7 +211,7 @@
     let now = Instant::now();
     let mut table = ReplicaTable::default();
     table.upsert(life(1, 10), now);
-    hear(&mut table, &rest(1.0), AnswerProof::Named, now);
+    hear(&mut table, &rest(1.0), ResponseAuth::Identified, now);
     let end = now + seconds(1.0);
     assert_eq!(withheld(&mut table, end), None);
     assert_eq!(withheld(&mut table, end), Some(Withheld::Resting));
@@ -223,7 +225,7 @@
     for round in 1..6 {
         for answer in 0..sent {
             let effect = hear_taken(&mut table, now, now);
-            assert_eq!(effect.serves, round == 1 && answer == 0);
+            assert_eq!(effect.recovered, round == 1 && answer == 0);
         }
         sent = (0..100)
             .take_while(|_| withheld(&mut table, now).is_none())
@@ -239,18 +241,20 @@
     let now = Instant::now();
     let mut table = ReplicaTable::default();
     table.upsert(life(1, 10), now);
-    let claim = table.claim(&mut ColdGate::default(), "r", 0, now).unwrap();
-    hear(&mut table, &rest(1.0), AnswerProof::Named, now);
+    let claim = table
+        .claim(&mut ColdLimiter::default(), "r", 0, now)
+        .unwrap();
+    hear(&mut table, &rest(1.0), ResponseAuth::Identified, now);
     assert_eq!(table.permit(claim, now).unwrap_err(), Withheld::Resting);
 }
 
 /// Guards against values that keep a replica out for ever, or that are heeded though they say nothing.
-#[test_case(NamedRest::For(Duration::ZERO), AnswerProof::Sealed, 0.0; "zero")]
-#[test_case(NamedRest::Malformed, AnswerProof::Sealed, 0.0; "malformed")]
-#[test_case(NamedRest::For(Duration::from_millis(250)), AnswerProof::Named, 0.25; "fraction")]
-#[test_case(NamedRest::For(Duration::from_secs(36_000)), AnswerProof::Sealed, 600.0; "hours")]
-#[test_case(NamedRest::For(Duration::from_secs(36_000)), AnswerProof::Missing, 30.0; "unproven")]
-fn rest_is_bounded(named: NamedRest, proof: AnswerProof, expected: f64) {
+#[test_case(NamedRest::For(Duration::ZERO), ResponseAuth::Authenticated, 0.0; "zero")]
+#[test_case(NamedRest::Malformed, ResponseAuth::Authenticated, 0.0; "malformed")]
+#[test_case(NamedRest::For(Duration::from_millis(250)), ResponseAuth::Identified, 0.25; "fraction")]
+#[test_case(NamedRest::For(Duration::from_secs(36_000)), ResponseAuth::Authenticated, 600.0; "hours")]
+#[test_case(NamedRest::For(Duration::from_secs(36_000)), ResponseAuth::Unverified, 30.0; "unproven")]
+fn rest_is_bounded(named: NamedRest, auth: ResponseAuth, expected: f64) {
     let now = Instant::now();
     let mut table = ReplicaTable::default();
     table.upsert(life(1, 10), now);
@@ -258,9 +262,9 @@
         rest: named,
         ..ReplicaNotice::default()
     };
-    let effect = hear(&mut table, &notice, proof, now);
+    let effect = hear(&mut table, &notice, auth, now);
     assert_eq!(effect.rejected.is_empty(), named != NamedRest::Malformed);
-    assert_eq!(effect.unproven.is_empty(), proof != AnswerProof::Missing);
+    assert_eq!(effect.unproven.is_empty(), auth != ResponseAuth::Unverified);
     let tag = life(1, 0).life().tag();
     assert_eq!(table.rests.wait(tag, now), seconds(expected));
 }
@@ -271,9 +275,9 @@
     let now = Instant::now();
     let mut table = ReplicaTable::default();
     table.upsert(life(1, 10), now);
-    let effect = hear(&mut table, &LEAVING, AnswerProof::Missing, now);
+    let effect = hear(&mut table, &LEAVING, ResponseAuth::Unverified, now);
     assert!(!effect.leaving);
-    assert_eq!(table.said_leaving().count(), 0);
+    assert_eq!(table.announced_leaving().count(), 0);
     assert_eq!(
         withheld(&mut table, now + seconds(29.0)),
         Some(Withheld::Resting)
@@ -287,15 +291,15 @@
     let now = Instant::now();
     let mut table = ReplicaTable::default();
     table.upsert(life(1, 10), now);
-    hear(&mut table, &rest(60.0), AnswerProof::Sealed, now);
+    hear(&mut table, &rest(60.0), ResponseAuth::Authenticated, now);
     table.upsert(life(2, 11), now);
     assert_eq!(withheld(&mut table, now), None);
 }
 
 /// Guards against the usual load for a replica that says that it is cold again.
-#[test_case(AnswerProof::Named, Some(Withheld::Cold); "its_own")]
-#[test_case(AnswerProof::Missing, None; "of_somebody")]
-fn cold_replica_is_believed(proof: AnswerProof, expected: Option<Withheld>) {
+#[test_case(ResponseAuth::Identified, Some(Withheld::Cold); "its_own")]
+#[test_case(ResponseAuth::Unverified, None; "of_somebody")]
+fn cold_replica_is_believed(auth: ResponseAuth, expected: Option<Withheld>) {
     let now = Instant::now();
     let mut table = ReplicaTable::default();
     table.upsert(life(1, 10), now);
@@ -303,7 +307,7 @@
         cold_for: Some(seconds(2.0)),
         ..ReplicaNotice::default()
     };
-    hear(&mut table, &notice, proof, now);
+    hear(&mut table, &notice, auth, now);
     assert_eq!(withheld(&mut table, now + seconds(1.9)), expected);
     assert_eq!(withheld(&mut table, now + seconds(2.0)), None);
 }
@@ -316,7 +320,7 @@
     table.upsert(life(1, 10), now);
     table.vanish("r", 11.into(), now);
     table.tick(now);
-    hear(&mut table, &LEAVING, AnswerProof::Named, now);
+    hear(&mut table, &LEAVING, ResponseAuth::Identified, now);
     table.upsert(life(1, 12), now);
     assert_eq!(withheld(&mut table, now), Some(Withheld::Leaving));
 }
@@ -327,7 +331,7 @@
     let now = Instant::now();
     let mut table = ReplicaTable::default();
     table.upsert(life(1, 10), now);
-    hear(&mut table, &rest(3.0), AnswerProof::Named, now);
+    hear(&mut table, &rest(3.0), ResponseAuth::Identified, now);
     table.vanish("r", 11.into(), now);
     table.tick(now);
     table.upsert(life(1, 12), now);
@@ -348,7 +352,7 @@
         rate_limit: NamedLimit::PerSecond(1.0),
         ..ReplicaNotice::default()
     };
-    hear(&mut table, &notice, AnswerProof::Sealed, now);
+    hear(&mut table, &notice, ResponseAuth::Authenticated, now);
     table.vanish("r", 11.into(), now);
     table.tick(now);
     let later = now + seconds(20.0);
--- a/crates/zinniahatch_route/tests/lives.rs
+++ b/crates/zinniahatch_route/tests/lives.rs
@@ -80,7 +80,7 @@
     table.note_ended("r", 7, WORK, false);
     let belief = table.get("r").expect("the replica is known");
     assert_eq!(belief.all_work(now), WORK);
-    assert_eq!(belief.kept.leading(&size.parts[1..]), 0);
+    assert_eq!(belief.kept.cached_prefix(&size.parts[1..]), 0);
     assert!(!belief.health.is_suspect(now));
     assert!((belief.slowness - 1.0).abs() < f64::EPSILON);
     assert!(table.working_on("r", 7).is_none());
--- a/crates/zinniahatch_route/tests/notice_fleet/mod.rs
+++ b/crates/zinniahatch_route/tests/notice_fleet/mod.rs
@@ -14,17 +14,17 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 use std::time::Instant;
-use zinniahatch_route::AnswerProof;
-use zinniahatch_route::ColdGate;
-use zinniahatch_route::HeardNotice;
+use zinniahatch_route::ColdLimiter;
 use zinniahatch_route::LimitNews;
 use zinniahatch_route::NamedLeaving;
 use zinniahatch_route::NamedLimit;
 use zinniahatch_route::NamedRest;
+use zinniahatch_route::ReceivedNotice;
 use zinniahatch_route::ReplicaEntry;
 use zinniahatch_route::ReplicaLife;
 use zinniahatch_route::ReplicaNotice;
 use zinniahatch_route::ReplicaTable;
+use zinniahatch_route::ResponseAuth;
 use zinniahatch_route::SendClaim;
 
 pub(crate) use judge::BrokenBound;
@@ -79,7 +79,7 @@
 
 struct FleetNode<G> {
     table: ReplicaTable,
-    gate: ColdGate,
+    gate: ColdLimiter,
     rule: G,
     /// A number for each start.
     start: u64,
@@ -93,7 +93,7 @@
     fn new(start: u64, began: Duration) -> Self {
         Self {
             table: ReplicaTable::default(),
-            gate: ColdGate::default(),
+            gate: ColdLimiter::default(),
             rule: G::default(),
             start,
             began,
@@ -269,7 +269,7 @@
             }
             FleetEvent::Leaving(node, life) => {
                 if self.runs(node) {
-                    self.nodes[node].table.hear_leaving(&life);
+                    self.nodes[node].table.mark_leaving(&life);
                 }
             }
             FleetEvent::Write(replica, born) => {
@@ -308,7 +308,7 @@
         for offset in 0..self.replicas.len() {
             let replica = (first + offset) % self.replicas.len();
             let id = id_of(replica);
-            let share = ColdGate::share(bound, &id, &name_of(node), &peers);
+            let share = ColdLimiter::share(bound, &id, &name_of(node), &peers);
             let row = &mut self.nodes[node];
             let Some(tag) = row.table.get(&id).map(|belief| belief.tag) else {
                 continue;
@@ -408,17 +408,17 @@
             return;
         }
         let now = self.now();
-        let heard = HeardNotice {
+        let heard = ReceivedNotice {
             replica: call.tag,
             notice: &notice,
-            proof: AnswerProof::Sealed,
+            auth: ResponseAuth::Authenticated,
             taken,
             sent: self.start + call.sent,
             draw: self.random.random(),
         };
         let row = &mut self.nodes[call.node];
         row.rule.note_answer(call.tag, &notice, taken, now);
-        let effect = row.table.hear(&heard, now);
+        let effect = row.table.apply_notice(&heard, now);
         let life = row
             .table
             .get(&id_of(call.replica))
@@ -472,7 +472,7 @@
             if cards {
                 // What a difference of digests would lead to.
                 news = table.limits.known_news().collect();
-                let lives: Vec<ReplicaLife> = table.said_leaving().cloned().collect();
+                let lives: Vec<ReplicaLife> = table.announced_leaving().cloned().collect();
                 for life in lives {
                     self.tell(node, |to| FleetEvent::Leaving(to, life.clone()));
                 }
--- a/crates/zinniahatch_route/tests/overload.rs
+++ b/crates/zinniahatch_route/tests/overload.rs
@@ -7,7 +7,7 @@
 use zinniahatch_route::AdmissionRule;
 use zinniahatch_route::FirstEventModel;
 use zinniahatch_route::ModelSample;
-use zinniahatch_route::RepeatBudget;
+use zinniahatch_route::RetryBudget;
 use zinniahatch_route::Verdict;
 
 const GOAL: Duration = Duration::from_millis(800);
@@ -107,8 +107,8 @@
         const WINDOW: Duration = Duration::from_secs(10);
         const RATIO: f64 = 0.2;
         const SLACK: f64 = 54.0;
-        let fresh = || RepeatBudget::new(WINDOW, RATIO, SLACK, 10);
-        let mut nodes: Vec<RepeatBudget> = (0..7).map(|_| fresh()).collect();
+        let fresh = || RetryBudget::new(WINDOW, RATIO, SLACK, 10);
+        let mut nodes: Vec<RetryBudget> = (0..7).map(|_| fresh()).collect();
         let mut restarts: Vec<Instant> = Vec::new();
         let mut firsts: Vec<Instant> = Vec::new();
         let mut repeats: Vec<Instant> = Vec::new();
@@ -121,10 +121,10 @@
                 nodes[node] = fresh();
             }
             if first {
-                nodes[node].note_first(now);
+                nodes[node].record_request(now);
                 firsts.push(now);
             }
-            if nodes[node].take(now) {
+            if nodes[node].try_take(now) {
                 repeats.push(now);
             }
             let within = |list: &[Instant]| {
--- a/crates/zinniahatch_route/tests/placement.rs
+++ b/crates/zinniahatch_route/tests/placement.rs
@@ -10,7 +10,7 @@
 use common::table;
 use zinniahatch_base::prelude::*;
 use zinniahatch_route::AwayTried;
-use zinniahatch_route::ColdGate;
+use zinniahatch_route::ColdLimiter;
 use zinniahatch_route::LeaveReason;
 use zinniahatch_route::LocalChoice;
 use zinniahatch_route::MemberTable;
@@ -22,7 +22,13 @@
 use zinniahatch_route::choose_local;
 
 fn choose(table: &ReplicaTable, parts: &AskParts, now: Instant) -> Option<LocalChoice> {
-    choose_local(table, &ColdGate::default(), &regions(), &parts.ask(), now)
+    choose_local(
+        table,
+        &ColdLimiter::default(),
+        &regions(),
+        &parts.ask(),
+        now,
+    )
 }
 
 #[test]
@@ -98,7 +104,7 @@
         table.get_mut("r1").unwrap().own = full;
         let mut ask = parts.ask();
         ask.urgent = urgent;
-        choose_local(&table, &ColdGate::default(), &regions(), &ask, now).unwrap()
+        choose_local(&table, &ColdLimiter::default(), &regions(), &ask, now).unwrap()
     };
     assert!(expect(full, false).queue > Duration::ZERO);
     assert_eq!(expect(full, true).queue, Duration::ZERO);
@@ -182,11 +188,11 @@
     let peers: BTreeSet<NodeId> = names.iter().map(|name| (*name).into()).collect();
     let bound = 6.3;
     let mut sent: Vec<Instant> = Vec::new();
-    let mut gates: Vec<ColdGate> = names.iter().map(|_| ColdGate::default()).collect();
+    let mut gates: Vec<ColdLimiter> = names.iter().map(|_| ColdLimiter::default()).collect();
     for step in 0..400_u64 {
         let now = start + Duration::from_millis(step * 10);
         for (name, gate) in names.iter().zip(&mut gates) {
-            let share = ColdGate::share(bound, "r1", name, &peers);
+            let share = ColdLimiter::share(bound, "r1", name, &peers);
             if gate.allows("r1", share, now) {
                 gate.note(&"r1".into(), now);
                 sent.push(now);
@@ -210,8 +216,8 @@
     let bound = 6.3;
     let names = ["n1", "n2"];
     let known: BTreeSet<NodeId> = names.iter().map(|name| (*name).into()).collect();
-    let fresh = ColdGate::share(bound, "r1", "n3", &BTreeSet::new());
-    let others = names.map(|name| ColdGate::share(bound, "r1", name, &known));
+    let fresh = ColdLimiter::share(bound, "r1", "n3", &BTreeSet::new());
+    let others = names.map(|name| ColdLimiter::share(bound, "r1", name, &known));
     let sum = fresh + others.iter().sum::<usize>();
     assert!(sum as f64 <= bound, "{sum} of {bound}");
 }
@@ -220,10 +226,10 @@
 fn choose_away_takes_the_sooner_region() {
     let now = Instant::now();
     let mut members = MemberTable::default();
-    members.hear(card("s1", "south", 400, 2), true, now);
-    members.hear(card("w1", "west", 50, 2), true, now);
-    members.hear(card("w2", "west", 60, 2), true, now);
-    members.hear(card("e1", "east", 0, 0), true, now);
+    members.update(card("s1", "south", 400, 2), true, now);
+    members.update(card("w1", "west", 50, 2), true, now);
+    members.update(card("w2", "west", 60, 2), true, now);
+    members.update(card("e1", "east", 0, 0), true, now);
     let table = ReplicaTable::default();
     let parts = AskParts::new(PromptSize::default());
     let names =
@@ -279,7 +285,7 @@
         let parts = AskParts::new(prompt(node, node));
         let mut ask = parts.ask();
         ask.draw = node.wrapping_mul(0x9e37_79b9_7f4a_7c15);
-        let choice = choose_local(&table, &ColdGate::default(), &regions(), &ask, now).unwrap();
+        let choice = choose_local(&table, &ColdLimiter::default(), &regions(), &ask, now).unwrap();
         *counts.entry(choice.replica).or_default() += 1;
     }
     let most = counts.values().max().copied().unwrap_or(0);
--- a/crates/zinniahatch_route/tests/quota.rs
+++ b/crates/zinniahatch_route/tests/quota.rs
@@ -9,10 +9,10 @@
 use std::time::Duration;
 use std::time::Instant;
 use test_case::test_case;
-use zinniahatch_route::QuotaBook;
 use zinniahatch_route::QuotaLimit;
-use zinniahatch_route::RegionSpends;
-use zinniahatch_route::SpentCount;
+use zinniahatch_route::QuotaTable;
+use zinniahatch_route::RegionUsage;
+use zinniahatch_route::UsageCounter;
 
 const ACCOUNT: u64 = 7;
 const REGIONS: usize = 3;
@@ -37,10 +37,10 @@
     [(ACCOUNT, limit(rate))].into()
 }
 
-fn book(node: usize, start: u32, now: Instant) -> QuotaBook {
+fn book(node: usize, start: u32, now: Instant) -> QuotaTable {
     let regions = (0..REGIONS).map(|region| region as u32);
     let own = node as u32 * 1_000 + start;
-    QuotaBook::new(own, region_of(node) as u32, regions, now)
+    QuotaTable::new(own, region_of(node) as u32, regions, now)
 }
 
 fn region_of(node: usize) -> usize {
@@ -59,7 +59,7 @@
     to: usize,
     /// Whether it comes from another region.
     far: bool,
-    news: RegionSpends,
+    news: RegionUsage,
 }
 
 /// A fleet of nodes over which one account sends, with faults drawn from a seed.
@@ -68,7 +68,7 @@
     start: Instant,
     time: Duration,
     rate: f64,
-    books: Vec<QuotaBook>,
+    books: Vec<QuotaTable>,
     starts: u32,
     /// Until when a node is dead.
     dead: Vec<Duration>,
@@ -114,7 +114,7 @@
         let now = self.now();
         for book in &mut self.books {
             book.set_limits(&limits(self.rate), now);
-            book.set_neighbours(NODES - 1);
+            book.set_region_peers(NODES - 1);
         }
     }
 
@@ -129,10 +129,10 @@
         let now = self.now();
         self.books[node] = book(node, self.starts, now + away);
         self.books[node].set_limits(&limits(self.rate), now + away);
-        self.books[node].set_neighbours(NODES - 1);
+        self.books[node].set_region_peers(NODES - 1);
     }
 
-    fn send(&mut self, from: usize, to: usize, news: &RegionSpends, delay: Duration) {
+    fn send(&mut self, from: usize, to: usize, news: &RegionUsage, delay: Duration) {
         let (own, other) = (region_of(from), region_of(to));
         let cut = self.cut[own].max(self.cut[other]) > self.time;
         // Datagrams are lost now and then.
@@ -157,7 +157,7 @@
                 continue;
             }
             if self.lives(flight.to) {
-                let fresh = self.books[flight.to].hear(&flight.news, now);
+                let fresh = self.books[flight.to].apply_update(&flight.news, now);
                 // The node that hears another region tells its own.
                 if flight.far {
                     for to in neighbours(flight.to) {
@@ -176,8 +176,8 @@
             if !self.lives(node) {
                 continue;
             }
-            let near = self.books[node].take_news();
-            let beat = RegionSpends::of(region_of(node) as u32);
+            let near = self.books[node].take_local_usage();
+            let beat = RegionUsage::of(region_of(node) as u32);
             let near = near.unwrap_or(beat);
             for to in neighbours(node) {
                 let delay = Duration::from_millis(20);
@@ -185,11 +185,11 @@
             }
             if node % NODES >= 2 || !far_round {
                 if far_round {
-                    self.books[node].drop_far_news();
+                    self.books[node].discard_remote_usage();
                 }
                 continue;
             }
-            let far = self.books[node].take_far_news();
+            let far = self.books[node].take_remote_usage();
             for region in 0..REGIONS {
                 if region != region_of(node) {
                     let to = region * NODES + node % 2;
@@ -219,7 +219,7 @@
                 continue;
             }
             let now = self.now();
-            let passes = self.books[node].take(ACCOUNT, size as u64, now).is_ok();
+            let passes = self.books[node].try_take(ACCOUNT, size as u64, now).is_ok();
             if passes {
                 self.passed.push((self.time, size));
             }
@@ -398,35 +398,35 @@
     let rate = 300_000.0;
     let mut now = Instant::now();
     let mut own = book(0, 0, now);
-    own.set_neighbours(NODES - 1);
+    own.set_region_peers(NODES - 1);
     own.set_limits(&limits(rate), now);
     // The one other region uses a little for long, the other one much for two seconds.
     let mut spent = [0, 0];
     for step in 0..240 {
         now += Duration::from_millis(50);
-        own.hear(&RegionSpends::of(0), now);
+        own.apply_update(&RegionUsage::of(0), now);
         for (index, region) in [1, 2].into_iter().enumerate() {
             let units = [2_000, if step < 200 { 0 } else { 40_000 }][index];
             spent[index] += units;
-            let count = SpentCount {
+            let count = UsageCounter {
                 spent: spent[index],
                 returned: 0,
                 added: units as i64,
             };
-            let mut news = RegionSpends::of(region);
+            let mut news = RegionUsage::of(region);
             news.add(region * 1_000, ACCOUNT, &count);
-            own.hear(&news, now);
+            own.apply_update(&news, now);
         }
     }
     let mut before = 0.0;
     for step in 0..200 {
         now += Duration::from_millis(50);
-        own.hear(&RegionSpends::of(0), now);
+        own.apply_update(&RegionUsage::of(0), now);
         if step == 40 {
-            before = own.left(ACCOUNT, now).expect("there is a limit");
+            before = own.remaining(ACCOUNT, now).expect("there is a limit");
         }
     }
-    let after = own.left(ACCOUNT, now).expect("there is a limit");
+    let after = own.remaining(ACCOUNT, now).expect("there is a limit");
     // A third of a debt is forgotten meanwhile.
     let filled = after - before * 0.67;
     assert!(filled > rate, "{before} to {after} in 8 s");
@@ -440,17 +440,17 @@
     for book in [&mut one, &mut other] {
         book.set_limits(&limits(29_000.0), now);
     }
-    let before = one.left(ACCOUNT, now);
-    one.take(ACCOUNT, 10_000, now).expect("there is room");
-    assert!(one.left(ACCOUNT, now) < before);
-    let taken = one.take_news().expect("it is told");
-    other.hear(&taken, now);
-    one.give_back(ACCOUNT, 10_000, now);
-    let given = one.take_news().expect("it is told");
-    other.hear(&given, now);
-    other.hear(&taken, now);
-    assert_eq!(one.left(ACCOUNT, now), before);
-    assert_eq!(other.left(ACCOUNT, now), before);
+    let before = one.remaining(ACCOUNT, now);
+    one.try_take(ACCOUNT, 10_000, now).expect("there is room");
+    assert!(one.remaining(ACCOUNT, now) < before);
+    let taken = one.take_local_usage().expect("it is told");
+    other.apply_update(&taken, now);
+    one.refund(ACCOUNT, 10_000, now);
+    let given = one.take_local_usage().expect("it is told");
+    other.apply_update(&given, now);
+    other.apply_update(&taken, now);
+    assert_eq!(one.remaining(ACCOUNT, now), before);
+    assert_eq!(other.remaining(ACCOUNT, now), before);
 }
 
 /// The news of one process reached a node late, twice, or not at all; the totals make up for it.
@@ -463,13 +463,13 @@
     }
     let mut told = Vec::new();
     for _ in 0..4 {
-        one.take(ACCOUNT, 5_000, now).expect("there is room");
-        told.extend(one.take_news());
+        one.try_take(ACCOUNT, 5_000, now).expect("there is room");
+        told.extend(one.take_local_usage());
     }
     for index in [0, 3, 1, 3] {
-        other.hear(&told[index], now);
+        other.apply_update(&told[index], now);
     }
-    assert_eq!(other.left(ACCOUNT, now), one.left(ACCOUNT, now));
+    assert_eq!(other.remaining(ACCOUNT, now), one.left(ACCOUNT, now));
 }
 
 /// An operator lowered a limit; whoever waits is told when there is room by the new one, and none of the old
@@ -482,11 +482,14 @@
     let later = now + Duration::from_secs(20);
     one.set_limits(&limits(10_000.0), later);
     assert!(
-        one.left(ACCOUNT, later)
+        one.remaining(ACCOUNT, later)
             .is_some_and(|left| left <= limit(10_000.0).burst)
     );
-    one.take(ACCOUNT, 200_000, later).expect("there is room");
-    let wait = one.take(ACCOUNT, 1_000, later).expect_err("there is none");
+    one.try_take(ACCOUNT, 200_000, later)
+        .expect("there is room");
+    let wait = one
+        .try_take(ACCOUNT, 1_000, later)
+        .expect_err("there is none");
     assert!(wait > Duration::from_secs(10), "{wait:?}");
-    assert!(one.take(ACCOUNT, 1_000, later + wait).is_err() || wait < Duration::from_secs(60));
+    assert!(one.try_take(ACCOUNT, 1_000, later + wait).is_err() || wait < Duration::from_secs(60));
 }
--- a/crates/zinniahatch_route/tests/reader_cover.rs
+++ b/crates/zinniahatch_route/tests/reader_cover.rs
@@ -7,20 +7,20 @@
 use common::table;
 use test_case::test_case;
 use zinniahatch_base::prelude::*;
-use zinniahatch_route::CoverState;
-use zinniahatch_route::ReaderCover;
+use zinniahatch_route::CoverageState;
+use zinniahatch_route::ReaderCoverage;
 use zinniahatch_route::ReplicaEntry;
 
-#[test_case(&[], CoverState::Alone; "nobody_reads")]
-#[test_case(&[7], CoverState::Covered; "same")]
-#[test_case(&[3, 7], CoverState::Covered; "same_as_one")]
-#[test_case(&[3], CoverState::Behind; "missed")]
-fn judge_after_a_while(told: &[u64], expected: CoverState) {
+#[test_case(&[], CoverageState::NoReaders; "nobody_reads")]
+#[test_case(&[7], CoverageState::Current; "same")]
+#[test_case(&[3, 7], CoverageState::Current; "same_as_one")]
+#[test_case(&[3], CoverageState::Behind; "missed")]
+fn judge_after_a_while(told: &[u64], expected: CoverageState) {
     let start = Instant::now();
-    let mut cover = ReaderCover::default();
-    cover.judge(7, told.iter().copied(), start);
+    let mut cover = ReaderCoverage::default();
+    cover.check(7, told.iter().copied(), start);
     let later = start + Duration::from_millis(1_500);
-    assert_eq!(cover.judge(7, told.iter().copied(), later), expected);
+    assert_eq!(cover.check(7, told.iter().copied(), later), expected);
 }
 
 /// A replica said that it was leaving. The datagrams that told a node so were lost, its own watch rested,
@@ -41,15 +41,15 @@
         reader.entries_digest(&regions(), &"north".into())
     };
     let mut node = table(&["r1", "r2"], now);
-    let mut cover = ReaderCover::default();
+    let mut cover = ReaderCoverage::default();
     let region: RegionId = "north".into();
-    cover.judge(node.entries_digest(&regions(), &region), [reader], now);
+    cover.check(node.entries_digest(&regions(), &region), [reader], now);
     let later = now + Duration::from_secs(2);
     let own = node.entries_digest(&regions(), &region);
-    assert_eq!(cover.judge(own, [reader], later), CoverState::Behind);
+    assert_eq!(cover.check(own, [reader], later), CoverageState::Behind);
     node.vanish("r2", 5.into(), later);
     let own = node.entries_digest(&regions(), &region);
-    assert_eq!(cover.judge(own, [reader], later), CoverState::Behind);
+    assert_eq!(cover.check(own, [reader], later), CoverageState::Behind);
 }
 
 /// Beliefs that answers taught, and replicas of other regions, must not make nodes disagree.
--- a/crates/zinniahatch_route/tests/region_ways.rs
+++ b/crates/zinniahatch_route/tests/region_ways.rs
@@ -2,7 +2,7 @@
 
 use test_case::test_case;
 use zinniahatch_base::prelude::*;
-use zinniahatch_route::RegionWays;
+use zinniahatch_route::RegionPaths;
 
 fn after(start: Instant, millis: u64) -> Instant {
     start + Duration::from_millis(millis)
@@ -15,16 +15,16 @@
 fn broken_one_way_cut() {
     let start = Instant::now();
     let south: RegionId = "south".into();
-    let mut ways = RegionWays::default();
-    ways.note_proof(&south, start);
+    let mut ways = RegionPaths::default();
+    ways.note_delivered(&south, start);
     ways.note_sent(&south, 1, after(start, 100));
-    assert!(ways.broken(after(start, 900)).is_empty());
-    assert!(ways.broken(after(start, 1_100)).contains("south"));
+    assert!(ways.unreachable(after(start, 900)).is_empty());
+    assert!(ways.unreachable(after(start, 1_100)).contains("south"));
     // The caller gave up; there is still no proof that the way is whole.
-    ways.note_given_up(&south, 1);
-    assert!(ways.broken(after(start, 1_900)).contains("south"));
-    ways.note_proof(&south, after(start, 6_000));
-    assert!(ways.broken(after(start, 6_200)).is_empty());
+    ways.note_abandoned(&south, 1);
+    assert!(ways.unreachable(after(start, 1_900)).contains("south"));
+    ways.note_delivered(&south, after(start, 6_000));
+    assert!(ways.unreachable(after(start, 6_200)).is_empty());
 }
 
 /// A region that is merely slow, or from which nothing was heard yet, is not cut off.
@@ -34,16 +34,16 @@
 fn broken_whole_way(proof: Option<u64>, answer: Option<u64>) {
     let start = Instant::now();
     let south: RegionId = "south".into();
-    let mut ways = RegionWays::default();
+    let mut ways = RegionPaths::default();
     ways.note_sent(&south, 1, start);
     ways.note_sent(&south, 2, start);
     if let Some(sent) = proof {
-        ways.note_proof(&south, after(start, sent));
+        ways.note_delivered(&south, after(start, sent));
     }
     if let Some(at) = answer {
         ways.note_answer(&south, 2, after(start, at));
     }
-    assert!(ways.broken(after(start, 1_500)).is_empty());
+    assert!(ways.unreachable(after(start, 1_500)).is_empty());
 }
 
 /// An older echo that arrives late must not take back a newer proof.
@@ -51,8 +51,8 @@
 fn note_proof_late_echo() {
     let start = Instant::now();
     let south: RegionId = "south".into();
-    let mut ways = RegionWays::default();
-    ways.note_proof(&south, after(start, 1_000));
-    ways.note_proof(&south, start);
-    assert!(ways.broken(after(start, 2_500)).is_empty());
+    let mut ways = RegionPaths::default();
+    ways.note_delivered(&south, after(start, 1_000));
+    ways.note_delivered(&south, start);
+    assert!(ways.unreachable(after(start, 2_500)).is_empty());
 }
--- a/crates/zinniahatch_route/tests/replay.rs
+++ b/crates/zinniahatch_route/tests/replay.rs
@@ -11,7 +11,7 @@
 use common::table;
 use zinniahatch_base::prelude::*;
 use zinniahatch_route::AdmissionRule;
-use zinniahatch_route::ColdGate;
+use zinniahatch_route::ColdLimiter;
 use zinniahatch_route::LeaveReason;
 use zinniahatch_route::OpenWork;
 use zinniahatch_route::ReplicaTable;
@@ -98,7 +98,7 @@
         let now = self.instant(call.at);
         let choice = choose_local(
             &self.table,
-            &ColdGate::default(),
+            &ColdLimiter::default(),
             &regions(),
             &parts.ask(),
             now,
--- a/crates/zinniahatch_route/tests/rest_ways.rs
+++ b/crates/zinniahatch_route/tests/rest_ways.rs
@@ -9,14 +9,14 @@
 use rand::rngs::StdRng;
 use std::collections::BTreeMap;
 use zinniahatch_base::prelude::*;
-use zinniahatch_route::AnswerProof;
-use zinniahatch_route::ColdGate;
-use zinniahatch_route::HeardNotice;
+use zinniahatch_route::ColdLimiter;
 use zinniahatch_route::NamedRest;
 use zinniahatch_route::OpenWork;
+use zinniahatch_route::ReceivedNotice;
 use zinniahatch_route::ReplicaEntry;
 use zinniahatch_route::ReplicaNotice;
 use zinniahatch_route::ReplicaTable;
+use zinniahatch_route::ResponseAuth;
 
 const STEP: Duration = Duration::from_millis(5);
 const TIME: Duration = Duration::from_secs(30);
@@ -161,7 +161,7 @@
         for offset in 0..REPLICAS {
             let replica = (first + offset) % REPLICAS;
             let table = &mut self.tables[caller.node];
-            let claim = table.claim(&mut ColdGate::default(), &id_of(replica), 0, now);
+            let claim = table.claim(&mut ColdLimiter::default(), &id_of(replica), 0, now);
             if claim.is_err() {
                 continue;
             }
@@ -221,15 +221,15 @@
             if table != node && (taken || self.way != RestWay::All) {
                 continue;
             }
-            let heard = HeardNotice {
+            let heard = ReceivedNotice {
                 replica: entry_tag(replica),
                 notice: &notice,
-                proof: AnswerProof::Sealed,
+                auth: ResponseAuth::Authenticated,
                 taken,
                 sent,
                 draw: self.random.random(),
             };
-            self.tables[table].hear(&heard, now);
+            self.tables[table].apply_notice(&heard, now);
         }
     }
 
--- a/crates/zinniahatch_route/tests/returns.rs
+++ b/crates/zinniahatch_route/tests/returns.rs
@@ -7,16 +7,16 @@
 use common::regions;
 use test_case::test_case;
 use zinniahatch_base::prelude::*;
-use zinniahatch_route::AnswerProof;
-use zinniahatch_route::HeardNotice;
 use zinniahatch_route::NamedRest;
 use zinniahatch_route::PlaceAsk;
+use zinniahatch_route::ReceivedNotice;
 use zinniahatch_route::ReplicaEntry;
 use zinniahatch_route::ReplicaNotice;
 use zinniahatch_route::ReplicaTable;
-use zinniahatch_route::ReturnLine;
+use zinniahatch_route::ResponseAuth;
+use zinniahatch_route::RetryQueue;
 use zinniahatch_route::Withheld;
-use zinniahatch_route::earliest_return;
+use zinniahatch_route::earliest_retry;
 
 /// Makes a table of replicas, each with the rest that it asked for, in seconds.
 fn table(rests: &[Option<u64>], now: Instant) -> ReplicaTable {
@@ -35,15 +35,15 @@
             rest: NamedRest::For(Duration::from_secs(*rest)),
             ..ReplicaNotice::default()
         };
-        let heard = HeardNotice {
+        let heard = ReceivedNotice {
             replica,
             notice: &notice,
-            proof: AnswerProof::Sealed,
+            auth: ResponseAuth::Authenticated,
             taken: false,
             sent: now,
             draw: 0,
         };
-        table.hear(&heard, now);
+        table.apply_notice(&heard, now);
     }
     table
 }
@@ -69,7 +69,7 @@
         node: "n",
         peers: &peers,
     };
-    let found = earliest_return(&table, &regions(), &ask, now);
+    let found = earliest_retry(&table, &regions(), &ask, now);
     let found = found.map(|first| (first.reason, first.after.as_secs()));
     assert_eq!(found, expected);
 }
@@ -79,14 +79,14 @@
 fn callers_come_back_one_after_the_other() {
     let now = Instant::now();
     let (after, step) = (Duration::from_secs(2), Duration::from_millis(100));
-    let mut line = ReturnLine::default();
+    let mut line = RetryQueue::default();
     for number in 0..10 {
-        assert_eq!(line.take(after, step, now), after + step * number);
+        assert_eq!(line.next_delay(after, step, now), after + step * number);
     }
     // Nobody is put off for ever, and the line is empty once its callers are back.
     for _ in 0..100 {
-        assert!(line.take(after, step, now) <= after * 2);
+        assert!(line.next_delay(after, step, now) <= after * 2);
     }
     let later = now + Duration::from_secs(20);
-    assert_eq!(line.take(after, step, later), after);
+    assert_eq!(line.next_delay(after, step, later), after);
 }
--- a/crates/zinniahatch_route/tests/work_news.rs
+++ b/crates/zinniahatch_route/tests/work_news.rs
@@ -10,17 +10,17 @@
 use common::table;
 use test_case::test_case;
 use zinniahatch_base::prelude::*;
-use zinniahatch_route::ColdGate;
-use zinniahatch_route::CollectorBook;
-use zinniahatch_route::MemberCard;
+use zinniahatch_route::ColdLimiter;
+use zinniahatch_route::CollectorSelector;
+use zinniahatch_route::MemberInfo;
 use zinniahatch_route::OpenWork;
 use zinniahatch_route::PromptRead;
 use zinniahatch_route::ReplicaTable;
-use zinniahatch_route::WorkGatherer;
-use zinniahatch_route::WorkPart;
+use zinniahatch_route::WorkBatch;
 use zinniahatch_route::WorkPath;
+use zinniahatch_route::WorkUpdate;
+use zinniahatch_route::batch_interval;
 use zinniahatch_route::choose_local;
-use zinniahatch_route::gather_time;
 
 const OWN: &str = "n0";
 
@@ -31,8 +31,8 @@
     }
 }
 
-fn part(origin: ShortTag, number: u32, work: Vec<(ShortTag, OpenWork)>) -> WorkPart {
-    WorkPart {
+fn part(origin: ShortTag, number: u32, work: Vec<(ShortTag, OpenWork)>) -> WorkUpdate {
+    WorkUpdate {
         origin,
         number,
         work,
@@ -41,31 +41,36 @@
 }
 
 /// Nodes of a region with the strengths given, each at an address of its own.
-fn nodes(strengths: &[u32]) -> Vec<MemberCard> {
-    let card_of = |(index, strength): (usize, &u32)| {
+fn nodes(strengths: &[u32]) -> Vec<MemberInfo> {
+    let card_of = |(index, cpu_share): (usize, &u32)| {
         let mut card = card(&format!("n{}", index + 1), "north", 0, 1);
         card.peer = address(index as u8 + 1);
-        card.strength = *strength;
+        card.cpu_share = *cpu_share;
         card
     };
     strengths.iter().enumerate().map(card_of).collect()
 }
 
-fn choose(book: &CollectorBook, strength: u32, nodes: &[MemberCard], now: Instant) -> WorkPath {
-    let living: Vec<&MemberCard> = nodes.iter().collect();
-    book.choose(&OWN.into(), strength, &living, now)
+fn choose(
+    book: &CollectorSelector,
+    cpu_share: u32,
+    nodes: &[MemberInfo],
+    now: Instant,
+) -> WorkPath {
+    let living: Vec<&MemberInfo> = nodes.iter().collect();
+    book.choose(&OWN.into(), cpu_share, &living, now)
 }
 
 #[test]
 fn choose_few_nodes_tell_all() {
-    let book = CollectorBook::default();
+    let book = CollectorSelector::default();
     let nodes = nodes(&[100; 8]);
     assert_eq!(choose(&book, 100, &nodes, Instant::now()), WorkPath::All);
 }
 
 #[test]
 fn choose_strongest_gathers() {
-    let book = CollectorBook::default();
+    let book = CollectorSelector::default();
     let mut strengths = [12; 30];
     strengths[17] = 50;
     let nodes = nodes(&strengths);
@@ -79,17 +84,17 @@
 /// and all others sent to the replicas that it had filled. Cause: nothing told that the news went nowhere.
 #[test]
 fn choose_silent_collector_is_left() {
-    let mut book = CollectorBook::default();
+    let mut book = CollectorSelector::default();
     let mut strengths = [12; 30];
     strengths[3] = 50;
     strengths[9] = 40;
     let nodes = nodes(&strengths);
     let start = Instant::now();
     let (first, second) = (nodes[3].peer, nodes[9].peer);
-    book.note_told(first, start);
-    assert!(!book.review(start + Duration::from_millis(100)));
+    book.note_sent(first, start);
+    assert!(!book.drop_unresponsive(start + Duration::from_millis(100)));
     let later = start + Duration::from_millis(200);
-    assert!(book.review(later));
+    assert!(book.drop_unresponsive(later));
     assert_eq!(
         choose(&book, 12, &nodes, later),
         WorkPath::Collector(second)
@@ -101,30 +106,30 @@
 
 #[test]
 fn review_heard_collector_stays() {
-    let mut book = CollectorBook::default();
+    let mut book = CollectorSelector::default();
     let start = Instant::now();
-    book.note_told(address(1), start);
-    book.note_heard(address(1));
-    assert!(!book.review(start + Duration::from_secs(1)));
+    book.note_sent(address(1), start);
+    book.note_forwarded(address(1));
+    assert!(!book.drop_unresponsive(start + Duration::from_secs(1)));
 }
 
 /// The collector's machine turned five times slower: what it was told was passed on after 75 ms instead of 15.
 /// It is kept, since every change of the collector has all open work told anew.
 #[test]
 fn review_slow_collector_stays() {
-    let mut book = CollectorBook::default();
+    let mut book = CollectorSelector::default();
     let start = Instant::now();
     for round in 0..20 {
         let told = start + Duration::from_millis(100) * round;
-        book.note_told(address(1), told);
-        assert!(!book.review(told + gather_time(65) * 5));
-        book.note_heard(address(1));
+        book.note_sent(address(1), told);
+        assert!(!book.drop_unresponsive(told + batch_interval(65) * 5));
+        book.note_forwarded(address(1));
     }
 }
 
 #[test]
 fn gatherer_newer_news_replace_older() {
-    let mut gatherer = WorkGatherer::default();
+    let mut gatherer = WorkBatch::default();
     gatherer.add(part(1, 5, vec![(7, work(1)), (8, work(1))]));
     gatherer.add(part(1, 6, vec![(7, work(2))]));
     gatherer.add(part(1, 4, vec![(7, work(9))]));
@@ -136,7 +141,7 @@
 #[test_case(40, 2; "in_two_datagrams")]
 #[test_case(10, 1; "in_one_datagram")]
 fn gatherer_fills_packets(processes: u32, datagrams: usize) {
-    let mut gatherer = WorkGatherer::default();
+    let mut gatherer = WorkBatch::default();
     for origin in 0..processes {
         gatherer.add(part(origin, 1, vec![(1, work(1)), (2, work(1))]));
     }
@@ -157,7 +162,7 @@
         parts: prompt(1, 1).parts,
     };
     large.reads = vec![read; 64];
-    let mut gatherer = WorkGatherer::default();
+    let mut gatherer = WorkBatch::default();
     gatherer.add(large);
     gatherer.add(part(2, 1, vec![(1, work(1))]));
     assert_eq!(gatherer.take(1_200).0.len(), 1);
@@ -265,7 +270,7 @@
         let mut ask = parts.ask();
         ask.draw = u64::from(call).wrapping_mul(0x9e37_79b9_7f4a_7c15);
         let table = &self.tables[node];
-        let choice = choose_local(table, &ColdGate::default(), &regions(), &ask, now).unwrap();
+        let choice = choose_local(table, &ColdLimiter::default(), &regions(), &ask, now).unwrap();
         let work = OpenWork {
             requests: 1,
             tokens: choice.tokens,
@@ -315,7 +320,7 @@
 #[test]
 fn peak_fresh_news_keep_prompts_in_time() {
     let old = late_calls(Duration::from_millis(50 + 2 * 65));
-    let fresh = late_calls(gather_time(NODES));
+    let fresh = late_calls(batch_interval(NODES));
     println!("late of {CALLS}: {old} with news at 180 ms, {fresh} with gathered ones");
     assert!(fresh * 2 < old, "{fresh} of {CALLS} late, {old} before");
 }
