--- a/crates/zinniahatch_route/src/directory.rs
+++ b/crates/zinniahatch_route/src/directory.rs
@@ -71,9 +71,8 @@
     now: Instant,
 ) -> DirectoryAnswer {
     let region = query.region;
-    let own = |stage| {
-        (**query.own_region == *region && query.own_stage == stage).then_some(query.own_front)
-    };
+    let own =
+        |at| (**query.own_region == *region && query.own_stage == at).then_some(query.own_front);
     if let Some(bound) = query.max_proof_age {
         let own = own(MemberStage::Ready).filter(|_| query.own_proof_fresh);
         let local = caller_addresses(members.proven_in(region, bound, now), own);
--- a/crates/zinniahatch_route/src/members.rs
+++ b/crates/zinniahatch_route/src/members.rs
@@ -48,9 +48,9 @@
         Starting,
         /// Accepts callers.
         Ready,
-        /// Was proof to stop; still serves callers that come.
+        /// Was told to stop; still serves callers that come.
         Leaving,
-        /// Was proof to stop and accepts only requests that end soon, because no other node of its
+        /// Was told to stop and accepts only requests that end soon, because no other node of its
         /// region is ready.
         PlainOnly,
         /// Accepts no more requests and finishes those in progress.
@@ -238,10 +238,9 @@
         let live = self.live_in(region, now);
         let proven = |info: &&MemberInfo| {
             let heard = self.rows.get(&info.node).map_or(now, |row| row.heard);
-            let since = now.saturating_duration_since(heard);
-            info.proof.is_some_and(|proof| {
-                Duration::from_millis(u64::from(proof.age_ms)) + since <= bound
-            })
+            let age = now.saturating_duration_since(heard);
+            info.proof
+                .is_some_and(|proof| Duration::from_millis(u64::from(proof.age_ms)) + age <= bound)
         };
         live.into_iter().filter(proven).collect()
     }
--- a/crates/zinniahatch_route/src/work_sync.rs
+++ b/crates/zinniahatch_route/src/work_sync.rs
@@ -157,7 +157,8 @@
         self.updates.is_empty() && self.usage.is_empty()
     }
 
-    /// Takes the content of one datagram of about `max_bytes` bytes; at least one process or region.
+    /// Takes the content of one datagram of about `max_bytes` bytes, at least one process or
+    /// region.
     pub fn take(&mut self, max_bytes: usize) -> (Vec<WorkUpdate>, Vec<RegionUsage>) {
         let updates = self.take_updates(max_bytes);
         let mut usage = Vec::new();
