--- a/crates/zinniahatch_route/src/collectors.rs
+++ b/crates/zinniahatch_route/src/collectors.rs
@@ -3,9 +3,9 @@
 //! Alternatives considered, for 65 nodes in a region that place 1,100 requests/s:
 //!
 //! - Every node sends to every other one: 26,000 datagrams/s received with a pause of 20 ms, 2.5%
-//! of a core per node.
+//!   of a core per node.
 //! - One node counts the work of a replica and is asked for each placement: a round trip per
-//! request, and placement stops when that node fails.
+//!   request, and placement stops when that node fails.
 //! - Each node places a fixed part of the requests: not possible, since callers choose the node.
 //!
 //! Instead, each node sends its updates at once to one collector, which batches those of many
@@ -79,12 +79,12 @@
         }
         let usable = live
             .iter()
-            .filter(|card| {
+            .filter(|info| {
                 self.excluded
-                    .get(&card.peer)
+                    .get(&info.peer)
                     .is_none_or(|until| now >= *until)
             })
-            .map(|card| (card.cpu_share, &card.node, WorkPath::Collector(card.peer)));
+            .map(|info| (info.cpu_share, &info.node, WorkPath::Collector(info.peer)));
         let mut ranked: Vec<_> = usable.chain([(cpu_share, own, WorkPath::Own)]).collect();
         ranked.sort_by_key(|(cpu_share, node, _)| {
             (
--- a/crates/zinniahatch_route/src/heartbeat_targets.rs
+++ b/crates/zinniahatch_route/src/heartbeat_targets.rs
@@ -4,10 +4,10 @@
 //! Alternatives considered:
 //!
 //! - Heartbeats to every node: cost grows with the square of the fleet. With 71 nodes this made up
-//! half of the bytes sent between regions on a quiet day, and with 330 nodes it would exceed 9
-//! KB/s per node fifteen times over.
+//!   half of the bytes sent between regions on a quiet day, and with 330 nodes it would exceed 9
+//!   KB/s per node fifteen times over.
 //! - One delegate per region that informs all others: the loss of the delegate hides a region, and
-//! a delegate on a small machine has to send for thirty nodes.
+//!   a delegate on a small machine has to send for thirty nodes.
 //!
 //! Instead, each node polls three nodes of each other region, which reply. The three differ from
 //! node to node, so that neither the cost nor the forwarded requests concentrate on a few nodes.
--- a/crates/zinniahatch_route/src/replica_work.rs
+++ b/crates/zinniahatch_route/src/replica_work.rs
@@ -27,7 +27,7 @@
         belief.own.add_requests(work);
         belief.own.add_tokens(work);
         belief.open.insert(ticket, now);
-        belief.kept.note(&size.parts, capacity);
+        belief.kept.record(&size.parts, capacity);
         self.news.note_changed(belief.tag);
         if size.parts.len() > 1 {
             let shared = &size.parts[..size.parts.len() - 1];
@@ -104,7 +104,7 @@
             let id = self.tags.get(&read.replica);
             if let Some(belief) = id.and_then(|id| self.rows.get_mut(id)) {
                 let capacity = capacity(&belief.entry.service);
-                belief.kept.note(&read.parts, capacity);
+                belief.kept.record(&read.parts, capacity);
             }
         }
     }
--- a/crates/zinniahatch_route/tests/beliefs.rs
+++ b/crates/zinniahatch_route/tests/beliefs.rs
@@ -136,13 +136,13 @@
 fn leading_counts_from_the_front() {
     let part = |tag, tokens| PromptPart { tag, tokens };
     let mut kept = PrefixCache::default();
-    kept.note(&[part(1, 100), part(2, 100)], 1_000);
+    kept.record(&[part(1, 100), part(2, 100)], 1_000);
     assert_eq!(
         kept.cached_prefix(&[part(1, 100), part(2, 100), part(3, 9)]),
         2
     );
     assert_eq!(kept.cached_prefix(&[part(9, 100), part(2, 100)]), 0);
-    kept.note(&[part(4, 950)], 1_000);
+    kept.record(&[part(4, 950)], 1_000);
     assert_eq!(kept.cached_prefix(&[part(1, 100)]), 0, "the oldest yields");
     assert_eq!(kept.cached_prefix(&[part(4, 950)]), 1);
 }
--- a/crates/zinniahatch_route/tests/replay.rs
+++ b/crates/zinniahatch_route/tests/replay.rs
@@ -124,7 +124,7 @@
         }
         let capacity = 1_000_000;
         if let Some(belief) = self.table.get_mut(&choice.replica) {
-            belief.kept.note(&parts.size.parts, capacity);
+            belief.kept.record(&parts.size.parts, capacity);
         }
         if let Some((free, reads)) = self.queues.get_mut(&choice.replica) {
             let reading = f64::from(choice.tokens) * TOKEN_MS;
