--- a/crates/zinniahatch_route/tests/quota.rs
+++ b/crates/zinniahatch_route/tests/quota.rs
@@ -469,7 +469,7 @@
     for index in [0, 3, 1, 3] {
         other.apply_update(&told[index], now);
     }
-    assert_eq!(other.remaining(ACCOUNT, now), one.left(ACCOUNT, now));
+    assert_eq!(other.remaining(ACCOUNT, now), one.remaining(ACCOUNT, now));
 }
 
 /// An operator lowered a limit; whoever waits is told when there is room by the new one, and none of the old
