--- a/crates/zinniahatch_route/src/key_freshness.rs
+++ b/crates/zinniahatch_route/src/key_freshness.rs
@@ -50,13 +50,13 @@
     ///
     /// `sent` is the time of the call, `own_version` the version that this node uses.
     pub fn record(&mut self, version: u64, sent: Duration, own_version: u64) {
-        let proof = if version <= own_version {
+        let slot = if version <= own_version {
             &mut self.current
         } else {
             &mut self.ahead
         };
-        if proof.is_none_or(|known| sent > known.sent) {
-            *proof = Some(StoredProof { version, sent });
+        if slot.is_none_or(|known| sent > known.sent) {
+            *slot = Some(StoredProof { version, sent });
         }
     }
 
