--- a/crates/zinniahatch_route/src/members.rs
+++ b/crates/zinniahatch_route/src/members.rs
@@ -67,7 +67,7 @@
         pub region: RegionId,
         /// Its data centre.
         pub data_centre: DataCentreId,
-        /// CPU quota, in hundredths of a core.
+        /// Share of a CPU core that it has, in hundredths.
         pub cpu_share: u32,
         /// Address for callers.
         pub front: SocketAddrV4,
--- a/crates/zinniahatch_route/src/usage_meter.rs
+++ b/crates/zinniahatch_route/src/usage_meter.rs
@@ -6,8 +6,9 @@
 /// divides the allowance during a partition, from values that all regions know.
 const SHORT_AVERAGE_TIME: Duration = Duration::from_secs(1);
 const LONG_AVERAGE_TIME: Duration = Duration::from_secs(5);
-/// Age from which an average is known to all regions: a partition is detected only after a
-/// silence, and the usage of each region in between is known to itself alone.
+/// Interval between samples of the long average. A sample of this age is known to all regions: a
+/// partition is detected only after a silence, and the usage of each region in between is known to
+/// itself alone.
 const SAMPLE_INTERVAL: Duration = Duration::from_secs(1);
 /// Number of past averages considered. Nodes take them at different times, so that one node's
 /// latest may be another's previous or next one.
@@ -64,7 +65,7 @@
     long_average: f64,
     recent: RecentUsage,
     at: Instant,
-    /// The long average as of the last multiples of `SAMPLE_INTERVAL`, newest first.
+    /// The latest samples of the long average, newest first.
     pub(crate) samples: [f64; SAMPLE_COUNT],
     step: Instant,
 }
