--- a/crates/zinniahatch_entry/src/auth/proofs.rs
+++ b/crates/zinniahatch_entry/src/auth/proofs.rs
@@ -16,7 +16,7 @@
 use tokio::time::sleep;
 use zinniahatch_base::prelude::*;
 use zinniahatch_platform::KvError;
-use zinniahatch_route::ToldProof;
+use zinniahatch_route::FreshnessProof;
 
 /// Interval between checks of the proof's age.
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
@@ -72,7 +72,7 @@
     let Some(bound) = core.settings.bounds.revoke else {
         return false;
     };
-    if !core.identities.borrow().is_guarded() {
+    if !core.identities.borrow().requires_key() {
         return false;
     }
     let Some(age) = core.key_freshness.borrow().age(core.clock.now()) else {
@@ -127,14 +127,14 @@
     // newer version must not take that as a proof.
     let newest = core.members.borrow().newest_version(Instant::now());
     let mut proofs = core.key_freshness.borrow_mut();
-    proofs.note(version.max(newest), sent, version);
+    proofs.record(version.max(newest), sent, version);
 }
 
 /// Merges a proof from another node.
 ///
 /// `asked` is a time before the other node sent the proof; the age in the proof counts back from
 /// that time.
-pub(crate) fn apply_proof(core: &EntryCore, proof: ToldProof, asked: Duration) {
+pub(crate) fn apply_proof(core: &EntryCore, proof: FreshnessProof, asked: Duration) {
     let version = core.version();
-    core.key_freshness.borrow_mut().hear(proof, asked, version);
+    core.key_freshness.borrow_mut().merge(proof, asked, version);
 }
--- a/crates/zinniahatch_entry/src/core.rs
+++ b/crates/zinniahatch_entry/src/core.rs
@@ -19,19 +19,19 @@
 use zinniahatch_config::EntrySettings;
 use zinniahatch_platform::KvClient;
 use zinniahatch_route::AccountTable;
-use zinniahatch_route::ColdGate;
-use zinniahatch_route::ContactBook;
+use zinniahatch_route::ColdLimiter;
 use zinniahatch_route::DesiredService;
 use zinniahatch_route::DesiredState;
+use zinniahatch_route::HeartbeatTargets;
+use zinniahatch_route::KeyFreshness;
 use zinniahatch_route::MemberStage;
 use zinniahatch_route::MemberTable;
-use zinniahatch_route::ProofBook;
-use zinniahatch_route::QuotaBook;
-use zinniahatch_route::ReaderCover;
-use zinniahatch_route::RegionWays;
-use zinniahatch_route::RepeatBudget;
+use zinniahatch_route::QuotaTable;
+use zinniahatch_route::ReaderCoverage;
+use zinniahatch_route::RegionPaths;
 use zinniahatch_route::ReplicaTable;
-use zinniahatch_route::ReturnLine;
+use zinniahatch_route::RetryBudget;
+use zinniahatch_route::RetryQueue;
 use zinniahatch_route::RouteTable;
 use zinniahatch_route::ServingPreset;
 use zinniahatch_route::SuspectTable;
@@ -60,21 +60,21 @@
     /// The client accounts and their API keys.
     pub(crate) identities: RefCell<Rc<AccountTable>>,
     /// How long those keys may be trusted.
-    pub(crate) key_freshness: RefCell<ProofBook>,
+    pub(crate) key_freshness: RefCell<KeyFreshness>,
     pub(crate) clock: BootClock,
     /// The store revision up to which this node has seen the operators' writes.
     pub(crate) operator_revision: Cell<Option<StoreRevision>>,
     /// Remaining allowances of the client accounts.
-    pub(crate) quotas: RefCell<QuotaBook>,
+    pub(crate) quotas: RefCell<QuotaTable>,
     pub(crate) preset: RefCell<ServingPreset>,
     pub(crate) replicas: RefCell<ReplicaTable>,
     pub(crate) members: RefCell<MemberTable>,
     /// Whether requests to other regions get through.
-    pub(crate) region_paths: RefCell<RegionWays>,
-    pub(crate) cold_limiter: RefCell<ColdGate>,
+    pub(crate) region_paths: RefCell<RegionPaths>,
+    pub(crate) cold_limiter: RefCell<ColdLimiter>,
     /// Spreads the `Retry-After` times of callers of each service whose replicas take no work for
     /// now.
-    pub(crate) retry_queues: RefCell<BTreeMap<ServiceId, ReturnLine>>,
+    pub(crate) retry_queues: RefCell<BTreeMap<ServiceId, RetryQueue>>,
     /// Requests that were running on replicas when those ended.
     pub(crate) suspects: RefCell<SuspectTable>,
     /// Signalled when a request enters or leaves quarantine.
@@ -82,14 +82,14 @@
     /// Requests released from quarantine whose key in the store has to be removed.
     pub(crate) released_requests: RefCell<Vec<ContentDigest>>,
     pub(crate) crash_checks: CrashChecks,
-    pub(crate) retry_budgets: RefCell<BTreeMap<ServiceId, RepeatBudget>>,
+    pub(crate) retry_budgets: RefCell<BTreeMap<ServiceId, RetryBudget>>,
     /// Peer addresses of other nodes, learned from the store and from other nodes.
-    pub(crate) heartbeat_targets: RefCell<ContactBook>,
+    pub(crate) heartbeat_targets: RefCell<HeartbeatTargets>,
     pub(crate) counts: PendingCounts,
     /// Replica updates that have not been sent to the other nodes of the region.
     pub(crate) replica_updates: RefCell<ReplicaUpdates>,
     /// For each topic, how this node's state compares with that of its region's store readers.
-    pub(crate) topic_coverage: RefCell<BTreeMap<WatchTopic, ReaderCover>>,
+    pub(crate) topic_coverage: RefCell<BTreeMap<WatchTopic, ReaderCoverage>>,
     /// Whether this node leaves reading the desired state from the store to other nodes.
     pub(crate) skips_watch: Cell<bool>,
     pub(crate) pool: ConnectionPool,
@@ -122,7 +122,7 @@
         metrics: EntryMetrics,
         clock: BootClock,
     ) -> Self {
-        let quotas = QuotaBook::new(
+        let quotas = QuotaTable::new(
             origin_tag(&settings.name, incarnation),
             tag_of(&settings.region),
             settings.regions.values().map(|region| tag_of(region)),
@@ -130,10 +130,10 @@
         );
         let log = DecisionLog::new(settings.name.clone(), settings.log_rate_limit);
         let store = KvClient::new(&settings.store.to_string());
-        let mut heartbeat_targets = ContactBook::new(settings.listen.peer, &settings.region);
+        let mut heartbeat_targets = HeartbeatTargets::new(settings.listen.peer, &settings.region);
         for seed in &settings.seeds {
             let port = settings.listen.peer.port();
-            heartbeat_targets.note(SocketAddrV4::new(*seed.ip(), port), None);
+            heartbeat_targets.add(SocketAddrV4::new(*seed.ip(), port), None);
         }
         Self {
             incarnation,
@@ -258,7 +258,7 @@
         *self.identities.borrow_mut() = Rc::new(identities);
         let limits = quota_limits(self, &state);
         self.quotas.borrow_mut().set_limits(&limits, Instant::now());
-        self.key_freshness.borrow_mut().follow(state.version);
+        self.key_freshness.borrow_mut().set_version(state.version);
         *self.routes.borrow_mut() = Rc::new(RouteTable::new(&state));
         *self.desired.borrow_mut() = Some(Rc::new(state));
         self.state_learned.notify_waiters();
@@ -270,7 +270,7 @@
         let Some(bound) = self.settings.bounds.revoke else {
             return true;
         };
-        if !self.identities.borrow().is_guarded() {
+        if !self.identities.borrow().requires_key() {
             return true;
         }
         !self.may_be_stale()
@@ -297,7 +297,7 @@
 
     /// Returns how long proofs of key freshness remain valid, if callers have to authenticate.
     pub(crate) fn key_bound(&self) -> Option<Duration> {
-        let guarded = self.identities.borrow().is_guarded();
+        let guarded = self.identities.borrow().requires_key();
         self.settings.bounds.revoke.filter(|_| guarded)
     }
 
@@ -330,14 +330,14 @@
     pub(crate) fn with_retry_budget<T>(
         &self,
         service: &ServiceId,
-        run: impl FnOnce(&mut RepeatBudget) -> T,
+        run: impl FnOnce(&mut RetryBudget) -> T,
     ) -> T {
         let mut retry_budgets = self.retry_budgets.borrow_mut();
         let budget = retry_budgets.entry(service.clone()).or_insert_with(|| {
             let bounds = &self.settings.bounds;
             let members = self.members.borrow().known().count();
             let nodes = members.max(self.heartbeat_targets.borrow().len()) + 1;
-            RepeatBudget::new(
+            RetryBudget::new(
                 bounds.repeat_window,
                 bounds.repeat_ratio,
                 bounds.repeat_slack,
--- a/crates/zinniahatch_entry/src/nodes/broadcast.rs
+++ b/crates/zinniahatch_entry/src/nodes/broadcast.rs
@@ -10,7 +10,7 @@
 use tokio::net::UdpSocket;
 use zinniahatch_base::prelude::*;
 use zinniahatch_route::LimitNews;
-use zinniahatch_route::MemberCard;
+use zinniahatch_route::MemberInfo;
 use zinniahatch_route::ReplicaLife;
 
 /// Maximum replica updates per datagram: about 60 bytes each, so that they fit in one packet.
@@ -47,9 +47,12 @@
         send_to_matching(core, socket, &GossipMessage::Suspects(batch.wide), |_| true).await;
     }
     if !batch.own.is_empty() {
-        let relays = core.members.borrow().one_each(&core.settings.name, now);
+        let relays = core
+            .members
+            .borrow()
+            .one_per_region(&core.settings.name, now);
         let filter =
-            |member: &MemberCard| in_own_region(core, member) || relays.contains(&member.peer);
+            |member: &MemberInfo| in_own_region(core, member) || relays.contains(&member.peer);
         send_to_matching(core, socket, &GossipMessage::Suspects(batch.own), filter).await;
     }
     if !batch.passed.is_empty() {
@@ -70,7 +73,12 @@
 
 /// Sends all known rate limits and leaving replicas to a node of the region whose digest differs.
 pub(crate) async fn send_known_notices(core: &EntryCore, socket: &UdpSocket, to: SocketAddrV4) {
-    let leaving: Vec<ReplicaLife> = core.replicas.borrow().said_leaving().cloned().collect();
+    let leaving: Vec<ReplicaLife> = core
+        .replicas
+        .borrow()
+        .announced_leaving()
+        .cloned()
+        .collect();
     for part in leaving.chunks(MAX_REPLICA_UPDATES) {
         let updates = ReplicaUpdates {
             leaving: part.to_vec(),
--- a/crates/zinniahatch_entry/src/nodes/catch_up.rs
+++ b/crates/zinniahatch_entry/src/nodes/catch_up.rs
@@ -10,7 +10,7 @@
 use std::rc::Rc;
 use tokio::time::sleep;
 use zinniahatch_base::prelude::*;
-use zinniahatch_route::PupilState;
+use zinniahatch_route::SyncState;
 
 /// Interval between comparisons with the versions that other nodes have.
 const CHECK_INTERVAL: Duration = Duration::from_millis(200);
@@ -29,16 +29,16 @@
     loop {
         sleep(CHECK_INTERVAL).await;
         let now = Instant::now();
-        let sighted = !core.replicas.borrow().in_trouble(now);
-        let own = PupilState {
+        let store_reachable = !core.replicas.borrow().in_trouble(now);
+        let own = SyncState {
             region: &core.settings.region,
             version: core.version(),
             preset: core.preset.borrow().revision,
-            sighted,
+            store_reachable,
         };
         let source = {
             let members = core.members.borrow();
-            let peer_info = members.teacher(&own, core.next_ticket(), now);
+            let peer_info = members.sync_source(&own, core.next_ticket(), now);
             peer_info.and_then(|member| members.permit(&member.node))
         };
         let Some(peer) = source else {
@@ -46,20 +46,20 @@
             continue;
         };
         let since = *behind_since.get_or_insert(now);
-        if now.saturating_duration_since(since) < lag_allowance(&core, sighted) {
+        if now.saturating_duration_since(since) < lag_allowance(&core, store_reachable) {
             continue;
         }
         fetch_snapshot(&core, peer).await;
         behind_since = None;
-        if !sighted {
+        if !store_reachable {
             sleep(OUTAGE_PAUSE).await;
         }
     }
 }
 
 /// Returns how long this node waits for its own watch before it fetches a snapshot from a peer.
-fn lag_allowance(core: &EntryCore, sighted: bool) -> Duration {
-    if !sighted || !core.is_initialized() {
+fn lag_allowance(core: &EntryCore, store_reachable: bool) -> Duration {
+    if !store_reachable || !core.is_initialized() {
         return Duration::ZERO;
     }
     if !core.skips_watch.get() {
--- a/crates/zinniahatch_entry/src/nodes/datagrams.rs
+++ b/crates/zinniahatch_entry/src/nodes/datagrams.rs
@@ -4,10 +4,10 @@
 use crate::nodes::gossip_message::GossipMessage;
 use std::net::SocketAddrV4;
 use tokio::net::UdpSocket;
-use zinniahatch_route::MemberCard;
+use zinniahatch_route::MemberInfo;
 
 /// Returns whether a node belongs to this node's region.
-pub(crate) fn in_own_region(core: &EntryCore, member: &MemberCard) -> bool {
+pub(crate) fn in_own_region(core: &EntryCore, member: &MemberInfo) -> bool {
     member.region == core.settings.region
 }
 
@@ -29,7 +29,7 @@
     core: &EntryCore,
     socket: &UdpSocket,
     message: &GossipMessage,
-    filter: impl Fn(&MemberCard) -> bool,
+    filter: impl Fn(&MemberInfo) -> bool,
 ) {
     let Ok(bytes) = postcard::to_allocvec(message) else {
         return;
--- a/crates/zinniahatch_entry/src/nodes/gossip.rs
+++ b/crates/zinniahatch_entry/src/nodes/gossip.rs
@@ -26,9 +26,9 @@
 use tokio::time::interval;
 use tokio::time::sleep_until;
 use zinniahatch_base::prelude::*;
+use zinniahatch_route::FreshnessProof;
 use zinniahatch_route::LimitNews;
-use zinniahatch_route::RegionSpends;
-use zinniahatch_route::ToldProof;
+use zinniahatch_route::RegionUsage;
 
 /// Interval between heartbeats; a node counts as silent after three lost ones.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
@@ -121,7 +121,7 @@
         // the age of the proof.
         let sent = core.clock.now();
         heartbeat.stamp = core.clock.stamp(sent);
-        heartbeat.member.proof = core.key_freshness.borrow().told(sent);
+        heartbeat.member.proof = core.key_freshness.borrow().to_share(sent);
         let message = GossipMessage::Heartbeat(heartbeat);
         let bytes = postcard::to_allocvec(&message);
         let GossipMessage::Heartbeat(back) = message else {
@@ -160,10 +160,10 @@
 fn heartbeat_receivers(core: &EntryCore, now: Instant) -> BTreeMap<SocketAddrV4, bool> {
     let members = core.members.borrow();
     let mut found: BTreeMap<SocketAddrV4, bool> = members
-        .askers(now)
+        .awaiting_reply(now)
         .map(|address| (address, false))
         .collect();
-    for address in core.heartbeat_targets.borrow_mut().round(now) {
+    for address in core.heartbeat_targets.borrow_mut().next_targets(now) {
         found.insert(address, true);
     }
     found
@@ -183,7 +183,7 @@
     /// A heartbeat was received; states that differ are sent to the sender.
     Heartbeat(StateDiff),
     /// Account usage in another region, to be passed on within this one.
-    AccountUsage(RegionSpends),
+    AccountUsage(RegionUsage),
 }
 
 /// Handles a received datagram.
@@ -245,7 +245,7 @@
         let mut contacts = core.heartbeat_targets.borrow_mut();
         contacts.note_heard(heartbeat.member.peer, &heartbeat.member.region, now);
         for (address, region) in &heartbeat.peers {
-            contacts.note(*address, Some(region));
+            contacts.add(*address, Some(region));
         }
     }
     let (region, stage) = (heartbeat.member.region.clone(), heartbeat.member.stage);
@@ -258,7 +258,7 @@
     let (fresh, replaced) = core
         .members
         .borrow_mut()
-        .hear(heartbeat.member, wants_reply, now);
+        .update(heartbeat.member, wants_reply, now);
     if let Some(incarnation) = replaced
         && region == core.settings.region
     {
@@ -292,7 +292,7 @@
     region: &RegionId,
     stamp: u64,
     held: Duration,
-    proof: Option<ToldProof>,
+    proof: Option<FreshnessProof>,
 ) {
     let now = core.clock.now();
     // A node that has not heard from this process yet may echo a timestamp of an earlier process.
@@ -302,12 +302,12 @@
     // The heartbeat that carries the echo was sent no earlier than this.
     let answered = asked + held;
     let round_trip = now.saturating_sub(answered);
-    core.members.borrow_mut().note_trip(node, round_trip);
+    core.members.borrow_mut().note_round_trip(node, round_trip);
     if let Some(proof) = proof {
         apply_proof(core, proof, answered);
     }
     let sent = Instant::now().checked_sub(now.saturating_sub(asked));
     if let Some(sent) = sent {
-        core.region_paths.borrow_mut().note_proof(region, sent);
+        core.region_paths.borrow_mut().note_delivered(region, sent);
     }
 }
--- a/crates/zinniahatch_entry/src/nodes/gossip_message.rs
+++ b/crates/zinniahatch_entry/src/nodes/gossip_message.rs
@@ -6,10 +6,10 @@
 use std::net::SocketAddrV4;
 use zinniahatch_base::prelude::*;
 use zinniahatch_route::LimitNews;
-use zinniahatch_route::MemberCard;
-use zinniahatch_route::RegionSpends;
+use zinniahatch_route::MemberInfo;
+use zinniahatch_route::RegionUsage;
 use zinniahatch_route::SuspectNews;
-use zinniahatch_route::WorkPart;
+use zinniahatch_route::WorkUpdate;
 
 /// A datagram between nodes.
 #[derive(Debug, Serialize, Deserialize)]
@@ -25,14 +25,14 @@
     /// Rate limits of the region's replicas.
     RateLimits(Vec<LimitNews>),
     /// Account usage in another region, to be passed on within this one.
-    AccountUsage(RegionSpends),
+    AccountUsage(RegionUsage),
 }
 
 /// Periodic message with a node's identity and state.
 #[derive(Debug, Serialize, Deserialize)]
 pub(crate) struct Heartbeat {
     /// Identity and state of the sender.
-    pub(crate) member: MemberCard,
+    pub(crate) member: MemberInfo,
     /// The sender's clock, for the round-trip time.
     pub(crate) stamp: u64,
     /// The receiver's last timestamp and how long the sender held it, in microseconds.
@@ -51,9 +51,9 @@
 #[derive(Debug, Serialize, Deserialize)]
 pub(crate) struct WorkReport {
     /// The reports, one per process.
-    pub(crate) parts: Vec<WorkPart>,
+    pub(crate) parts: Vec<WorkUpdate>,
     /// Account usage per region.
-    pub(crate) usage: Vec<RegionSpends>,
+    pub(crate) usage: Vec<RegionUsage>,
     /// Whether the receiver should aggregate the reports and relay them to all nodes of the region.
     pub(crate) relay: bool,
 }
@@ -61,8 +61,8 @@
 impl WorkReport {
     /// Builds the datagram for the report of one node.
     pub(crate) fn of(
-        part: Option<WorkPart>,
-        usage: Vec<RegionSpends>,
+        part: Option<WorkUpdate>,
+        usage: Vec<RegionUsage>,
         relay: bool,
     ) -> GossipMessage {
         GossipMessage::Work(Self {
--- a/crates/zinniahatch_entry/src/nodes/own_info.rs
+++ b/crates/zinniahatch_entry/src/nodes/own_info.rs
@@ -7,10 +7,10 @@
 use crate::nodes::roles::holds_role;
 use crate::store::watch_topic::WatchTopic;
 use zinniahatch_base::prelude::*;
-use zinniahatch_route::CoverState;
-use zinniahatch_route::MemberCard;
-use zinniahatch_route::ReadDigest;
-use zinniahatch_route::ServiceDigest;
+use zinniahatch_route::CoverageState;
+use zinniahatch_route::MemberInfo;
+use zinniahatch_route::ServiceCapacity;
+use zinniahatch_route::StoreDigest;
 
 /// Returns whether this node is an active store reader for its region.
 fn is_store_reader(core: &EntryCore, now: Instant) -> bool {
@@ -18,10 +18,10 @@
     served && core.is_initialized() && holds_role(core, STORE_READER_ROLE, STORE_READERS)
 }
 
-fn store_digest(core: &EntryCore) -> ReadDigest {
+fn store_digest(core: &EntryCore) -> StoreDigest {
     let replicas = core.replicas.borrow();
     let settings = &core.settings;
-    ReadDigest {
+    StoreDigest {
         replicas: replicas.entries_digest(&settings.regions, &settings.region),
         rules: replicas.rules_digest(core.version()),
     }
@@ -32,25 +32,25 @@
     core: &EntryCore,
     topic: WatchTopic,
     now: Instant,
-) -> CoverState {
+) -> CoverageState {
     let Some(part) = topic.digest() else {
-        return CoverState::Alone;
+        return CoverageState::NoReaders;
     };
     let own = part(&store_digest(core));
     let members = core.members.borrow();
     let reader_digests = members.live_in(&core.settings.region, now);
     let reader_digests = reader_digests
         .into_iter()
-        .filter_map(|member| member.read.as_ref().map(part));
+        .filter_map(|member| member.store_digest.as_ref().map(part));
     let mut covers = core.topic_coverage.borrow_mut();
     covers
         .entry(topic)
         .or_default()
-        .judge(own, reader_digests, now)
+        .check(own, reader_digests, now)
 }
 
 /// Returns the state that this node reports in its heartbeats.
-pub(crate) fn own_member_info(core: &EntryCore, now: Instant) -> MemberCard {
+pub(crate) fn own_member_info(core: &EntryCore, now: Instant) -> MemberInfo {
     let replicas = core.replicas.borrow();
     let names: BTreeSet<&ServiceId> = replicas
         .rows()
@@ -60,23 +60,23 @@
     let services = names
         .into_iter()
         .map(|name| {
-            let digest = ServiceDigest::of(&replicas, &core.settings.regions, name, region, now);
+            let digest = ServiceCapacity::of(&replicas, &core.settings.regions, name, region, now);
             (tag_of(name), digest)
         })
         .collect();
-    MemberCard {
+    MemberInfo {
         node: core.settings.name.clone(),
         incarnation: core.incarnation,
         region: region.clone(),
         data_centre: core.settings.data_centre.clone(),
-        strength: core.settings.strength,
+        cpu_share: core.settings.strength,
         front: core.settings.listen.front,
         peer: core.settings.listen.peer,
         stage: core.stage(),
         version: core.version(),
         preset: core.preset.borrow().revision,
-        sighted: !replicas.in_trouble(now),
-        read: is_store_reader(core, now).then(|| store_digest(core)),
+        store_reachable: !replicas.in_trouble(now),
+        store_digest: is_store_reader(core, now).then(|| store_digest(core)),
         // Set when the heartbeat is sent, since the proof ages until then.
         proof: None,
         services,
--- a/crates/zinniahatch_entry/src/nodes/work_reporter.rs
+++ b/crates/zinniahatch_entry/src/nodes/work_reporter.rs
@@ -12,14 +12,14 @@
 use std::net::SocketAddrV4;
 use tokio::net::UdpSocket;
 use zinniahatch_base::prelude::*;
-use zinniahatch_route::CollectorBook;
+use zinniahatch_route::CollectorSelector;
 use zinniahatch_route::OpenWork;
 use zinniahatch_route::REFRESH_TIME;
-use zinniahatch_route::RegionSpends;
-use zinniahatch_route::WorkGatherer;
-use zinniahatch_route::WorkPart;
+use zinniahatch_route::RegionUsage;
+use zinniahatch_route::WorkBatch;
 use zinniahatch_route::WorkPath;
-use zinniahatch_route::gather_time;
+use zinniahatch_route::WorkUpdate;
+use zinniahatch_route::batch_interval;
 
 /// Delay between a change and its report, so that changes in quick succession share a datagram.
 const REPORT_DELAY: Duration = Duration::from_millis(4);
@@ -39,8 +39,8 @@
     path: WorkPath,
     /// Other live nodes of the region.
     others: usize,
-    collectors: CollectorBook,
-    batch: WorkGatherer,
+    collectors: CollectorSelector,
+    batch: WorkBatch,
     /// When this node's pending changes are sent.
     changes_due: Option<Instant>,
     /// When the aggregated reports are sent.
@@ -55,8 +55,8 @@
             number: 0,
             path: WorkPath::All,
             others: 0,
-            collectors: CollectorBook::default(),
-            batch: WorkGatherer::default(),
+            collectors: CollectorSelector::default(),
+            batch: WorkBatch::default(),
             changes_due: None,
             batch_due: None,
         }
@@ -91,7 +91,7 @@
     /// Sends unchanged in-flight work again after the refresh time, and chooses the collector anew.
     pub(crate) async fn refresh(&mut self, core: &EntryCore, socket: &UdpSocket) {
         let now = Instant::now();
-        self.collectors.review(now);
+        self.collectors.drop_unresponsive(now);
         self.choose_path(core, now);
         let work = core.replicas.borrow_mut().take_unchanged(REFRESH_TIME, now);
         self.send_part(core, socket, work, now).await;
@@ -116,7 +116,7 @@
 
     async fn send_changes(&mut self, core: &EntryCore, socket: &UdpSocket, now: Instant) {
         let mut work = core.replicas.borrow_mut().take_changes(now);
-        if self.collectors.review(now) {
+        if self.collectors.drop_unresponsive(now) {
             // The last reports to the collector that went silent may have reached no other node.
             self.choose_path(core, now);
             let unchanged = core
@@ -136,10 +136,10 @@
         now: Instant,
     ) {
         let reads = core.replicas.borrow_mut().take_reads();
-        let usage = core.quotas.borrow_mut().take_news();
+        let usage = core.quotas.borrow_mut().take_local_usage();
         let part = (!work.is_empty() || !reads.is_empty()).then(|| {
             self.number += 1;
-            WorkPart {
+            WorkUpdate {
                 origin: self.origin,
                 number: self.number,
                 work,
@@ -154,8 +154,8 @@
         &mut self,
         core: &EntryCore,
         socket: &UdpSocket,
-        part: Option<WorkPart>,
-        usage: Option<RegionSpends>,
+        part: Option<WorkUpdate>,
+        usage: Option<RegionUsage>,
         now: Instant,
     ) {
         if part.is_none() && usage.is_none() {
@@ -167,7 +167,7 @@
             WorkPath::Own => self.add_to_batch(part, usage, now),
             WorkPath::All => broadcast(core, socket, &WorkReport::of(part, usage, relay)).await,
             WorkPath::Collector(collector) => {
-                self.collectors.note_told(collector, now);
+                self.collectors.note_sent(collector, now);
                 if let Ok(bytes) = postcard::to_allocvec(&WorkReport::of(part, usage, relay)) {
                     // A failed send counts as a lost datagram; it shows by the collector's silence.
                     let _ = socket.send_to(&bytes, collector).await;
@@ -176,14 +176,15 @@
         }
     }
 
-    fn add_to_batch(&mut self, part: Option<WorkPart>, usage: Vec<RegionSpends>, now: Instant) {
+    fn add_to_batch(&mut self, part: Option<WorkUpdate>, usage: Vec<RegionUsage>, now: Instant) {
         if let Some(part) = part {
             self.batch.add(part);
         }
         for regional in &usage {
-            self.batch.add_spends(regional);
+            self.batch.add_usage(regional);
         }
-        self.batch_due.get_or_insert(now + gather_time(self.others));
+        self.batch_due
+            .get_or_insert(now + batch_interval(self.others));
     }
 
     async fn send_batch(&mut self, core: &EntryCore, socket: &UdpSocket) {
@@ -204,21 +205,21 @@
         {
             let members = core.members.borrow();
             let neighbours = members.live_in(&core.settings.region, now).len();
-            core.quotas.borrow_mut().set_neighbours(neighbours);
+            core.quotas.borrow_mut().set_region_peers(neighbours);
         }
         if core.quotas.borrow().is_empty() {
             return;
         }
         if !holds_role(core, USAGE_REPORTER_ROLE, USAGE_REPORTERS) {
-            core.quotas.borrow_mut().drop_far_news();
+            core.quotas.borrow_mut().discard_remote_usage();
             return;
         }
-        let usage = core.quotas.borrow_mut().take_far_news();
+        let usage = core.quotas.borrow_mut().take_remote_usage();
         let own = &core.settings.region;
         let receivers = core
             .members
             .borrow()
-            .one_each_but(own, &core.settings.name, now);
+            .one_per_other_region(own, &core.settings.name, now);
         for part in usage.split(MAX_REPORT_BYTES) {
             let Ok(bytes) = postcard::to_allocvec(&GossipMessage::AccountUsage(part)) else {
                 return;
@@ -236,10 +237,10 @@
         &mut self,
         core: &EntryCore,
         socket: &UdpSocket,
-        usage: &RegionSpends,
+        usage: &RegionUsage,
     ) {
         let now = Instant::now();
-        let changed = core.quotas.borrow_mut().hear(usage, now);
+        let changed = core.quotas.borrow_mut().apply_update(usage, now);
         self.report_to_region(core, socket, None, Some(changed), now)
             .await;
     }
@@ -254,7 +255,7 @@
         if !is_from_own_region(core, from) {
             return;
         }
-        self.collectors.note_heard(from);
+        self.collectors.note_forwarded(from);
         let now = Instant::now();
         self.merge_usage(core, &report, now);
         let mut replicas = core.replicas.borrow_mut();
@@ -280,7 +281,7 @@
         quotas.note_heard(tag_of(&core.settings.region), now);
         let mut changed = Vec::new();
         for usage in &report.usage {
-            changed.push(quotas.hear(usage, now));
+            changed.push(quotas.apply_update(usage, now));
         }
         drop(quotas);
         if report.relay && !changed.is_empty() {
--- a/crates/zinniahatch_entry/src/replicas/notice.rs
+++ b/crates/zinniahatch_entry/src/replicas/notice.rs
@@ -10,10 +10,10 @@
 use http::StatusCode;
 use zinniahatch_base::prelude::*;
 use zinniahatch_platform::ResponseHeaders;
-use zinniahatch_route::AnswerProof;
-use zinniahatch_route::HeardNotice;
 use zinniahatch_route::NoticeEffect;
+use zinniahatch_route::ReceivedNotice;
 use zinniahatch_route::ReplicaLife;
+use zinniahatch_route::ResponseAuth;
 use zinniahatch_route::RestChange;
 
 /// Applies the notice in the response to a request.
@@ -26,18 +26,18 @@
     let parsed = &head.parsed_headers;
     note_unknown_headers(core, open.replica(), &head.headers);
     let sender = if head.status == StatusCode::MISDIRECTED_REQUEST {
-        misdirected_responder(core, open, parsed).map(|tag| (tag, AnswerProof::Named))
+        misdirected_responder(core, open, parsed).map(|tag| (tag, ResponseAuth::Identified))
     } else {
         responder(call, open, parsed)
     };
-    let Some((replica, proof)) = sender else {
+    let Some((replica, auth)) = sender else {
         core.metrics.notices.note("unknown_replica");
         return;
     };
-    let received = HeardNotice {
+    let received = ReceivedNotice {
         replica,
         notice: &parsed.notice,
-        proof,
+        auth,
         taken: !parsed.not_run && head.status != StatusCode::MISDIRECTED_REQUEST,
         sent: open.sent_at(),
         draw: rand::random(),
@@ -56,15 +56,15 @@
     let parsed = &head.parsed_headers;
     note_unknown_headers(core, Some(&incarnation.id), &head.headers);
     let named = parsed.replica.as_ref() == Some(&incarnation.id);
-    let proof = if named {
-        AnswerProof::Named
+    let auth = if named {
+        ResponseAuth::Identified
     } else {
-        AnswerProof::Missing
+        ResponseAuth::Unverified
     };
-    let received = HeardNotice {
+    let received = ReceivedNotice {
         replica: incarnation.tag(),
         notice: &parsed.notice,
-        proof,
+        auth,
         taken: false,
         sent,
         draw: rand::random(),
@@ -78,17 +78,17 @@
     call: &ReceivedRequest,
     open: &InFlightRequest,
     parsed: &ResponseHeaders,
-) -> Option<(ShortTag, AnswerProof)> {
+) -> Option<(ShortTag, ResponseAuth)> {
     let mut tag = None;
     open.update_replica(|replica_state| tag = Some(replica_state.tag));
     let named = parsed.replica.is_some() && parsed.replica.as_ref() == open.replica();
     let echoed = parsed.attempt.as_deref() == Some(&*call.attempt);
-    let proof = match (parsed.sealed, named || echoed) {
-        (true, _) => AnswerProof::Sealed,
-        (false, true) => AnswerProof::Named,
-        (false, false) => AnswerProof::Missing,
+    let auth = match (parsed.sealed, named || echoed) {
+        (true, _) => ResponseAuth::Authenticated,
+        (false, true) => ResponseAuth::Identified,
+        (false, false) => ResponseAuth::Unverified,
     };
-    Some((tag?, proof))
+    Some((tag?, auth))
 }
 
 /// Returns the known replica incarnation that answered in place of the one that the request was
@@ -105,13 +105,13 @@
 
 fn apply_notice(
     core: &EntryCore,
-    received: &HeardNotice<'_>,
+    received: &ReceivedNotice<'_>,
     source: &'static str,
     request: Option<&RequestId>,
 ) {
     let (effect, incarnation) = {
         let mut replicas = core.replicas.borrow_mut();
-        let effect = replicas.hear(received, Instant::now());
+        let effect = replicas.apply_notice(received, Instant::now());
         if effect == NoticeEffect::default() {
             return;
         }
@@ -155,7 +155,7 @@
 /// Merges another node's updates on replicas that announced that they are leaving.
 pub(crate) fn apply_leaving_updates(core: &EntryCore, incarnations: &[ReplicaLife]) {
     for incarnation in incarnations {
-        let new = core.replicas.borrow_mut().hear_leaving(incarnation);
+        let new = core.replicas.borrow_mut().mark_leaving(incarnation);
         if new {
             log_leaving(core, Some(&incarnation.id), "near", None);
         }
@@ -165,7 +165,7 @@
 /// Updates the gauges of replicas that are leaving or in backoff.
 pub(crate) fn update_notice_gauges(core: &EntryCore) {
     let replicas = core.replicas.borrow();
-    let leaving = replicas.said_leaving().count();
+    let leaving = replicas.announced_leaving().count();
     let in_backoff = replicas.rests.count();
     core.metrics.notices.set_counts(leaving, in_backoff);
 }
@@ -177,14 +177,14 @@
     source: &'static str,
     request: Option<&RequestId>,
 ) {
-    let (event, time) = match effect.rest {
+    let (event, time) = match effect.backoff {
         Some(RestChange::Began(time)) => ("rest_began", Some(time)),
         Some(RestChange::Lengthened(time)) => ("rest_lengthened", Some(time)),
         Some(RestChange::Covered) => {
             core.metrics.notices.note("rest_covered");
             return;
         }
-        None if effect.serves => ("rest_ended", None),
+        None if effect.recovered => ("rest_ended", None),
         None => return,
     };
     core.metrics.notices.note(event);
--- a/crates/zinniahatch_entry/src/request/placement.rs
+++ b/crates/zinniahatch_entry/src/request/placement.rs
@@ -14,17 +14,17 @@
 use zinniahatch_base::prelude::*;
 use zinniahatch_route::AdmissionRule;
 use zinniahatch_route::AwayChoice;
-use zinniahatch_route::EarliestReturn;
+use zinniahatch_route::EarliestRetry;
 use zinniahatch_route::LocalChoice;
 use zinniahatch_route::PlaceAsk;
 use zinniahatch_route::ServingPreset;
 use zinniahatch_route::Verdict;
 use zinniahatch_route::Withheld;
-use zinniahatch_route::all_leave;
+use zinniahatch_route::all_leaving;
 use zinniahatch_route::away_share;
 use zinniahatch_route::choose_away;
 use zinniahatch_route::choose_local;
-use zinniahatch_route::earliest_return;
+use zinniahatch_route::earliest_retry;
 
 /// Retry time given to callers when no replica is usable.
 pub(crate) const NO_BACKEND_RETRY: Duration = Duration::from_millis(700);
@@ -139,7 +139,7 @@
     if let Some(after) = retry_after_unavailable(core, ask, now) {
         return Placement::Refuse(unavailable_code(after.reason), after.after);
     }
-    let leaving = all_leave(&core.replicas.borrow(), &core.settings.regions, ask);
+    let leaving = all_leaving(&core.replicas.borrow(), &core.settings.regions, ask);
     let code = if leaving {
         ResultCode::ReplicasLeaving
     } else {
@@ -163,16 +163,16 @@
     core: &EntryCore,
     ask: &PlaceAsk<'_>,
     now: Instant,
-) -> Option<EarliestReturn> {
+) -> Option<EarliestRetry> {
     let replicas = core.replicas.borrow();
-    let first = earliest_return(&replicas, &core.settings.regions, ask, now)?;
+    let first = earliest_retry(&replicas, &core.settings.regions, ask, now)?;
     let hold = replicas.model_of(ask.service).hold();
     let nodes = ask.peers.len() as u32 + 1;
     let step = hold * nodes / first.slots.max(1);
     let mut queues = core.retry_queues.borrow_mut();
     let queue = queues.entry(ask.service.clone()).or_default();
-    let after = queue.take(first.after, step, now);
-    Some(EarliestReturn { after, ..first })
+    let after = queue.next_delay(first.after, step, now);
+    Some(EarliestRetry { after, ..first })
 }
 
 /// Returns the retry time of a request that a replica refused, if all other replicas are resting or
@@ -268,7 +268,9 @@
     let members = core.members.borrow();
     let replicas = core.replicas.borrow();
     let mut tried = progress.away.clone();
-    tried.regions.extend(core.region_paths.borrow().broken(now));
+    tried
+        .regions
+        .extend(core.region_paths.borrow().unreachable(now));
     choose_away(
         &members,
         &replicas,
--- a/crates/zinniahatch_entry/src/request/plan.rs
+++ b/crates/zinniahatch_entry/src/request/plan.rs
@@ -128,7 +128,7 @@
             urgent,
             cold_bound: core.cold_bound(spec.cold_rate),
             max_sends,
-            guarded: core.identities.borrow().is_guarded(),
+            guarded: core.identities.borrow().requires_key(),
             identity,
             homes,
             route,
@@ -198,7 +198,8 @@
         if progress.sends >= self.max_sends {
             return false;
         }
-        let granted = core.with_retry_budget(&self.service, |budget| budget.take(Instant::now()));
+        let granted =
+            core.with_retry_budget(&self.service, |budget| budget.try_take(Instant::now()));
         if granted {
             core.metrics.note_retry(&self.service, reason);
         }
--- a/crates/zinniahatch_entry/src/request/send.rs
+++ b/crates/zinniahatch_entry/src/request/send.rs
@@ -91,7 +91,7 @@
 impl Drop for PendingForward<'_> {
     fn drop(&mut self) {
         let mut paths = self.core.region_paths.borrow_mut();
-        paths.note_given_up(self.region, self.ticket);
+        paths.note_abandoned(self.region, self.ticket);
     }
 }
 
--- a/crates/zinniahatch_entry/src/request/serve.rs
+++ b/crates/zinniahatch_entry/src/request/serve.rs
@@ -56,7 +56,7 @@
     };
     core.with_retry_budget(&plan.service, |budget| {
         if request.is_direct() {
-            budget.note_first(Instant::now());
+            budget.record_request(Instant::now());
         }
     });
     let mut runner = RequestRunner {
--- a/crates/zinniahatch_entry/src/store/registration.rs
+++ b/crates/zinniahatch_entry/src/store/registration.rs
@@ -112,7 +112,7 @@
             );
             continue;
         };
-        contacts.note(address, Some(&region));
+        contacts.add(address, Some(&region));
     }
     drop(contacts);
     core.mark_members_read();
--- a/crates/zinniahatch_entry/src/store/watch.rs
+++ b/crates/zinniahatch_entry/src/store/watch.rs
@@ -17,7 +17,7 @@
 use tokio::time::sleep;
 use zinniahatch_base::prelude::*;
 use zinniahatch_platform::KvError;
-use zinniahatch_route::CoverState;
+use zinniahatch_route::CoverageState;
 
 /// Number of nodes per region that watch the preset; the others learn it by gossip. A watch on
 /// every node cost three calls per minute and node for a value that changes a few times a day.
@@ -192,9 +192,9 @@
     let mut end = CoverageEnd::NotCovered;
     while since.elapsed() < max_wait {
         match store_reader_coverage(core, topic, Instant::now()) {
-            CoverState::Alone => return CoverageEnd::NotCovered,
-            CoverState::Behind => return CoverageEnd::Behind,
-            CoverState::Covered => {}
+            CoverageState::NoReaders => return CoverageEnd::NotCovered,
+            CoverageState::Behind => return CoverageEnd::Behind,
+            CoverageState::Current => {}
         }
         set_watch_skipped(core, topic, true);
         sleep(COVERAGE_CHECK_INTERVAL).await;
--- a/crates/zinniahatch_entry/src/store/watch_topic.rs
+++ b/crates/zinniahatch_entry/src/store/watch_topic.rs
@@ -3,7 +3,7 @@
 use zinniahatch_config::PRESET_KEY;
 use zinniahatch_platform::BACKEND_PREFIX;
 use zinniahatch_platform::OPERATOR_PREFIX;
-use zinniahatch_route::ReadDigest;
+use zinniahatch_route::StoreDigest;
 
 /// A set of keys with a watch of its own, which wakes only for these keys.
 ///
@@ -37,7 +37,7 @@
 
     /// Returns the part of a store reader's digest that covers the topic, or `None` if store
     /// readers do not cover it.
-    pub(crate) fn digest(self) -> Option<fn(&ReadDigest) -> u64> {
+    pub(crate) fn digest(self) -> Option<fn(&StoreDigest) -> u64> {
         match self {
             Self::Operator => Some(|digest| digest.rules),
             Self::Replicas => Some(|digest| digest.replicas),
