--- a/crates/zinniahatch_entry/src/core.rs
+++ b/crates/zinniahatch_entry/src/core.rs
@@ -295,9 +295,9 @@
     }
 
     /// Notes that the store failed a call of this node.
-    pub(crate) fn note_store_trouble(&self) {
+    pub(crate) fn note_store_failure(&self) {
         let mut replicas = self.replicas.borrow_mut();
-        replicas.note_store_trouble(Instant::now());
+        replicas.note_store_failure(Instant::now());
     }
 
     /// Puts a preset in force unless its switch is older than the one in force.
--- a/crates/zinniahatch_entry/src/nodes/catch_up.rs
+++ b/crates/zinniahatch_entry/src/nodes/catch_up.rs
@@ -27,7 +27,7 @@
     loop {
         sleep(LOOK_TIME).await;
         let now = Instant::now();
-        let sighted = !core.replicas.borrow().in_trouble(now);
+        let sighted = !core.replicas.borrow().store_failed_recently(now);
         let own = PupilState {
             region: &core.settings.region,
             version: core.version(),
--- a/crates/zinniahatch_entry/src/nodes/gossip.rs
+++ b/crates/zinniahatch_entry/src/nodes/gossip.rs
@@ -26,7 +26,7 @@
 use tokio::time::interval;
 use tokio::time::sleep_until;
 use zinniahatch_base::prelude::*;
-use zinniahatch_route::LimitNews;
+use zinniahatch_route::RateLimitUpdate;
 use zinniahatch_route::RegionSpends;
 use zinniahatch_route::ToldProof;
 
@@ -107,7 +107,7 @@
         echo: None,
         asks: false,
         hints: hints(core),
-        suspects: core.suspects.borrow().known_digest(),
+        suspects: core.suspects.borrow().accused_digest(),
         notices: notices_digest(core),
     };
     for (address, asks) in receivers(core, now) {
@@ -195,7 +195,7 @@
         Ok(NodeGram::Card(gram)) => {
             let near = gram.card.region == core.settings.region;
             let differs = CardDiffers {
-                suspects: gram.suspects != core.suspects.borrow().known_digest(),
+                suspects: gram.suspects != core.suspects.borrow().accused_digest(),
                 notices: near && gram.notices != notices_digest(core),
             };
             hear_card(core, echoes, gram);
@@ -214,7 +214,7 @@
     HeardGram::Plain
 }
 
-fn hear_near_limits(core: &EntryCore, news: &[LimitNews], from: SocketAddrV4) {
+fn hear_near_limits(core: &EntryCore, news: &[RateLimitUpdate], from: SocketAddrV4) {
     if speaks_near(core, from) {
         hear_limits(core, news);
     }
--- a/crates/zinniahatch_entry/src/nodes/news_teller.rs
+++ b/crates/zinniahatch_entry/src/nodes/news_teller.rs
@@ -9,9 +9,9 @@
 use std::net::SocketAddrV4;
 use tokio::net::UdpSocket;
 use zinniahatch_base::prelude::*;
-use zinniahatch_route::LimitNews;
 use zinniahatch_route::MemberCard;
-use zinniahatch_route::ReplicaLife;
+use zinniahatch_route::RateLimitUpdate;
+use zinniahatch_route::ReplicaIncarnation;
 
 /// News in a datagram at most: about 60 bytes each, within one packet.
 const MOST_NEWS: usize = 16;
@@ -38,24 +38,24 @@
     let batch = core
         .suspects
         .borrow_mut()
-        .take_news(again, MOST_SUSPECTS, now);
-    if !batch.wide.is_empty() {
-        tell_where(core, socket, &NodeGram::Suspects(batch.wide), |_| true).await;
+        .take_updates(again, MOST_SUSPECTS, now);
+    if !batch.broadcast.is_empty() {
+        tell_where(core, socket, &NodeGram::Suspects(batch.broadcast), |_| true).await;
     }
-    if !batch.own.is_empty() {
+    if !batch.local.is_empty() {
         let passers = core.members.borrow().one_each(&core.settings.name, now);
         let meant = |card: &MemberCard| is_near(core, card) || passers.contains(&card.peer);
-        tell_where(core, socket, &NodeGram::Suspects(batch.own), meant).await;
+        tell_where(core, socket, &NodeGram::Suspects(batch.local), meant).await;
     }
-    if !batch.passed.is_empty() {
-        tell_near(core, socket, &NodeGram::Suspects(batch.passed)).await;
+    if !batch.relayed.is_empty() {
+        tell_near(core, socket, &NodeGram::Suspects(batch.relayed)).await;
     }
 }
 
 /// Tells the nodes of the region what this one learned of rate limits.
 pub(crate) async fn tell_limits(core: &EntryCore, socket: &UdpSocket) {
     loop {
-        let news = core.replicas.borrow_mut().limits.take_news(MOST_LIMITS);
+        let news = core.replicas.borrow_mut().limits.take_updates(MOST_LIMITS);
         if news.is_empty() {
             return;
         }
@@ -65,7 +65,12 @@
 
 /// Tells a node of the region which limits and leaving replicas are known here, because it knows others.
 pub(crate) async fn tell_known_notices(core: &EntryCore, socket: &UdpSocket, to: SocketAddrV4) {
-    let leaving: Vec<ReplicaLife> = core.replicas.borrow().said_leaving().cloned().collect();
+    let leaving: Vec<ReplicaIncarnation> = core
+        .replicas
+        .borrow()
+        .announced_leaving()
+        .cloned()
+        .collect();
     for part in leaving.chunks(MOST_NEWS) {
         let news = ReplicaNews {
             leaving: part.to_vec(),
@@ -73,7 +78,7 @@
         };
         send_again(socket, &NodeGram::News(news), to).await;
     }
-    let known: Vec<LimitNews> = core.replicas.borrow().limits.known_news().collect();
+    let known: Vec<RateLimitUpdate> = core.replicas.borrow().limits.active_limits().collect();
     for part in known.chunks(MOST_LIMITS) {
         send_again(socket, &NodeGram::Limits(part.to_vec()), to).await;
     }
@@ -92,7 +97,10 @@
 pub(crate) async fn tell_known_suspects(core: &EntryCore, socket: &UdpSocket, to: SocketAddrV4) {
     let now = Instant::now();
     let draw = rand::random();
-    let news = core.suspects.borrow().known_news(draw, MOST_SUSPECTS, now);
+    let news = core
+        .suspects
+        .borrow()
+        .accused_updates(draw, MOST_SUSPECTS, now);
     if news.is_empty() {
         return;
     }
--- a/crates/zinniahatch_entry/src/nodes/node_gram.rs
+++ b/crates/zinniahatch_entry/src/nodes/node_gram.rs
@@ -5,10 +5,10 @@
 use serde::Serialize;
 use std::net::SocketAddrV4;
 use zinniahatch_base::prelude::*;
-use zinniahatch_route::LimitNews;
 use zinniahatch_route::MemberCard;
+use zinniahatch_route::RateLimitUpdate;
 use zinniahatch_route::RegionSpends;
-use zinniahatch_route::SuspectNews;
+use zinniahatch_route::SuspectUpdate;
 use zinniahatch_route::WorkPart;
 
 /// A datagram.
@@ -21,9 +21,9 @@
     /// What a node of the region learned of replicas.
     News(ReplicaNews),
     /// Requests under which replicas ended.
-    Suspects(Vec<SuspectNews>),
+    Suspects(Vec<SuspectUpdate>),
     /// Rate limits of the region's replicas.
-    Limits(Vec<LimitNews>),
+    Limits(Vec<RateLimitUpdate>),
     /// What the accounts use in another region, to be passed on in this one.
     Spends(RegionSpends),
 }
--- a/crates/zinniahatch_entry/src/nodes/own_card.rs
+++ b/crates/zinniahatch_entry/src/nodes/own_card.rs
@@ -13,7 +13,7 @@
 
 /// Tells whether this node reads for its region what the store says.
 fn reads_for_all(core: &EntryCore, now: Instant) -> bool {
-    let served = !core.replicas.borrow().in_trouble(now);
+    let served = !core.replicas.borrow().store_failed_recently(now);
     served && core.knows() && has_duty(core, READER_DUTY, READERS)
 }
 
@@ -22,7 +22,7 @@
     let settings = &core.settings;
     ReadDigest {
         replicas: replicas.entries_digest(&settings.regions, &settings.region),
-        rules: replicas.rules_digest(core.version()),
+        rules: replicas.config_digest(core.version()),
     }
 }
 
@@ -67,7 +67,7 @@
         stage: core.stage(),
         version: core.version(),
         preset: core.preset.borrow().revision,
-        sighted: !replicas.in_trouble(now),
+        sighted: !replicas.store_failed_recently(now),
         read: reads_for_all(core, now).then(|| read_digest(core)),
         // It ages on until the card is sent.
         proof: None,
--- a/crates/zinniahatch_entry/src/nodes/replica_news.rs
+++ b/crates/zinniahatch_entry/src/nodes/replica_news.rs
@@ -4,7 +4,7 @@
 use serde::Serialize;
 use zinniahatch_base::prelude::*;
 use zinniahatch_route::ReplicaEntry;
-use zinniahatch_route::ReplicaLife;
+use zinniahatch_route::ReplicaIncarnation;
 
 /// News of replicas for the nodes of a region.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
@@ -16,7 +16,7 @@
     /// Data centres that are evacuated or taken back, with the store's revision then.
     pub(crate) evacuations: Vec<(DataCentreId, bool, StoreRevision)>,
     /// Lives that said in an answer that they leave.
-    pub(crate) leaving: Vec<ReplicaLife>,
+    pub(crate) leaving: Vec<ReplicaIncarnation>,
 }
 
 impl ReplicaNews {
--- a/crates/zinniahatch_entry/src/nodes/snapshot.rs
+++ b/crates/zinniahatch_entry/src/nodes/snapshot.rs
@@ -12,7 +12,7 @@
 use zinniahatch_route::DesiredState;
 use zinniahatch_route::NodePermit;
 use zinniahatch_route::ReplicaEntry;
-use zinniahatch_route::ReplicaLife;
+use zinniahatch_route::ReplicaIncarnation;
 use zinniahatch_route::SendPermit;
 use zinniahatch_route::ServingPreset;
 use zinniahatch_route::ToldProof;
@@ -30,7 +30,7 @@
     desired: Option<DesiredState>,
     preset: ServingPreset,
     replicas: Vec<ReplicaEntry>,
-    gone: Vec<ReplicaLife>,
+    gone: Vec<ReplicaIncarnation>,
     evacuated: BTreeSet<DataCentreId>,
     proof: Option<ToldProof>,
 }
@@ -48,7 +48,7 @@
         desired,
         preset: core.preset.borrow().clone(),
         replicas: entries.collect(),
-        gone: replicas.gone().collect(),
+        gone: replicas.ended_incarnations().collect(),
         evacuated: replicas.evacuated().clone(),
         proof: core.proofs.borrow().told(core.clock.now()),
     };
@@ -78,7 +78,7 @@
     core.adopt_preset(snapshot.preset, "peer");
     let mut replicas = core.replicas.borrow_mut();
     let first = !core.is_listed();
-    replicas.learn(snapshot.replicas, &snapshot.gone, now);
+    replicas.merge_peer_snapshot(snapshot.replicas, &snapshot.gone, now);
     if first {
         // News of the store that this node reads or hears itself goes before those of a peer.
         replicas.set_evacuated(&snapshot.evacuated, StoreRevision::default(), now);
--- a/crates/zinniahatch_entry/src/nodes/work_teller.rs
+++ b/crates/zinniahatch_entry/src/nodes/work_teller.rs
@@ -13,9 +13,9 @@
 use tokio::net::UdpSocket;
 use zinniahatch_base::prelude::*;
 use zinniahatch_route::CollectorBook;
-use zinniahatch_route::OpenWork;
-use zinniahatch_route::REFRESH_TIME;
+use zinniahatch_route::InFlightWork;
 use zinniahatch_route::RegionSpends;
+use zinniahatch_route::WORK_REFRESH_INTERVAL;
 use zinniahatch_route::WorkGatherer;
 use zinniahatch_route::WorkPart;
 use zinniahatch_route::WorkPath;
@@ -92,7 +92,10 @@
         let now = Instant::now();
         self.book.review(now);
         self.choose_path(core, now);
-        let work = core.replicas.borrow_mut().take_unchanged(REFRESH_TIME, now);
+        let work = core
+            .replicas
+            .borrow_mut()
+            .take_stale_work(WORK_REFRESH_INTERVAL, now);
         self.tell_part(core, socket, work, now).await;
     }
 
@@ -114,14 +117,14 @@
     }
 
     async fn tell_changes(&mut self, core: &EntryCore, socket: &UdpSocket, now: Instant) {
-        let mut work = core.replicas.borrow_mut().take_changes(now);
+        let mut work = core.replicas.borrow_mut().take_changed_work(now);
         if self.book.review(now) {
             // What the silent collector was told last may have reached nobody.
             self.choose_path(core, now);
             let told = core
                 .replicas
                 .borrow_mut()
-                .take_unchanged(Duration::ZERO, now);
+                .take_stale_work(Duration::ZERO, now);
             work.extend(told);
         }
         self.tell_part(core, socket, work, now).await;
@@ -131,10 +134,10 @@
         &mut self,
         core: &EntryCore,
         socket: &UdpSocket,
-        work: Vec<(ShortTag, OpenWork)>,
+        work: Vec<(ShortTag, InFlightWork)>,
         now: Instant,
     ) {
-        let reads = core.replicas.borrow_mut().take_reads();
+        let reads = core.replicas.borrow_mut().take_cached_prefixes();
         let spends = core.quotas.borrow_mut().take_news();
         let part = (!work.is_empty() || !reads.is_empty()).then(|| {
             self.number += 1;
@@ -255,8 +258,8 @@
             if part.origin == self.origin {
                 continue;
             }
-            replicas.note_work(part.origin, part.number, &part.work, now);
-            replicas.note_reads(&part.reads, |service| {
+            replicas.apply_peer_work(part.origin, part.number, &part.work, now);
+            replicas.apply_cached_prefixes(&part.reads, |service| {
                 core.service(service).map_or(0, |spec| spec.kv_tokens)
             });
             if gram.gather {
--- a/crates/zinniahatch_entry/src/replicas/gate.rs
+++ b/crates/zinniahatch_entry/src/replicas/gate.rs
@@ -4,30 +4,33 @@
 use zinniahatch_base::prelude::*;
 use zinniahatch_route::ColdGate;
 use zinniahatch_route::ReplicaPermit;
-use zinniahatch_route::SendClaim;
-use zinniahatch_route::Withheld;
+use zinniahatch_route::SendRefusal;
+use zinniahatch_route::SendReservation;
 
 /// Takes a place for one request to a replica.
 pub(crate) fn claim_send(
     core: &EntryCore,
     replica: &str,
     now: Instant,
-) -> Result<SendClaim, Withheld> {
+) -> Result<SendReservation, SendRefusal> {
     let share = cold_share(core, replica, now);
     let mut replicas = core.replicas.borrow_mut();
-    let claimed = replicas.claim(&mut core.gate.borrow_mut(), replica, share, now);
+    let claimed = replicas.reserve(&mut core.gate.borrow_mut(), replica, share, now);
     claimed.inspect_err(|withheld| note_withheld(core, *withheld))
 }
 
 /// Gives leave to write the request that a place was taken for.
-pub(crate) fn permit_send(core: &EntryCore, claim: SendClaim) -> Result<ReplicaPermit, Withheld> {
+pub(crate) fn permit_send(
+    core: &EntryCore,
+    claim: SendReservation,
+) -> Result<ReplicaPermit, SendRefusal> {
     let permitted = core.replicas.borrow().permit(claim, Instant::now());
     permitted.inspect_err(|withheld| note_withheld(core, *withheld))
 }
 
-fn note_withheld(core: &EntryCore, withheld: Withheld) {
+fn note_withheld(core: &EntryCore, withheld: SendRefusal) {
     core.metrics.notices.note_withheld(withheld.name());
-    if withheld == Withheld::Limited {
+    if withheld == SendRefusal::Limited {
         core.metrics.limits.note("withheld");
     }
 }
--- a/crates/zinniahatch_entry/src/replicas/notice.rs
+++ b/crates/zinniahatch_entry/src/replicas/notice.rs
@@ -10,10 +10,10 @@
 use zinniahatch_base::prelude::*;
 use zinniahatch_platform::AnswerHeaders;
 use zinniahatch_route::AnswerProof;
+use zinniahatch_route::BackoffChange;
 use zinniahatch_route::HeardNotice;
 use zinniahatch_route::NoticeEffect;
-use zinniahatch_route::ReplicaLife;
-use zinniahatch_route::RestChange;
+use zinniahatch_route::ReplicaIncarnation;
 
 /// Takes what an answer to a request says of the replica that gave it.
 pub(crate) fn hear_answer(
@@ -45,7 +45,12 @@
 }
 
 /// Takes what the answer to a probe says. It was sent to whoever listens at the address.
-pub(crate) fn hear_probe(core: &EntryCore, life: &ReplicaLife, head: &AnswerHead, sent: Instant) {
+pub(crate) fn hear_probe(
+    core: &EntryCore,
+    life: &ReplicaIncarnation,
+    head: &AnswerHead,
+    sent: Instant,
+) {
     let marks = &head.marks;
     note_unread(core, Some(&life.id), &head.headers);
     let named = marks.replica.as_ref() == Some(&life.id);
@@ -104,7 +109,7 @@
         }
         let id = replicas.id_of(heard.replica);
         let belief = id.and_then(|id| replicas.get(id));
-        (effect, belief.map(|belief| belief.entry.life()))
+        (effect, belief.map(|belief| belief.entry.incarnation()))
     };
     let replica = life.as_ref().map(|life| &life.id);
     if let Some(change) = &effect.limit {
@@ -137,7 +142,7 @@
 }
 
 /// Takes another node's news of replicas that said that they leave.
-pub(crate) fn hear_leaving(core: &EntryCore, lives: &[ReplicaLife]) {
+pub(crate) fn hear_leaving(core: &EntryCore, lives: &[ReplicaIncarnation]) {
     for life in lives {
         let new = core.replicas.borrow_mut().hear_leaving(life);
         if new {
@@ -149,8 +154,8 @@
 /// Counts the replicas that leave or rest.
 pub(crate) fn count_notices(core: &EntryCore) {
     let replicas = core.replicas.borrow();
-    let leaving = replicas.said_leaving().count();
-    let resting = replicas.rests.count();
+    let leaving = replicas.announced_leaving().count();
+    let resting = replicas.backoffs.count();
     core.metrics.notices.set_counts(leaving, resting);
 }
 
@@ -162,9 +167,9 @@
     request: Option<&RequestId>,
 ) {
     let (event, time) = match effect.rest {
-        Some(RestChange::Began(time)) => ("rest_began", Some(time)),
-        Some(RestChange::Lengthened(time)) => ("rest_lengthened", Some(time)),
-        Some(RestChange::Covered) => {
+        Some(BackoffChange::Began(time)) => ("rest_began", Some(time)),
+        Some(BackoffChange::Lengthened(time)) => ("rest_lengthened", Some(time)),
+        Some(BackoffChange::Covered) => {
             core.metrics.notices.note("rest_covered");
             return;
         }
--- a/crates/zinniahatch_entry/src/replicas/probe.rs
+++ b/crates/zinniahatch_entry/src/replicas/probe.rs
@@ -11,8 +11,8 @@
 use tokio::time::sleep;
 use tokio::time::timeout;
 use zinniahatch_base::prelude::*;
-use zinniahatch_route::ReplicaLife;
-use zinniahatch_route::SendClaim;
+use zinniahatch_route::ReplicaIncarnation;
+use zinniahatch_route::SendReservation;
 
 /// Pause between probes of one replica.
 const PROBE_PAUSE: Duration = Duration::from_millis(600);
@@ -33,7 +33,7 @@
     }
 }
 
-fn suspects(core: &EntryCore) -> Vec<(ReplicaLife, Box<str>)> {
+fn suspects(core: &EntryCore) -> Vec<(ReplicaIncarnation, Box<str>)> {
     let now = Instant::now();
     let replicas = core.replicas.borrow();
     replicas
@@ -47,12 +47,17 @@
                 .service(&belief.entry.service)
                 .map(|service| service.health_path)
                 .unwrap_or_default();
-            (belief.entry.life(), path)
+            (belief.entry.incarnation(), path)
         })
         .collect()
 }
 
-async fn probe(core: Rc<EntryCore>, life: ReplicaLife, claim: SendClaim, path: Box<str>) {
+async fn probe(
+    core: Rc<EntryCore>,
+    life: ReplicaIncarnation,
+    claim: SendReservation,
+    path: Box<str>,
+) {
     let sent = Instant::now();
     let answer = timeout(PROBE_TIME, ask_sign_of_life(&core, claim, &path))
         .await
@@ -66,12 +71,16 @@
     drop(replicas);
     core.log.write(
         "probe",
-        serde_json::json!({"replica": life.id, "born_ms": life.born, "sound": sound}),
+        serde_json::json!({"replica": life.id, "born_ms": life.started_ms, "sound": sound}),
     );
 }
 
 /// Asks a replica for an answer; gives what that says, none where there is none.
-async fn ask_sign_of_life(core: &EntryCore, claim: SendClaim, path: &str) -> Option<AnswerHead> {
+async fn ask_sign_of_life(
+    core: &EntryCore,
+    claim: SendReservation,
+    path: &str,
+) -> Option<AnswerHead> {
     let address = claim.address();
     let mut channel = BackendChannel::connect(address, PROBE_TIME).await.ok()?;
     let head = format!("GET {path} HTTP/1.1\r\nhost: {address}\r\nconnection: close\r\n\r\n");
--- a/crates/zinniahatch_entry/src/replicas/quarantine.rs
+++ b/crates/zinniahatch_entry/src/replicas/quarantine.rs
@@ -5,9 +5,9 @@
 use crate::request::received::content_text;
 use tokio::time::sleep;
 use zinniahatch_base::prelude::*;
-use zinniahatch_route::NewsEffect;
 use zinniahatch_route::QuarantineChange;
-use zinniahatch_route::SuspectNews;
+use zinniahatch_route::SuspectUpdate;
+use zinniahatch_route::SuspectUpdateEffect;
 
 /// Where news of a suspect come from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -42,7 +42,7 @@
     let counts = core
         .suspects
         .borrow_mut()
-        .note_end(call.content, tag, ran, now);
+        .note_crash(call.content, tag, ran, now);
     core.metrics
         .note_suspect(if counts { "noted" } else { "uncounted" });
     core.log.write(
@@ -73,17 +73,17 @@
 }
 
 /// Takes news of suspects.
-pub(crate) fn hear_suspects(core: &EntryCore, news: &[SuspectNews], source: NewsSource) {
+pub(crate) fn hear_suspects(core: &EntryCore, news: &[SuspectUpdate], source: NewsSource) {
     let now = Instant::now();
     let tell = source == NewsSource::Far;
     let mut told = false;
     for one in news {
-        let effect = core.suspects.borrow_mut().hear(one, tell, now);
-        if effect == NewsEffect::Known {
+        let effect = core.suspects.borrow_mut().apply_update(one, tell, now);
+        if effect == SuspectUpdateEffect::Known {
             continue;
         }
-        told |= tell || effect == NewsEffect::Outdated;
-        let outcome = if effect == NewsEffect::Learned {
+        told |= tell || effect == SuspectUpdateEffect::Outdated;
+        let outcome = if effect == SuspectUpdateEffect::Learned {
             "heard"
         } else {
             "outdated"
@@ -91,8 +91,8 @@
         core.metrics.note_suspect(outcome);
         core.log.write(
             "suspect-heard",
-            serde_json::json!({"content": content_text(one.content), "ends": one.ends.len(),
-                "age_ms": one.ends.iter().map(|end| end.age_ms).min(), "cleared_ms": one.cleared,
+            serde_json::json!({"content": content_text(one.content), "ends": one.crashes.len(),
+                "age_ms": one.crashes.iter().map(|end| end.age_ms).min(), "cleared_ms": one.cleared,
                 "source": source.word(), "outcome": outcome}),
         );
     }
@@ -109,12 +109,13 @@
         return;
     }
     for change in &changes {
-        if change.kept {
+        if change.persisted {
             core.released.borrow_mut().push(change.content);
         }
         log_change(core, change);
     }
-    core.metrics.set_quarantined(core.suspects.borrow().held());
+    core.metrics
+        .set_quarantined(core.suspects.borrow().quarantined_count());
     core.quarantined.send_replace(());
 }
 
@@ -125,7 +126,7 @@
         } else {
             "released"
         },
-        serde_json::json!({"content": content_text(change.content), "ends": change.ends,
+        serde_json::json!({"content": content_text(change.content), "ends": change.crashes,
             "for_ms": change.left.map(|left| left.as_millis() as u64)}),
     );
 }
@@ -133,7 +134,7 @@
 /// Gives how much longer a request is held; none where it may run.
 pub(crate) fn hold_left(core: &EntryCore, call: &ReceivedCall) -> Option<Duration> {
     let suspects = core.suspects.borrow();
-    suspects.hold_left(call.content, Instant::now())
+    suspects.quarantine_left(call.content, Instant::now())
 }
 
 /// Waits until it can be judged whether a request is held.
@@ -142,7 +143,7 @@
         let due = core
             .suspects
             .borrow()
-            .verdict_due(call.content, Instant::now());
+            .decision_delay(call.content, Instant::now());
         let Some(due) = due else {
             return;
         };
--- a/crates/zinniahatch_entry/src/replicas/rate_limit.rs
+++ b/crates/zinniahatch_entry/src/replicas/rate_limit.rs
@@ -3,22 +3,22 @@
 use crate::core::ACQUAINT_TIME;
 use crate::core::EntryCore;
 use zinniahatch_base::prelude::*;
-use zinniahatch_route::LimitChange;
-use zinniahatch_route::LimitEffect;
-use zinniahatch_route::LimitNews;
+use zinniahatch_route::RateLimitChange;
+use zinniahatch_route::RateLimitEffect;
+use zinniahatch_route::RateLimitUpdate;
 
 /// Takes what another node of the region tells of limits.
-pub(crate) fn hear_limits(core: &EntryCore, news: &[LimitNews]) {
+pub(crate) fn hear_limits(core: &EntryCore, news: &[RateLimitUpdate]) {
     let now = Instant::now();
     for one in news {
-        let effect = core.replicas.borrow_mut().hear_limit(one, now);
+        let effect = core.replicas.borrow_mut().apply_limit_update(one, now);
         match effect {
-            LimitEffect::Known => {}
-            LimitEffect::Learned(change) => {
+            RateLimitEffect::Known => {}
+            RateLimitEffect::Learned(change) => {
                 let replica = core.replicas.borrow().id_of(one.replica).cloned();
                 log_change(core, replica.as_ref(), &change, "near");
             }
-            LimitEffect::Outdated => {
+            RateLimitEffect::Outdated => {
                 core.metrics.limits.note("outdated");
                 core.work_changed.notify_one();
             }
@@ -34,8 +34,8 @@
     let acquainted = core.started.elapsed() >= ACQUAINT_TIME;
     let own = acquainted.then(|| tag_of(&core.settings.name));
     let mut replicas = core.replicas.borrow_mut();
-    replicas.limits.set_holders(own, others, now);
-    let limited = replicas.limits.known_news().count();
+    replicas.limits.set_sharers(own, others, now);
+    let limited = replicas.limits.active_limits().count();
     core.metrics.limits.set_limited(limited);
 }
 
@@ -43,7 +43,7 @@
 pub(crate) fn log_change(
     core: &EntryCore,
     replica: Option<&ReplicaId>,
-    change: &LimitChange,
+    change: &RateLimitChange,
     source: &'static str,
 ) {
     core.metrics.limits.note(match (change.before, change.now) {
--- a/crates/zinniahatch_entry/src/request/call.rs
+++ b/crates/zinniahatch_entry/src/request/call.rs
@@ -23,12 +23,12 @@
 use zinniahatch_platform::CallHeaders;
 use zinniahatch_platform::write_call;
 use zinniahatch_platform::write_forward;
-use zinniahatch_route::AwayChoice;
+use zinniahatch_route::InFlightWork;
 use zinniahatch_route::LeaveReason;
-use zinniahatch_route::LocalChoice;
-use zinniahatch_route::OpenWork;
+use zinniahatch_route::LocalPlacement;
+use zinniahatch_route::RemotePlacement;
 use zinniahatch_route::SendPermit;
-use zinniahatch_route::Withheld;
+use zinniahatch_route::SendRefusal;
 
 /// Header by which a node tells another the version of the desired state it chose by.
 pub(crate) const HOP_VERSION: &str = "zinnia-version";
@@ -97,7 +97,7 @@
     core: &Rc<EntryCore>,
     call: &ReceivedCall,
     plan: &CallPlan,
-    choice: &LocalChoice,
+    choice: &LocalPlacement,
     last_event: Option<&str>,
 ) -> Result<(AnswerHead, OpenCall), SendFailure> {
     let now = Instant::now();
@@ -169,7 +169,7 @@
     }
 }
 
-fn not_sent(withheld: Withheld) -> SendFailure {
+fn not_sent(withheld: SendRefusal) -> SendFailure {
     SendFailure::NotSent(format!("withheld: {}", withheld.name()).into())
 }
 
@@ -177,15 +177,15 @@
     core: &Rc<EntryCore>,
     call: &ReceivedCall,
     plan: &CallPlan,
-    choice: &LocalChoice,
+    choice: &LocalPlacement,
     now: Instant,
 ) -> ReplicaNote {
     let ticket = core.ticket();
     let mut replicas = core.replicas.borrow_mut();
     let ahead = replicas
         .get(&choice.replica)
-        .map_or(0, |belief| belief.all_work(now).ahead(plan.urgent));
-    let work = OpenWork {
+        .map_or(0, |belief| belief.total_work(now).tokens_ahead(plan.urgent));
+    let work = InFlightWork {
         requests: 1,
         tokens: choice.tokens,
         urgent_requests: u32::from(plan.urgent),
@@ -231,7 +231,7 @@
 fn sort_answer(
     core: &Rc<EntryCore>,
     call: &ReceivedCall,
-    choice: &LocalChoice,
+    choice: &LocalPlacement,
     head: AnswerHead,
     open: OpenCall,
 ) -> Result<(AnswerHead, OpenCall), SendFailure> {
@@ -245,7 +245,7 @@
         );
         return Err(SendFailure::WrongReplica);
     }
-    open.with_replica(|belief| belief.health.note_heard(now));
+    open.with_replica(|belief| belief.health.note_bytes(now));
     if head.marks.not_run {
         // What a 503 names is the rest of its replica; others may be free.
         let refused = head.status == StatusCode::SERVICE_UNAVAILABLE;
@@ -263,7 +263,7 @@
     core: &Rc<EntryCore>,
     call: &ReceivedCall,
     plan: &CallPlan,
-    choice: &AwayChoice,
+    choice: &RemotePlacement,
     last_event: Option<&str>,
 ) -> Result<(AnswerHead, OpenCall), SendFailure> {
     let now = Instant::now();
--- a/crates/zinniahatch_entry/src/request/open_call.rs
+++ b/crates/zinniahatch_entry/src/request/open_call.rs
@@ -10,9 +10,9 @@
 use std::net::SocketAddrV4;
 use std::rc::Rc;
 use zinniahatch_base::prelude::*;
+use zinniahatch_route::InFlightWork;
 use zinniahatch_route::ModelSample;
-use zinniahatch_route::OpenWork;
-use zinniahatch_route::ReplicaBelief;
+use zinniahatch_route::ReplicaState;
 use zinniahatch_route::SendPermit;
 
 /// What is noted of a replica while it works on a request.
@@ -20,7 +20,7 @@
 pub(crate) struct ReplicaNote {
     pub(crate) replica: ReplicaId,
     pub(crate) ticket: u64,
-    pub(crate) work: OpenWork,
+    pub(crate) work: InFlightWork,
     pub(crate) ahead: u32,
     pub(crate) queue: Duration,
     pub(crate) urgent: bool,
@@ -103,7 +103,7 @@
         let pause = before
             .filter(|_| note.work.tokens > 0)
             .map(|before| now.saturating_duration_since(before));
-        let lives = replicas.note_heard(&note.replica, note.ticket, pause, now);
+        let lives = replicas.note_bytes(&note.replica, note.ticket, pause, now);
         if !lives || note.first_seen {
             return;
         }
@@ -114,18 +114,19 @@
             return;
         }
         let took = now.saturating_duration_since(self.sent_at);
-        let (tokens, ahead) = (note.work.tokens, note.ahead);
+        let (tokens, tokens_ahead) = (note.work.tokens, note.ahead);
         let model = replicas.model(&self.service);
-        let expected = model.expect(tokens) + model.waiting(ahead, note.urgent) + note.queue;
+        let expected =
+            model.expected_time(tokens) + model.queue_time(tokens_ahead, note.urgent) + note.queue;
         model.learn(ModelSample {
             tokens,
-            ahead,
+            tokens_ahead,
             queue: note.queue,
             urgent: note.urgent,
             took,
         });
         if let Some(belief) = replicas.get_mut(&note.replica) {
-            belief.note_pace(expected, took);
+            belief.note_latency(expected, took);
         }
     }
 
@@ -153,25 +154,25 @@
         };
         let now = Instant::now();
         let mut replicas = self.core.replicas.borrow_mut();
-        let Some(belief) = replicas.working_on(&note.replica, note.ticket) else {
+        let Some(belief) = replicas.replica_for_ticket(&note.replica, note.ticket) else {
             return;
         };
         if !good {
-            belief.health.note_bad(now);
+            belief.health.note_failure(now);
             return;
         }
-        belief.health.note_good(now);
+        belief.health.note_success(now);
         let held = now.saturating_duration_since(self.sent_at);
-        replicas.model(&self.service).learn_hold(held);
+        replicas.model(&self.service).learn_slot_time(held);
     }
 
     /// Gives the belief of the replica's life that works on the request, to change.
-    pub(crate) fn with_replica(&self, change: impl FnOnce(&mut ReplicaBelief)) {
+    pub(crate) fn with_replica(&self, change: impl FnOnce(&mut ReplicaState)) {
         let Some(note) = &self.note else {
             return;
         };
         let mut replicas = self.core.replicas.borrow_mut();
-        if let Some(belief) = replicas.working_on(&note.replica, note.ticket) {
+        if let Some(belief) = replicas.replica_for_ticket(&note.replica, note.ticket) {
             change(belief);
         }
     }
@@ -184,7 +185,7 @@
         };
         let mut replicas = self.core.replicas.borrow_mut();
         replicas
-            .working_on(&note.replica, note.ticket)
+            .replica_for_ticket(&note.replica, note.ticket)
             .is_none_or(|belief| belief.health.is_suspect(Instant::now()))
     }
 
@@ -205,7 +206,7 @@
         };
         let own = {
             let replicas = self.core.replicas.borrow();
-            replicas.get(&note.replica).map(|belief| belief.own)
+            replicas.get(&note.replica).map(|belief| belief.local_work)
         };
         self.core.log.write(
             "channel-broke",
--- a/crates/zinniahatch_entry/src/request/placing.rs
+++ b/crates/zinniahatch_entry/src/request/placing.rs
@@ -12,19 +12,19 @@
 use crate::request::received::ReceivedCall;
 use std::rc::Rc;
 use zinniahatch_base::prelude::*;
+use zinniahatch_route::Admission;
 use zinniahatch_route::AdmissionRule;
-use zinniahatch_route::AwayChoice;
 use zinniahatch_route::EarliestReturn;
-use zinniahatch_route::LocalChoice;
-use zinniahatch_route::PlaceAsk;
+use zinniahatch_route::LocalPlacement;
+use zinniahatch_route::PlacementQuery;
+use zinniahatch_route::RemotePlacement;
+use zinniahatch_route::SendRefusal;
 use zinniahatch_route::ServingPreset;
-use zinniahatch_route::Verdict;
-use zinniahatch_route::Withheld;
 use zinniahatch_route::all_leave;
-use zinniahatch_route::away_share;
-use zinniahatch_route::choose_away;
 use zinniahatch_route::choose_local;
+use zinniahatch_route::choose_remote;
 use zinniahatch_route::earliest_return;
+use zinniahatch_route::remote_share;
 
 /// Time that a caller is told to wait where no replica can be used.
 pub(crate) const NO_BACKEND_RETRY: Duration = Duration::from_millis(700);
@@ -33,9 +33,9 @@
 #[derive(Debug)]
 pub(crate) enum NextPlace {
     /// To a replica of this region.
-    Local(LocalChoice),
+    Local(LocalPlacement),
     /// To a node of another region.
-    Away(AwayChoice),
+    Away(RemotePlacement),
     /// Nowhere: the code, and when to come back.
     Refuse(ResultCode, Duration),
 }
@@ -76,11 +76,11 @@
     };
     let verdict = local
         .as_ref()
-        .map(|choice| rule.judge(choice.expected, Duration::ZERO, choice.wait));
+        .map(|choice| rule.decide(choice.expected, Duration::ZERO, choice.wait));
     let late = local
         .as_ref()
-        .is_some_and(|choice| choice.expected + rule.spent > plan.route.goal);
-    let admitted = !judged || verdict == Some(Verdict::Admit);
+        .is_some_and(|choice| choice.expected + rule.elapsed > plan.route.goal);
+    let admitted = !judged || verdict == Some(Admission::Admit);
     if let Some(choice) = &local
         && admitted
         && !late
@@ -89,7 +89,7 @@
             .is_direct()
             .then(|| find_faster(core, plan, course, &ask, choice, preset.away_gain, now))
             .flatten()
-            .filter(|away| rule.is_in_time(away.expected, away.trip));
+            .filter(|away| rule.is_in_time(away.expected, away.round_trip));
         return faster.map_or_else(|| NextPlace::Local(choice.clone()), NextPlace::Away);
     }
     let mut slow_away = None;
@@ -102,9 +102,9 @@
             !admitted || away.expected < choice.expected.mul_f64(preset.away_gain)
         });
         match judge_away(&rule, &away) {
-            Verdict::Admit if better => return NextPlace::Away(away),
-            Verdict::Admit => {}
-            Verdict::Refuse(after) => slow_away = Some(after),
+            Admission::Admit if better => return NextPlace::Away(away),
+            Admission::Admit => {}
+            Admission::Refuse(after) => slow_away = Some(after),
         }
     }
     if let Some(choice) = local.clone()
@@ -114,7 +114,7 @@
     }
     note_weighed(core, call, &rule, local.as_ref(), away.as_ref());
     match (local, verdict) {
-        (_, Some(Verdict::Refuse(after))) => NextPlace::Refuse(ResultCode::WaitTooLong, after),
+        (_, Some(Admission::Refuse(after))) => NextPlace::Refuse(ResultCode::WaitTooLong, after),
         _ if slow_away.is_some() => {
             NextPlace::Refuse(ResultCode::WaitTooLong, slow_away.unwrap_or_default())
         }
@@ -126,7 +126,7 @@
 fn refuse_unplaced(
     core: &EntryCore,
     plan: &CallPlan,
-    ask: &PlaceAsk<'_>,
+    ask: &PlacementQuery<'_>,
     now: Instant,
 ) -> NextPlace {
     if !plan.allows(&core.settings.region) {
@@ -144,19 +144,19 @@
     NextPlace::Refuse(code, NO_BACKEND_RETRY)
 }
 
-fn held_code(reason: Withheld) -> ResultCode {
+fn held_code(reason: SendRefusal) -> ResultCode {
     match reason {
-        Withheld::Limited => ResultCode::ReplicasLimited,
+        SendRefusal::Limited => ResultCode::ReplicasLimited,
         _ => ResultCode::ReplicasResting,
     }
 }
 
 /// Gives when a request may come back whose replicas all rest or are limited: when the first of them takes work again,
 /// behind the callers that were told so before.
-fn held_for(core: &EntryCore, ask: &PlaceAsk<'_>, now: Instant) -> Option<EarliestReturn> {
+fn held_for(core: &EntryCore, ask: &PlacementQuery<'_>, now: Instant) -> Option<EarliestReturn> {
     let replicas = core.replicas.borrow();
     let first = earliest_return(&replicas, &core.settings.regions, ask, now)?;
-    let hold = replicas.model_of(ask.service).hold();
+    let hold = replicas.model_of(ask.service).slot_time();
     let nodes = ask.peers.len() as u32 + 1;
     let step = hold * nodes / first.slots.max(1);
     let mut lines = core.return_lines.borrow_mut();
@@ -185,8 +185,8 @@
     tried: &'a BTreeSet<ReplicaId>,
     peers: &'a BTreeSet<NodeId>,
     now: Instant,
-) -> PlaceAsk<'a> {
-    PlaceAsk {
+) -> PlacementQuery<'a> {
+    PlacementQuery {
         service: &plan.service,
         region: &core.settings.region,
         size: &call.size,
@@ -206,25 +206,25 @@
     core: &EntryCore,
     call: &ReceivedCall,
     rule: &AdmissionRule,
-    here: Option<&LocalChoice>,
-    away: Option<&AwayChoice>,
+    here: Option<&LocalPlacement>,
+    away: Option<&RemotePlacement>,
 ) {
     let millis = |time: Duration| time.as_millis() as u64;
     core.log.write(
         "weighed",
         serde_json::json!({"request": call.attempt, "goal_ms": millis(rule.goal),
-            "spent_ms": millis(rule.spent), "tokens_in": call.size.tokens_in,
+            "spent_ms": millis(rule.elapsed), "tokens_in": call.size.tokens_in,
             "here_ms": here.map(|choice| millis(choice.expected)),
             "here_wait_ms": here.map(|choice| millis(choice.wait)),
             "away": away.map(|choice| &choice.region),
             "away_ms": away.map(|choice| millis(choice.expected)),
             "away_wait_ms": away.map(|choice| millis(choice.wait)),
-            "trip_ms": away.map(|choice| millis(choice.trip))}),
+            "trip_ms": away.map(|choice| millis(choice.round_trip))}),
     );
 }
 
-fn judge_away(rule: &AdmissionRule, away: &AwayChoice) -> Verdict {
-    rule.judge(away.expected, away.trip, away.wait)
+fn judge_away(rule: &AdmissionRule, away: &RemotePlacement) -> Admission {
+    rule.decide(away.expected, away.round_trip, away.wait)
 }
 
 /// Finds a region that generates an answer faster, for the share of the streams that should go there.
@@ -232,16 +232,16 @@
     core: &EntryCore,
     plan: &CallPlan,
     course: &CallCourse,
-    ask: &PlaceAsk<'_>,
-    here: &LocalChoice,
+    ask: &PlacementQuery<'_>,
+    here: &LocalPlacement,
     gain: f64,
     now: Instant,
-) -> Option<AwayChoice> {
+) -> Option<RemotePlacement> {
     if here.answer.is_zero() {
         return None;
     }
     let away = find_away(core, plan, course, ask, now)?;
-    let share = away_share(here.callers_time(), away.callers_time(), gain);
+    let share = remote_share(here.total_caller_time(), away.total_caller_time(), gain);
     rand::random_bool(share).then_some(away)
 }
 
@@ -249,14 +249,14 @@
     core: &EntryCore,
     plan: &CallPlan,
     course: &CallCourse,
-    ask: &PlaceAsk<'_>,
+    ask: &PlacementQuery<'_>,
     now: Instant,
-) -> Option<AwayChoice> {
+) -> Option<RemotePlacement> {
     let members = core.members.borrow();
     let replicas = core.replicas.borrow();
     let mut tried = course.away.clone();
     tried.regions.extend(core.ways.borrow().broken(now));
-    choose_away(
+    choose_remote(
         &members,
         &replicas,
         ask,
@@ -275,15 +275,15 @@
 ) -> AdmissionRule {
     AdmissionRule {
         goal: plan.route.goal,
-        spent: now.saturating_duration_since(call.arrived) + call.spent_before(),
-        left: plan.deadline.saturating_duration_since(call.arrived) + call.spent_before(),
-        favour: if plan.urgent {
+        elapsed: now.saturating_duration_since(call.arrived) + call.spent_before(),
+        remaining: plan.deadline.saturating_duration_since(call.arrived) + call.spent_before(),
+        goal_factor: if plan.urgent {
             preset.urgent_favour
         } else {
             1.0
         },
         goal_margin: preset.goal_margin,
-        least_wait: preset.least_wait,
+        min_wait: preset.least_wait,
     }
 }
 
--- a/crates/zinniahatch_entry/src/request/plan.rs
+++ b/crates/zinniahatch_entry/src/request/plan.rs
@@ -11,9 +11,9 @@
 use std::borrow::Cow;
 use std::rc::Rc;
 use zinniahatch_base::prelude::*;
-use zinniahatch_route::AwayTried;
 use zinniahatch_route::DesiredRoute;
 use zinniahatch_route::DesiredService;
+use zinniahatch_route::RemoteAttempts;
 use zinniahatch_route::RepeatKind;
 use zinniahatch_route::common_homes;
 use zinniahatch_route::engine_rank;
@@ -58,7 +58,7 @@
     /// Replicas that were tried.
     pub(crate) tried: BTreeSet<ReplicaId>,
     /// Nodes and regions that were tried.
-    pub(crate) away: AwayTried,
+    pub(crate) away: RemoteAttempts,
     /// Replicas that it was sent to.
     pub(crate) sends: u32,
     /// Tries in which nothing was sent.
--- a/crates/zinniahatch_entry/src/store/membership.rs
+++ b/crates/zinniahatch_entry/src/store/membership.rs
@@ -42,7 +42,7 @@
             }
             Err(error) => {
                 core.metrics.note_store("lease", "failed");
-                core.note_store_trouble();
+                core.note_store_failure();
                 core.store_lost.notify_waiters();
                 core.log.write(
                     "lease-failed",
--- a/crates/zinniahatch_entry/src/store/news.rs
+++ b/crates/zinniahatch_entry/src/store/news.rs
@@ -50,7 +50,7 @@
         WatchTopic::Operator => take_evacuations(core, &evacuated, revision),
         WatchTopic::Replicas => {
             let mut replicas = core.replicas.borrow_mut();
-            let changes = replicas.relist(entries, revision, now);
+            let changes = replicas.apply_listing(entries, revision, now);
             drop(replicas);
             for (entry, change) in changes {
                 note_change(core, &entry, change);
@@ -132,15 +132,15 @@
 fn note_change(core: &EntryCore, entry: &ReplicaEntry, change: EntryChange) {
     let kind = match change {
         EntryChange::None => return,
-        EntryChange::Belief => "replica",
-        EntryChange::NewLife(before) => {
+        EntryChange::Updated => "replica",
+        EntryChange::Restarted(before) => {
             core.pool.purge(before);
             "replica-reborn"
         }
     };
     core.log.write(
         kind,
-        serde_json::json!({"replica": entry.id, "born_ms": entry.born, "leaving": entry.leaving,
+        serde_json::json!({"replica": entry.id, "born_ms": entry.started_ms, "leaving": entry.leaving,
             "cold_ms": entry.cold_for.as_millis() as u64,
             "gone_in_ms": entry.gone_in.map(|left| left.as_millis() as u64),
             "revision": entry.revision}),
@@ -152,7 +152,7 @@
     if replicas.get(id).is_none() {
         return;
     }
-    replicas.vanish(id, revision, now);
+    replicas.remove_entry(id, revision, now);
     drop(replicas);
     core.log.write(
         "replica-entry-gone",
--- a/crates/zinniahatch_entry/src/store/quarantine_keys.rs
+++ b/crates/zinniahatch_entry/src/store/quarantine_keys.rs
@@ -21,8 +21,8 @@
 use zinniahatch_platform::CommitOutcome;
 use zinniahatch_platform::KvError;
 use zinniahatch_platform::StoreCommit;
-use zinniahatch_route::SuspectNews;
-use zinniahatch_route::ToldEnd;
+use zinniahatch_route::ReportedCrash;
+use zinniahatch_route::SuspectUpdate;
 
 /// Start of the keys.
 const PREFIX: &str = "zinniahatch/quarantine/";
@@ -116,7 +116,7 @@
             core.released.borrow_mut().retain(|other| *other != content);
             continue;
         }
-        let unkept = core.suspects.borrow().unkept(Instant::now());
+        let unkept = core.suspects.borrow().unpersisted(Instant::now());
         let Some((news, left)) = unkept else {
             return Ok(());
         };
@@ -124,7 +124,7 @@
     }
 }
 
-async fn keep(core: &EntryCore, news: &SuspectNews, left: Duration) -> Result<(), KvError> {
+async fn keep(core: &EntryCore, news: &SuspectUpdate, left: Duration) -> Result<(), KvError> {
     let time = left.min(LONGEST_LEASE).max(core.settings.lease_least);
     let lease = core.store.grant(time).await?;
     let kept = KeptSuspect::of(news, unix_millis());
@@ -134,7 +134,7 @@
         return Err(KvError::NotDone("the lease has lapsed".into()));
     }
     core.metrics.note_store("quarantine", "kept");
-    core.suspects.borrow_mut().note_kept(news.content);
+    core.suspects.borrow_mut().note_persisted(news.content);
     core.log.write(
         "quarantine-kept",
         serde_json::json!({"content": content_text(news.content),
@@ -144,8 +144,8 @@
 }
 
 impl KeptSuspect {
-    fn of(news: &SuspectNews, now: u64) -> Self {
-        let ends = news.ends.iter().map(|end| KeptEnd {
+    fn of(news: &SuspectUpdate, now: u64) -> Self {
+        let ends = news.crashes.iter().map(|end| KeptEnd {
             replica: end.replica,
             at_ms: now.saturating_sub(u64::from(end.age_ms)),
             ran_ms: end.ran_ms,
@@ -157,15 +157,15 @@
     }
 
     /// Gives it as news. Where the time of day stepped back meanwhile the ends count as of now.
-    fn news(&self, now: u64) -> SuspectNews {
-        let ends = self.ends.iter().map(|end| ToldEnd {
+    fn news(&self, now: u64) -> SuspectUpdate {
+        let ends = self.ends.iter().map(|end| ReportedCrash {
             replica: end.replica,
             age_ms: u32::try_from(now.saturating_sub(end.at_ms)).unwrap_or(u32::MAX),
             ran_ms: end.ran_ms,
         });
-        SuspectNews {
+        SuspectUpdate {
             content: self.content,
-            ends: ends.collect(),
+            crashes: ends.collect(),
             cleared: None,
         }
     }
--- a/crates/zinniahatch_entry/src/store/store_return.rs
+++ b/crates/zinniahatch_entry/src/store/store_return.rs
@@ -24,7 +24,7 @@
 use zinniahatch_platform::CommitOutcome;
 use zinniahatch_platform::KvError;
 use zinniahatch_platform::StoreCommit;
-use zinniahatch_route::RETURN_HOLD;
+use zinniahatch_route::RESTORE_HOLD;
 use zinniahatch_route::ServingPreset;
 
 /// Limit of a listing.
@@ -55,7 +55,7 @@
     let now = Instant::now();
     core.metrics.note_store_return();
     let sheets = core.counts.book.borrow_mut().reopen(now);
-    let suspects = core.suspects.borrow_mut().forget_kept();
+    let suspects = core.suspects.borrow_mut().forget_persisted();
     core.log.write(
         "store-returned",
         serde_json::json!({"era_before": before, "era": after, "sheets": sheets,
@@ -63,8 +63,8 @@
             "version": core.version()}),
     );
     // Entries that the copy lacks are back soon; until then nobody is taken for gone.
-    core.note_store_trouble();
-    core.replicas.borrow_mut().note_return(now);
+    core.note_store_failure();
+    core.replicas.borrow_mut().note_store_restored(now);
     core.operator_revision.set(None);
     sleep(SPREAD_TIME.mul_f64(rand::rng().random())).await;
     core.quarantined.send_replace(());
@@ -73,7 +73,7 @@
         "store-rewritten",
         serde_json::json!({"era": after, "took_ms": now.elapsed().as_millis() as u64}),
     );
-    sleep(RETURN_HOLD.saturating_sub(now.elapsed())).await;
+    sleep(RESTORE_HOLD.saturating_sub(now.elapsed())).await;
     if has_duty(core, READER_DUTY, READERS) {
         look_again(core).await;
     }
--- a/crates/zinniahatch_entry/src/store/watch.rs
+++ b/crates/zinniahatch_entry/src/store/watch.rs
@@ -137,12 +137,12 @@
 
     fn note_compacted(&mut self) {
         self.log("store-compacted", "revision", self.revision);
-        self.core.note_store_trouble();
+        self.core.note_store_failure();
         self.revision = None;
     }
 
     async fn pause_after(&mut self, error: &KvError) {
-        self.core.note_store_trouble();
+        self.core.note_store_failure();
         self.core.metrics.note_store("follow", "failed");
         self.log("store-lost", "error", error.to_string());
         self.fine = false;
--- a/crates/zinniahatch_entry/src/who/proofs.rs
+++ b/crates/zinniahatch_entry/src/who/proofs.rs
@@ -49,7 +49,7 @@
         }
         if let Err(error) = prove(&core).await {
             core.metrics.note_store("prove", "failed");
-            core.note_store_trouble();
+            core.note_store_failure();
             core.log.write(
                 "proof-failed",
                 serde_json::json!({"error": error.to_string(), "age_ms": age_ms(&core)}),
--- a/crates/zinniahatch_entry/tests/channel.rs
+++ b/crates/zinniahatch_entry/tests/channel.rs
@@ -48,7 +48,7 @@
     let mut table = ReplicaTable::default();
     let entry = ReplicaEntry {
         id: "i-1".into(),
-        born: 1,
+        started_ms: 1,
         service: "s".into(),
         address,
         data_centre: "a".into(),
--- a/crates/zinniahatch_route/src/admission.rs
+++ b/crates/zinniahatch_route/src/admission.rs
@@ -1,74 +1,74 @@
-//! Admitting a request or turning it away at once.
+//! Admission control: whether a request is admitted or refused at once.
 //!
-//! Load pattern: a regional peak or a burst brings more than the replicas can read in time. Every
-//! request that joins the queue then makes all later ones late, so that nobody is served within
-//! the goal although the replicas never idle. Turning away what would wait too long keeps the
-//! queue short, and what is admitted is in time.
+//! Load pattern: a regional peak or a burst brings more prompts than the replicas can process in
+//! time. Every request that joins the queue delays all later ones, so that no answer meets its
+//! latency target although the replicas are never idle. Refusing the requests that would wait too
+//! long keeps the queue short and the admitted requests in time.
 
 use zinniahatch_base::prelude::*;
 
-/// Part of the time left that a caller may be told to wait at most; callers honour no more.
-const RETRY_PART: f64 = 0.33;
-/// Least time that a caller is told to wait, so that refused callers do not come back at once.
-const LEAST_RETRY: Duration = Duration::from_millis(100);
+/// Largest share of the remaining time that a Retry-After may take; callers do not honour more.
+const MAX_RETRY_SHARE: f64 = 0.33;
+/// Shortest Retry-After, so that refused callers do not come back at once.
+const MIN_RETRY: Duration = Duration::from_millis(100);
 
-/// What decides about a request.
+/// Inputs of the admission decision for one request.
 #[derive(Clone, Copy, Debug)]
 pub struct AdmissionRule {
-    /// Time to the first event at which the answer earns its full worth.
+    /// Latency target: time to the first event up to which the answer has its full worth.
     pub goal: Duration,
-    /// Time that was spent since the request arrived.
-    pub spent: Duration,
+    /// Time since the request arrived.
+    pub elapsed: Duration,
     /// Time until the caller gives up.
-    pub left: Duration,
-    /// How much more wait is allowed; 1 is the plain rule, urgent routes have more.
-    pub favour: f64,
-    /// Part of what is left of the goal up to which the expected time may go.
+    pub remaining: Duration,
+    /// Factor on the latency target; 1 is the plain rule, urgent routes have more.
+    pub goal_factor: f64,
+    /// Share of the remaining latency target that the expected time may take.
     pub goal_margin: f64,
-    /// Wait that every request may have, as a part of its goal.
-    pub least_wait: f64,
+    /// Queueing time that every request is granted, as a share of its latency target.
+    pub min_wait: f64,
 }
 
-/// What was decided.
+/// Result of admission control.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Verdict {
-    /// It is admitted.
+pub enum Admission {
+    /// The request is admitted.
     Admit,
-    /// It is turned away and may come back after this time.
+    /// The request is refused; the caller may retry after this time.
     Refuse(Duration),
 }
 
 impl AdmissionRule {
-    /// Decides by the expected time to the first event, and by the way there and back and the wait that are
-    /// parts of it.
+    /// Decides by the expected time to the first event and the round trip and queueing time within
+    /// it.
     ///
-    /// The margin covers what is not known for certain. Time that has passed and a way that was measured are
-    /// certain: with the margin on them too, a region without replicas of its own turned requests away that
-    /// others had the capacity for (0.734 of what requests were worth to their callers was served, 0.738 without).
-    pub fn judge(&self, expected: Duration, trip: Duration, wait: Duration) -> Verdict {
-        if expected + self.spent > self.left {
-            return Verdict::Refuse(self.retry_after(wait));
+    /// The margin covers uncertainty in the expected time. Elapsed time and a measured round trip
+    /// are certain; with the margin applied to them too, a region without replicas of its own
+    /// refused requests that other regions had capacity for (0.734 of the requests' worth to their
+    /// callers was served, against 0.738 without).
+    pub fn decide(&self, expected: Duration, round_trip: Duration, wait: Duration) -> Admission {
+        if expected + self.elapsed > self.remaining {
+            return Admission::Refuse(self.retry_after(wait));
         }
-        let goal = self.goal.mul_f64(self.favour);
-        let in_time = self.is_in_time(expected, trip);
-        let fair = wait <= goal.mul_f64(self.least_wait);
+        let goal = self.goal.mul_f64(self.goal_factor);
+        let in_time = self.is_in_time(expected, round_trip);
+        let fair = wait <= goal.mul_f64(self.min_wait);
         if in_time || fair {
-            return Verdict::Admit;
+            return Admission::Admit;
         }
-        Verdict::Refuse(self.retry_after(wait.saturating_sub(goal.mul_f64(self.least_wait))))
+        Admission::Refuse(self.retry_after(wait.saturating_sub(goal.mul_f64(self.min_wait))))
     }
 
-    /// Tells whether the first event is expected well within the goal.
-    pub fn is_in_time(&self, expected: Duration, trip: Duration) -> bool {
-        let goal = self.goal.mul_f64(self.favour);
-        let left = goal.saturating_sub(self.spent + trip);
-        expected.saturating_sub(trip) <= left.mul_f64(self.goal_margin)
+    /// Returns whether the first event is expected within the latency target, margin included.
+    pub fn is_in_time(&self, expected: Duration, round_trip: Duration) -> bool {
+        let goal = self.goal.mul_f64(self.goal_factor);
+        let remaining = goal.saturating_sub(self.elapsed + round_trip);
+        expected.saturating_sub(round_trip) <= remaining.mul_f64(self.goal_margin)
     }
 
-    /// Gives the time after which the request can probably be admitted.
-    pub fn retry_after(&self, over: Duration) -> Duration {
-        let most = self.left.mul_f64(RETRY_PART);
-        over.max(LEAST_RETRY)
-            .min(most.max(Duration::from_millis(1)))
+    /// Returns the time after which the request can probably be admitted.
+    pub fn retry_after(&self, excess: Duration) -> Duration {
+        let max = self.remaining.mul_f64(MAX_RETRY_SHARE);
+        excess.max(MIN_RETRY).min(max.max(Duration::from_millis(1)))
     }
 }
--- a/crates/zinniahatch_route/src/earliest_return.rs
+++ b/crates/zinniahatch_route/src/earliest_return.rs
@@ -1,16 +1,16 @@
 //! When a request that no replica can take now may come back.
 
-use crate::PlaceAsk;
+use crate::PlacementQuery;
 use crate::ReplicaTable;
-use crate::Withheld;
-use crate::placement::takes_work;
+use crate::SendRefusal;
+use crate::placement::is_eligible;
 use zinniahatch_base::prelude::*;
 
 /// When the first of a region's replicas takes work again, where none does now.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EarliestReturn {
     /// Why it does not now.
-    pub reason: Withheld,
+    pub reason: SendRefusal,
     /// The time until it does.
     pub after: Duration,
     /// Requests that all of them work on at once.
@@ -22,16 +22,16 @@
 pub fn earliest_return(
     table: &ReplicaTable,
     regions: &BTreeMap<DataCentreId, RegionId>,
-    ask: &PlaceAsk<'_>,
+    ask: &PlacementQuery<'_>,
     now: Instant,
 ) -> Option<EarliestReturn> {
-    let mut first: Option<(Duration, Withheld)> = None;
+    let mut first: Option<(Duration, SendRefusal)> = None;
     let mut slots = 0;
     for belief in table.rows() {
-        if !takes_work(table, regions, ask.service, ask.region, belief, now) {
+        if !is_eligible(table, regions, ask.service, ask.region, belief, now) {
             continue;
         }
-        let rest = table.rests.wait(belief.tag, now);
+        let rest = table.backoffs.wait(belief.tag, now);
         let limit = if table.limits.allows(belief.tag, now) {
             Duration::ZERO
         } else {
@@ -43,9 +43,9 @@
         }
         slots += belief.entry.slots;
         let reason = if rest >= limit {
-            Withheld::Resting
+            SendRefusal::Resting
         } else {
-            Withheld::Limited
+            SendRefusal::Limited
         };
         if first.is_none_or(|(least, _)| after < least) {
             first = Some((after, reason));
@@ -63,7 +63,7 @@
 pub fn all_leave(
     table: &ReplicaTable,
     regions: &BTreeMap<DataCentreId, RegionId>,
-    ask: &PlaceAsk<'_>,
+    ask: &PlacementQuery<'_>,
 ) -> bool {
     let mut here = table.rows().filter(|belief| {
         let region = regions.get(&belief.entry.data_centre);
--- a/crates/zinniahatch_route/src/hearing.rs
+++ b/crates/zinniahatch_route/src/hearing.rs
@@ -1,16 +1,16 @@
 //! Taking what a replica says of itself in an answer, whichever way the answer came.
 
+use crate::BackoffChange;
+use crate::BackoffNotice;
+use crate::DrainNotice;
 use crate::LeaveReason;
-use crate::LimitChange;
-use crate::NamedLeaving;
-use crate::NamedLimit;
-use crate::NamedRest;
-use crate::ReplicaBelief;
-use crate::ReplicaLife;
+use crate::RateLimitChange;
+use crate::RateLimitNotice;
+use crate::ReplicaIncarnation;
 use crate::ReplicaNotice;
+use crate::ReplicaState;
 use crate::ReplicaTable;
-use crate::RestChange;
-use crate::prompt::session_rank;
+use crate::prompt::rendezvous_score;
 use zinniahatch_base::prelude::*;
 
 /// Longest time for which a replica is sent nothing because of an answer that nothing shows to be its own.
@@ -50,11 +50,11 @@
     /// Whether it is new that the replica leaves.
     pub leaving: bool,
     /// What became of the rest that it asks for.
-    pub rest: Option<RestChange>,
+    pub rest: Option<BackoffChange>,
     /// Whether it was tried after a rest, and serves.
     pub serves: bool,
     /// How its rate limit changed.
-    pub limit: Option<LimitChange>,
+    pub limit: Option<RateLimitChange>,
     /// Values that cannot be used, by name.
     pub rejected: Vec<&'static str>,
     /// Values that nothing shows to be its own; they are believed for a while, and other nodes are not told.
@@ -74,18 +74,19 @@
         hear_state(belief, heard, now);
         let mut rest = None;
         match heard.notice.leaving {
-            NamedLeaving::Absent => {}
-            NamedLeaving::Malformed => effect.rejected.push("leaving"),
-            NamedLeaving::Leaving if heard.proof == AnswerProof::Missing => {
+            DrainNotice::Absent => {}
+            DrainNotice::Malformed => effect.rejected.push("leaving"),
+            DrainNotice::Leaving if heard.proof == AnswerProof::Missing => {
                 effect.unproven.push("leaving");
                 rest = Some(UNPROVEN_TIME);
             }
-            NamedLeaving::Leaving => {
-                self.said_leaving.insert(belief.tag, belief.entry.life());
+            DrainNotice::Leaving => {
+                self.announced_leaving
+                    .insert(belief.tag, belief.entry.incarnation());
                 effect.leaving = begin_leaving(belief);
             }
         }
-        let work = belief.own.requests;
+        let work = belief.local_work.requests;
         rest = rest.max(named_rest(heard, &mut effect));
         self.hear_rest(heard, rest, work, &mut effect, now);
         effect.limit = self.hear_answered_limit(heard, &mut effect.rejected, now);
@@ -93,11 +94,11 @@
     }
 
     fn hear_dropped(&mut self, heard: &HeardNotice<'_>) {
-        let leaves = heard.notice.leaving == NamedLeaving::Leaving;
+        let leaves = heard.notice.leaving == DrainNotice::Leaving;
         if !leaves || heard.proof == AnswerProof::Missing {
             return;
         }
-        let mut ended = self.gone.values_mut();
+        let mut ended = self.ended.values_mut();
         if let Some(ended) = ended.find(|ended| ended.tag == heard.replica) {
             ended.leaving = true;
         }
@@ -114,13 +115,13 @@
     ) {
         if heard.proof >= AnswerProof::Named {
             effect.serves = self
-                .rests
+                .backoffs
                 .note_answer(heard.replica, heard.taken, heard.sent);
         }
         if let Some(rest) = rest {
             effect.rest = self
-                .rests
-                .note_asked(heard.replica, rest, work, heard.draw, now);
+                .backoffs
+                .note_requested(heard.replica, rest, work, heard.draw, now);
         }
     }
 
@@ -129,67 +130,67 @@
         heard: &HeardNotice<'_>,
         rejected: &mut Vec<&'static str>,
         now: Instant,
-    ) -> Option<LimitChange> {
+    ) -> Option<RateLimitChange> {
         let named = heard.notice.rate_limit;
         match named {
-            NamedLimit::Malformed => {
+            RateLimitNotice::Malformed => {
                 rejected.push("rate limit");
                 return None;
             }
             // Without the replica's proof that a limit is named no more, it goes on.
-            NamedLimit::Absent if heard.proof < AnswerProof::Sealed => return None,
-            NamedLimit::Absent | NamedLimit::PerSecond(_) => {}
+            RateLimitNotice::Absent if heard.proof < AnswerProof::Sealed => return None,
+            RateLimitNotice::Absent | RateLimitNotice::PerSecond(_) => {}
         }
         self.limits
             .note_answer(heard.replica, named, heard.sent, now)
     }
 
     /// Takes another node's news that a replica said that it leaves; tells whether that is new.
-    pub fn hear_leaving(&mut self, life: &ReplicaLife) -> bool {
-        if let Some(ended) = self.gone.get_mut(&life.id)
-            && ended.born == life.born
+    pub fn hear_leaving(&mut self, life: &ReplicaIncarnation) -> bool {
+        if let Some(ended) = self.ended.get_mut(&life.id)
+            && ended.started_ms == life.started_ms
         {
             ended.leaving = true;
         }
         let row = self.rows.get_mut(&life.id);
-        let Some(belief) = row.filter(|belief| belief.entry.born == life.born) else {
+        let Some(belief) = row.filter(|belief| belief.entry.started_ms == life.started_ms) else {
             return false;
         };
-        self.said_leaving.insert(belief.tag, life.clone());
+        self.announced_leaving.insert(belief.tag, life.clone());
         begin_leaving(belief)
     }
 
     /// Gives the lives that said in an answer to some node that they leave, to tell nodes that know others.
-    pub fn said_leaving(&self) -> impl Iterator<Item = &ReplicaLife> {
-        self.said_leaving.values()
+    pub fn announced_leaving(&self) -> impl Iterator<Item = &ReplicaIncarnation> {
+        self.announced_leaving.values()
     }
 
     /// Gives a digest of these lives; nodes that know the same have the same.
     pub fn leaving_digest(&self) -> u64 {
-        let tags = self.said_leaving.keys();
-        tags.fold(0, |digest, tag| digest ^ session_rank(1, *tag))
+        let tags = self.announced_leaving.keys();
+        tags.fold(0, |digest, tag| digest ^ rendezvous_score(1, *tag))
     }
 }
 
 /// Gives the rest that an answer asks for, as long as it is believed.
 fn named_rest(heard: &HeardNotice<'_>, effect: &mut NoticeEffect) -> Option<Duration> {
     match heard.notice.rest {
-        NamedRest::Absent => None,
-        NamedRest::Malformed => {
+        BackoffNotice::Absent => None,
+        BackoffNotice::Malformed => {
             effect.rejected.push("rest");
             None
         }
-        NamedRest::For(rest) if heard.proof == AnswerProof::Missing => {
+        BackoffNotice::For(rest) if heard.proof == AnswerProof::Missing => {
             effect.unproven.push("rest");
             Some(rest.min(UNPROVEN_TIME))
         }
-        NamedRest::For(rest) => Some(rest),
+        BackoffNotice::For(rest) => Some(rest),
     }
 }
 
-fn hear_state(belief: &mut ReplicaBelief, heard: &HeardNotice<'_>, now: Instant) {
+fn hear_state(belief: &mut ReplicaState, heard: &HeardNotice<'_>, now: Instant) {
     if let Some((running, waiting, _)) = heard.notice.load {
-        belief.reported = Some((running, waiting, now));
+        belief.reported_load = Some((running, waiting, now));
     }
     let left = heard.notice.cold_for.filter(|left| !left.is_zero());
     if let Some(left) = left.filter(|_| heard.proof >= AnswerProof::Named) {
@@ -198,7 +199,7 @@
 }
 
 /// Notes that a replica leaves, for the rest of its life.
-fn begin_leaving(belief: &mut ReplicaBelief) -> bool {
+fn begin_leaving(belief: &mut ReplicaState) -> bool {
     let known = matches!(
         belief.leaving,
         Some(LeaveReason::Draining | LeaveReason::Replaced)
--- a/crates/zinniahatch_route/src/members.rs
+++ b/crates/zinniahatch_route/src/members.rs
@@ -365,6 +365,6 @@
         region: &str,
         now: Instant,
     ) -> Self {
-        crate::placement::digest_of(table, regions, service, region, now)
+        crate::placement::service_capacity(table, regions, service, region, now)
     }
 }
--- a/crates/zinniahatch_route/src/placement.rs
+++ b/crates/zinniahatch_route/src/placement.rs
@@ -1,173 +1,179 @@
-//! Choosing the replica for a request, and the region to go away to.
+//! Placement: choosing the replica for a request, or the remote region to send it to.
 //!
-//! All candidates are compared by one sum, the expected time to the first event and small costs in the
-//! same unit (`cost`). Sessions stay on their rendezvous replica because the tokens that
-//! it keeps need not be read again, and the penalty of the others covers the memory they would
-//! spend on a second copy.
+//! All candidates are compared by one sum, the expected time to the first event plus costs in the
+//! same unit (`placement_cost`). Sessions stay on their rendezvous replica because the tokens in
+//! its prefix cache need no new prefill; the penalty of other replicas covers the memory of a
+//! second copy.
 
 use crate::ColdGate;
 use crate::MemberTable;
 use crate::PromptSize;
-use crate::ReplicaBelief;
+use crate::ReplicaState;
 use crate::ReplicaTable;
 use crate::ServiceDigest;
 use crate::StreamModel;
-use crate::cost::COLD_COST;
-use crate::cost::PlaceCost;
-use crate::cost::PromptPlan;
-use crate::cost::failure_cost;
-use crate::cost::fullness_cost;
-use crate::cost::outside_cost;
-use crate::cost::second_copy_cost;
-use crate::prompt::session_rank;
+use crate::placement_cost::COLD_COST;
+use crate::placement_cost::PlacementCost;
+use crate::placement_cost::PromptPlan;
+use crate::placement_cost::failure_cost;
+use crate::placement_cost::fullness_cost;
+use crate::placement_cost::outside_cost;
+use crate::placement_cost::second_copy_cost;
+use crate::prompt::rendezvous_score;
 use std::cmp::Reverse;
 use zinniahatch_base::prelude::*;
 
-/// Replicas among which a session is placed by load alone; a few choices give nearly all of what
-/// the choice among all would.
+/// Replicas among which a session is placed by load alone; a few choices give nearly all of the
+/// benefit of a choice among all.
 const CHOICES: usize = 4;
-/// Other replicas that are looked at for one request, drawn anew for each. If all were, every node
-/// would send to the one replica that looked idle in the last datagram: on a site of 89 nodes 17,000
-/// tokens lay ahead of a prompt on the worst replicas, most of them placed within 60 ms.
+/// Other replicas considered for one request, drawn anew for each. If all were, every node would
+/// send to the one replica that looked idle in the last datagram: on a site of 89 nodes 17,000
+/// tokens were ahead of a prompt on the worst replicas, most of them placed within 60 ms.
 const OUTSIDERS: usize = 2;
-/// Replicas among which a request is placed in all; the best of them is about the one at this part of
-/// the ranks of all.
-const CHOSEN_AMONG: usize = CHOICES + OUTSIDERS;
-/// Least slowness that counts: a replica that answered fast a few times is not trusted further.
-const LEAST_SLOWNESS: f64 = 0.8;
-/// Share of the slots that are kept for what other nodes send before they hear of it.
+/// Replicas considered for a request in total; the best of them is about the one at this fraction
+/// of the ranking of all.
+const CANDIDATES: usize = CHOICES + OUTSIDERS;
+/// Smallest slowness assumed: a replica that answered fast a few times is not trusted further.
+const MIN_SLOWNESS: f64 = 0.8;
+/// Share of the slots that is planned with; the rest is left for requests that other nodes send
+/// before they learn of each other's.
 const SLOT_MARGIN: f64 = 0.95;
-/// Units of the requests in progress that a digest tells: tenths.
+/// Unit of the running requests in a digest: tenths.
 const RUNNING_SCALE: f64 = 10.0;
 
-/// What is asked of a placement.
+/// Inputs of a placement decision.
 #[derive(Clone, Debug)]
-pub struct PlaceAsk<'a> {
-    /// The service.
+pub struct PlacementQuery<'a> {
+    /// Service of the request.
     pub service: &'a ServiceId,
-    /// The region in which to look.
+    /// Region in which to place it.
     pub region: &'a str,
-    /// The size of the request.
+    /// Size of the request.
     pub size: &'a PromptSize,
-    /// Whether engines read it before common requests.
+    /// Whether engines prefill it before common requests.
     pub urgent: bool,
     /// Replicas that were tried already.
     pub tried: &'a BTreeSet<ReplicaId>,
-    /// The longest time that the answer may take in all.
+    /// Longest time that the whole answer may take.
     pub deadline: Duration,
-    /// Time to copy one kept token between replicas; zero where they cannot.
+    /// Time to copy one cached token between replicas; zero if they cannot.
     pub copy_token: Duration,
-    /// Bound of a cold replica over all nodes, requests a second.
+    /// Rate limit of a cold replica over all nodes, in requests per second.
     pub cold_bound: f64,
-    /// A number drawn for the request.
+    /// Random number of the request.
     pub draw: u64,
-    /// Own name, for the split of the cold bound.
+    /// Name of this node, for its share of the rate limit of cold replicas.
     pub node: &'a str,
-    /// The nodes of the region, for the same.
+    /// Nodes of the region, for the same.
     pub peers: &'a BTreeSet<NodeId>,
 }
 
-/// A replica of the own region.
+/// Placement on a replica of the own region.
 #[derive(Clone, Debug, PartialEq)]
-pub struct LocalChoice {
+pub struct LocalPlacement {
     /// The replica.
     pub replica: ReplicaId,
     /// Expected time to the first event.
     pub expected: Duration,
-    /// What else it costs.
-    pub cost: PlaceCost,
-    /// The part of it that is spent waiting for others.
+    /// Additional costs.
+    pub cost: PlacementCost,
+    /// Queueing time within the expected time.
     pub wait: Duration,
-    /// The part of the wait that is for a slot.
+    /// Wait for a slot within the queueing time.
     pub queue: Duration,
     /// Expected time from the first event to the last.
     pub answer: Duration,
-    /// Time for which the reading stops the streams of others, summed over them.
-    pub hold_up: Duration,
-    /// Tokens that the replica must read for this request.
+    /// Time for which the prefill stalls other streams of the replica, summed over them.
+    pub stream_stall: Duration,
+    /// Tokens that the replica has to prefill for this request.
     pub tokens: u32,
     /// Whether the replica is cold.
     pub cold: bool,
-    /// The replica from which it copies kept parts instead of reading them.
+    /// Replica from which it copies cached parts instead of a prefill.
     pub copy_from: Option<ReplicaId>,
 }
 
-/// A node of another region.
+/// Placement on a node of a remote region.
 #[derive(Clone, Debug, PartialEq)]
-pub struct AwayChoice {
+pub struct RemotePlacement {
     /// The node.
     pub node: NodeId,
     /// Its region.
     pub region: RegionId,
-    /// Expected time to the first event, the way there and back included.
+    /// Expected time to the first event, round trip included.
     pub expected: Duration,
-    /// The part of it that is spent on the way there and back.
-    pub trip: Duration,
-    /// The part of it that is spent waiting for others there.
+    /// Round-trip time within it.
+    pub round_trip: Duration,
+    /// Queueing time within it.
     pub wait: Duration,
     /// Expected time from the first event to the last.
     pub answer: Duration,
-    /// Time for which the reading stops the streams of others there, summed over them.
-    pub hold_up: Duration,
+    /// Time for which the prefill stalls other streams of the remote replica, summed over them.
+    pub stream_stall: Duration,
 }
 
-impl LocalChoice {
-    /// Gives the time that all callers together spend on the request: its own, and that of the streams that
-    /// its reading stops.
-    pub fn callers_time(&self) -> Duration {
-        self.expected + self.answer + self.hold_up
+impl LocalPlacement {
+    /// Returns the time that the request costs all callers together: its own, and the stall of the
+    /// streams that its prefill interrupts.
+    pub fn total_caller_time(&self) -> Duration {
+        self.expected + self.answer + self.stream_stall
     }
 }
 
-impl AwayChoice {
-    /// Gives the time that all callers together spend on the request there.
-    pub fn callers_time(&self) -> Duration {
-        self.expected + self.answer + self.hold_up
+impl RemotePlacement {
+    /// Returns the time that the request costs all callers together in the remote region.
+    pub fn total_caller_time(&self) -> Duration {
+        self.expected + self.answer + self.stream_stall
     }
 }
 
-/// Where a request was sent away to already.
+/// Regions and nodes to which a request was already sent.
 #[derive(Clone, Debug, Default)]
-pub struct AwayTried {
+pub struct RemoteAttempts {
     /// Regions that refused it.
     pub regions: BTreeSet<RegionId>,
-    /// Nodes that failed it; others of their region may still serve it.
+    /// Nodes that failed it; other nodes of their region may still serve it.
     pub nodes: BTreeSet<NodeId>,
 }
 
-/// Chooses the replica with the least expected time among those that may get new work.
+/// Chooses the replica with the lowest sum of expected time and costs among the eligible ones.
 pub fn choose_local(
     table: &ReplicaTable,
     gate: &ColdGate,
     regions: &BTreeMap<DataCentreId, RegionId>,
-    ask: &PlaceAsk<'_>,
+    query: &PlacementQuery<'_>,
     now: Instant,
-) -> Option<LocalChoice> {
-    let model = table.model_of(ask.service);
-    let (choices, outsiders) = first_choices(table, regions, ask, now);
-    let keeper = best_keeper(table, regions, ask, now);
-    let mut best: Option<LocalChoice> = None;
-    for belief in candidates(table, regions, ask, now) {
-        let rank = choices.iter().position(|id| **id == *belief.entry.id);
-        if !choices.is_empty() && rank.is_none() && !outsiders.contains(&belief.entry.id) {
+) -> Option<LocalPlacement> {
+    let model = table.model_of(query.service);
+    let (choices, outsiders) = session_choices(table, regions, query, now);
+    let cache_holder = best_cache_holder(table, regions, query, now);
+    let mut best: Option<LocalPlacement> = None;
+    for state in candidates(table, regions, query, now) {
+        let rank = choices.iter().position(|id| **id == *state.entry.id);
+        if !choices.is_empty() && rank.is_none() && !outsiders.contains(&state.entry.id) {
             continue;
         }
-        let cold = belief.is_cold(now);
+        let cold = state.is_cold(now);
         if cold {
-            let share = ColdGate::share(ask.cold_bound, &belief.entry.id, ask.node, ask.peers);
-            if !gate.allows(&belief.entry.id, share, now) {
+            let share = ColdGate::share(query.cold_bound, &state.entry.id, query.node, query.peers);
+            if !gate.allows(&state.entry.id, share, now) {
                 continue;
             }
         }
-        let work = belief.all_work(now);
-        let prompt = prompt_plan(belief, keeper.as_ref(), ask);
-        let slots = f64::from(belief.entry.slots.max(1));
-        let queue = slot_wait(f64::from(work.holding(ask.urgent)), slots, model.hold());
-        let wait = model.waiting(work.ahead(ask.urgent), ask.urgent) + queue;
-        let pace = belief.slowness.max(LEAST_SLOWNESS);
-        let expected = (model.expect(prompt.tokens) + wait).mul_f64(pace) + prompt.copying;
-        let cost = PlaceCost {
-            failures: failure_cost(belief, now),
+        let work = state.total_work(now);
+        let prompt = prompt_plan(state, cache_holder.as_ref(), query);
+        let slots = f64::from(state.entry.slots.max(1));
+        let queue = slot_wait(
+            f64::from(work.slots_ahead(query.urgent)),
+            slots,
+            model.slot_time(),
+        );
+        let wait = model.queue_time(work.tokens_ahead(query.urgent), query.urgent) + queue;
+        let slowness = state.slowness.max(MIN_SLOWNESS);
+        let expected =
+            (model.expected_time(prompt.tokens) + wait).mul_f64(slowness) + prompt.copy_time;
+        let cost = PlacementCost {
+            failures: failure_cost(state, now),
             fullness: fullness_cost(f64::from(work.requests) / slots),
             cold: if cold { COLD_COST } else { Duration::ZERO },
             outside: outside_cost(&choices, rank),
@@ -179,14 +185,14 @@
         {
             continue;
         }
-        best = Some(LocalChoice {
-            replica: belief.entry.id.clone(),
+        best = Some(LocalPlacement {
+            replica: state.entry.id.clone(),
             expected,
             cost,
-            wait: wait.mul_f64(pace),
-            queue: queue.mul_f64(pace),
-            answer: answer_time(table, belief, ask, now),
-            hold_up: model.reading(prompt.tokens) * work.requests,
+            wait: wait.mul_f64(slowness),
+            queue: queue.mul_f64(slowness),
+            answer: answer_time(table, state, query, now),
+            stream_stall: model.prefill_time(prompt.tokens) * work.requests,
             tokens: prompt.tokens,
             cold,
             copy_from: prompt.copy_from,
@@ -195,188 +201,193 @@
     best
 }
 
-/// Gives the expected time from the first event to the last on a replica.
+/// Returns the expected time from the first event to the last on a replica.
 fn answer_time(
     table: &ReplicaTable,
-    belief: &ReplicaBelief,
-    ask: &PlaceAsk<'_>,
+    state: &ReplicaState,
+    query: &PlacementQuery<'_>,
     now: Instant,
 ) -> Duration {
-    let Some(model) = table.stream_model(ask.service) else {
+    let Some(model) = table.stream_model(query.service) else {
         return Duration::ZERO;
     };
-    let events = model.events(ask.size.asked_out());
-    model.replica_pause(&belief.pace, now).mul_f64(events)
+    let events = model.events(query.size.answer_tokens());
+    model.replica_gap(&state.gaps, now).mul_f64(events)
 }
 
 fn prompt_plan(
-    belief: &ReplicaBelief,
-    keeper: Option<&(ReplicaId, usize)>,
-    ask: &PlaceAsk<'_>,
+    state: &ReplicaState,
+    cache_holder: Option<&(ReplicaId, usize)>,
+    query: &PlacementQuery<'_>,
 ) -> PromptPlan {
-    let kept = belief.kept.leading(&ask.size.parts);
-    let own = ask
+    let cached = state.prefix_cache.leading(&query.size.parts);
+    let request_tokens = query
         .size
-        .tokens_after(ask.size.parts.len().saturating_sub(1));
-    let source = keeper.filter(|(id, parts)| *id != belief.entry.id && *parts > kept);
-    let have = source.map_or(kept, |(_, parts)| *parts);
-    let tokens = ask.size.tokens_after(have);
-    let copied = ask.size.tokens_after(kept) - tokens;
+        .uncached_tokens(query.size.parts.len().saturating_sub(1));
+    let source = cache_holder.filter(|(id, parts)| *id != state.entry.id && *parts > cached);
+    let available = source.map_or(cached, |(_, parts)| *parts);
+    let tokens = query.size.uncached_tokens(available);
+    let copied = query.size.uncached_tokens(cached) - tokens;
     PromptPlan {
         tokens,
-        shared_read: tokens.saturating_sub(own),
+        shared_read: tokens.saturating_sub(request_tokens),
         copied,
-        copying: ask.copy_token * copied,
+        copy_time: query.copy_token * copied,
         copy_from: source.map(|(id, _)| id.clone()),
     }
 }
 
-/// Finds the sound replica that keeps most of a prompt, where replicas can copy.
-fn best_keeper(
+/// Returns the eligible replica that caches most of a prompt, where replicas can copy cached parts.
+fn best_cache_holder(
     table: &ReplicaTable,
     regions: &BTreeMap<DataCentreId, RegionId>,
-    ask: &PlaceAsk<'_>,
+    query: &PlacementQuery<'_>,
     now: Instant,
 ) -> Option<(ReplicaId, usize)> {
-    if ask.copy_token.is_zero() || ask.size.parts.len() < 2 {
+    if query.copy_token.is_zero() || query.size.parts.len() < 2 {
         return None;
     }
-    let shared = &ask.size.parts[..ask.size.parts.len() - 1];
-    candidates(table, regions, ask, now)
-        .map(|belief| (belief.entry.id.clone(), belief.kept.leading(shared)))
+    let shared = &query.size.parts[..query.size.parts.len() - 1];
+    candidates(table, regions, query, now)
+        .map(|state| (state.entry.id.clone(), state.prefix_cache.leading(shared)))
         .filter(|(_, parts)| *parts > 0)
         .max_by_key(|(_, parts)| *parts)
 }
 
-/// Gives the expected wait for a slot: nothing while one is free, then one hold time a round.
-fn slot_wait(requests: f64, slots: f64, hold: Duration) -> Duration {
+/// Returns the expected wait for a slot: zero while one is free, then one slot time per round of
+/// requests.
+fn slot_wait(requests: f64, slots: f64, slot_time: Duration) -> Duration {
     let over = requests + 1.0 - slots * SLOT_MARGIN;
     if over <= 0.0 {
         return Duration::ZERO;
     }
-    hold.mul_f64((over / slots).max(0.5 / slots))
+    slot_time.mul_f64((over / slots).max(0.5 / slots))
 }
 
-/// Tells whether a replica of a service in a region may get new work at all.
-pub(crate) fn takes_work(
+/// Returns whether a replica belongs to a service and region and may get new work.
+pub(crate) fn is_eligible(
     table: &ReplicaTable,
     regions: &BTreeMap<DataCentreId, RegionId>,
     service: &str,
     region: &str,
-    belief: &ReplicaBelief,
+    state: &ReplicaState,
     now: Instant,
 ) -> bool {
-    let entry = &belief.entry;
-    let found = regions.get(&entry.data_centre);
+    let entry = &state.entry;
+    let actual = regions.get(&entry.data_centre);
     *entry.service == *service
-        && found.is_some_and(|found| **found == *region)
-        && belief.leaving.is_none()
+        && actual.is_some_and(|actual| **actual == *region)
+        && state.leaving.is_none()
         && !table.evacuated().contains(&entry.data_centre)
-        && !belief.health.is_suspect(now)
+        && !state.health.is_suspect(now)
 }
 
 fn candidates<'a>(
     table: &'a ReplicaTable,
     regions: &'a BTreeMap<DataCentreId, RegionId>,
-    ask: &'a PlaceAsk<'_>,
+    query: &'a PlacementQuery<'_>,
     now: Instant,
-) -> impl Iterator<Item = &'a ReplicaBelief> {
-    table.rows().filter(move |belief| {
-        takes_work(table, regions, ask.service, ask.region, belief, now)
-            && !ask.tried.contains(&belief.entry.id)
-            && table.limits.allows(belief.tag, now)
-            && table.rests.allows(belief.tag, now)
-            && belief.gone_at.is_none_or(|gone| now + ask.deadline < gone)
+) -> impl Iterator<Item = &'a ReplicaState> {
+    table.rows().filter(move |state| {
+        is_eligible(table, regions, query.service, query.region, state, now)
+            && !query.tried.contains(&state.entry.id)
+            && table.limits.allows(state.tag, now)
+            && table.backoffs.allows(state.tag, now)
+            && state
+                .terminates_at
+                .is_none_or(|end| now + query.deadline < end)
     })
 }
 
-/// Gives the replicas with the highest ranks for the session, the highest first, and a few others;
-/// both empty for requests without a session.
-fn first_choices(
+/// Returns the replicas with the highest rendezvous scores for the session, the highest first, and
+/// a few random others; both are empty for requests without a session.
+fn session_choices(
     table: &ReplicaTable,
     regions: &BTreeMap<DataCentreId, RegionId>,
-    ask: &PlaceAsk<'_>,
+    query: &PlacementQuery<'_>,
     now: Instant,
 ) -> (Vec<ReplicaId>, Vec<ReplicaId>) {
-    let Some(session) = ask.size.session() else {
+    let Some(session) = query.size.session() else {
         return (Vec::new(), Vec::new());
     };
-    let mut ranked: Vec<&ReplicaBelief> = candidates(table, regions, ask, now)
-        .filter(|belief| !belief.is_cold(now))
+    let mut ranked: Vec<&ReplicaState> = candidates(table, regions, query, now)
+        .filter(|state| !state.is_cold(now))
         .collect();
-    ranked.sort_unstable_by_key(|belief| Reverse(session_rank(session, belief.tag)));
+    ranked.sort_unstable_by_key(|state| Reverse(rendezvous_score(session, state.tag)));
     let mut others = ranked.split_off(ranked.len().min(CHOICES));
-    others.sort_unstable_by_key(|belief| Reverse(session_rank(ask.draw, belief.tag)));
-    let ids = |beliefs: Vec<&ReplicaBelief>, most: usize| {
-        let ids = beliefs.into_iter().take(most);
-        ids.map(|belief| belief.entry.id.clone()).collect()
+    others.sort_unstable_by_key(|state| Reverse(rendezvous_score(query.draw, state.tag)));
+    let ids = |states: Vec<&ReplicaState>, max: usize| {
+        let ids = states.into_iter().take(max);
+        ids.map(|state| state.entry.id.clone()).collect()
     };
     (ids(ranked, CHOICES), ids(others, OUTSIDERS))
 }
 
-/// Chooses the region in which an answer would end first, and a node there.
+/// Chooses the remote region in which the answer would end first, and a node there.
 ///
-/// `pick` is a random number; nodes of one region share the load evenly.
-pub fn choose_away(
+/// `random` picks the node, so that the nodes of one region share the load evenly.
+pub fn choose_remote(
     members: &MemberTable,
     table: &ReplicaTable,
-    ask: &PlaceAsk<'_>,
+    query: &PlacementQuery<'_>,
     allowed: &BTreeSet<RegionId>,
-    tried: &AwayTried,
-    pick: u64,
+    tried: &RemoteAttempts,
+    random: u64,
     now: Instant,
-) -> Option<AwayChoice> {
-    let model = table.model_of(ask.service);
-    let streams = table.stream_model(ask.service);
-    let events = streams.map_or(0.0, |streams| streams.events(ask.size.asked_out()));
-    let idle = streams.map_or(Duration::ZERO, StreamModel::idle_pause);
-    let mut best: Option<AwayChoice> = None;
-    for (region, nodes) in members.live_elsewhere(ask.region, now) {
+) -> Option<RemotePlacement> {
+    let model = table.model_of(query.service);
+    let streams = table.stream_model(query.service);
+    let events = streams.map_or(0.0, |streams| streams.events(query.size.answer_tokens()));
+    let idle = streams.map_or(Duration::ZERO, StreamModel::idle_gap);
+    let mut best: Option<RemotePlacement> = None;
+    for (region, nodes) in members.live_elsewhere(query.region, now) {
         if tried.regions.contains(&region) || (!allowed.is_empty() && !allowed.contains(&region)) {
             continue;
         }
-        let able: Vec<_> = nodes
+        let serving: Vec<_> = nodes
             .iter()
             .filter(|card| !tried.nodes.contains(&card.node))
             .filter_map(|card| {
-                let digest = card.services.get(&tag_of(ask.service))?;
+                let digest = card.services.get(&tag_of(query.service))?;
                 (digest.sound > 0).then_some((card, digest))
             })
             .collect();
-        if able.is_empty() {
+        if serving.is_empty() {
             continue;
         }
-        let (card, digest) = able[(pick % able.len() as u64) as usize];
+        let (card, digest) = serving[(random % serving.len() as u64) as usize];
         let wait = Duration::from_millis(u64::from(digest.wait_ms));
-        let trip = members.round_trip(&card.node);
-        let expected = trip + wait + model.expect(ask.size.tokens_in);
-        let pause = Duration::from_micros(u64::from(digest.pause_us)).max(idle);
-        let answer = pause.mul_f64(events);
-        let hold_up = model
-            .reading(ask.size.tokens_in)
+        let round_trip = members.round_trip(&card.node);
+        let expected = round_trip + wait + model.expected_time(query.size.tokens_in);
+        let gap = Duration::from_micros(u64::from(digest.pause_us)).max(idle);
+        let answer = gap.mul_f64(events);
+        let stream_stall = model
+            .prefill_time(query.size.tokens_in)
             .mul_f64(f64::from(digest.running) / RUNNING_SCALE);
-        let choice = AwayChoice {
+        let choice = RemotePlacement {
             node: card.node.clone(),
             region,
             expected,
-            trip,
+            round_trip,
             wait,
             answer,
-            hold_up,
+            stream_stall,
         };
-        let sooner = |least: &AwayChoice| choice.callers_time() < least.callers_time();
-        if best.as_ref().is_none_or(sooner) {
+        let is_faster =
+            |least: &RemotePlacement| choice.total_caller_time() < least.total_caller_time();
+        if best.as_ref().is_none_or(is_faster) {
             best = Some(choice);
         }
     }
     best
 }
 
-/// Sums up what a region can take of a service.
+/// Returns the capacity of a region for a service, to be announced to other regions.
 ///
-/// A request there has a few choices and not all, so that the least wait of many is not its own: told
-/// that, other regions sent requests of which 18 in 100 were refused after a way there and back.
-pub(crate) fn digest_of(
+/// A request there is placed among a few replicas rather than all, so its wait is not the shortest
+/// of many: when that one was announced, other regions sent requests of which 18 in 100 were
+/// refused after a round trip.
+pub(crate) fn service_capacity(
     table: &ReplicaTable,
     regions: &BTreeMap<DataCentreId, RegionId>,
     service: &ServiceId,
@@ -386,32 +397,33 @@
     let model = table.model_of(service);
     let mut waits = Vec::new();
     let mut running = 0;
-    for belief in table.rows() {
-        // What a limited replica takes is for the region's own callers, and one that rests takes nothing.
-        let held = table.limits.is_limited(belief.tag) || table.rests.holds(belief.tag);
-        if held || belief.is_cold(now) {
+    for state in table.rows() {
+        // The capacity of a rate-limited replica is for callers of its own region, and a replica in
+        // backoff accepts nothing.
+        let held = table.limits.is_limited(state.tag) || table.backoffs.is_unrecovered(state.tag);
+        if held || state.is_cold(now) {
             continue;
         }
-        if !takes_work(table, regions, service, region, belief, now) {
+        if !is_eligible(table, regions, service, region, state, now) {
             continue;
         }
-        let work = belief.all_work(now);
+        let work = state.total_work(now);
         running += work.requests;
-        let slots = f64::from(belief.entry.slots.max(1));
-        let wait = model.waiting(work.tokens, false)
-            + slot_wait(f64::from(work.requests), slots, model.hold());
-        let wait = wait + failure_cost(belief, now);
+        let slots = f64::from(state.entry.slots.max(1));
+        let wait = model.queue_time(work.tokens, false)
+            + slot_wait(f64::from(work.requests), slots, model.slot_time());
+        let wait = wait + failure_cost(state, now);
         waits.push(wait.as_millis() as u32);
     }
     waits.sort_unstable();
-    let wait = waits.get(waits.len() / CHOSEN_AMONG).copied();
+    let wait = waits.get(waits.len() / CANDIDATES).copied();
     let mean = f64::from(running) / waits.len().max(1) as f64;
     let streams = table.stream_model(service);
-    let pause = streams.map_or(Duration::ZERO, |streams| streams.region_pause(now));
+    let gap = streams.map_or(Duration::ZERO, |streams| streams.region_gap(now));
     ServiceDigest {
         sound: waits.len() as u16,
         wait_ms: wait.unwrap_or(0),
-        pause_us: pause.as_micros() as u32,
+        pause_us: gap.as_micros() as u32,
         running: (mean * RUNNING_SCALE) as u16,
     }
 }
--- a/crates/zinniahatch_route/src/prompt.rs
+++ b/crates/zinniahatch_route/src/prompt.rs
@@ -1,4 +1,4 @@
-//! The parts of a prompt, which replicas keep in memory between requests.
+//! Parts of a prompt, which replicas keep in their prefix caches between requests.
 
 use zinniahatch_base::prelude::*;
 
@@ -6,29 +6,29 @@
     /// One part of a prompt.
     #[derive(Copy, Eq)]
     pub struct PromptPart {
-        /// Tag of its id; equal ids have equal tags.
+        /// Hash of its id; equal ids have equal hashes.
         pub tag: u64,
-        /// Its tokens.
+        /// Number of tokens.
         pub tokens: u32,
     }
 }
 
-/// What a request says of its size; all zero for plain services.
+/// Size of a request, as declared by its caller; all zero for plain services.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PromptSize {
-    /// Tokens to read.
+    /// Prompt tokens.
     pub tokens_in: u32,
-    /// Tokens to generate at most.
+    /// Largest number of tokens to generate.
     pub tokens_out: u32,
-    /// Tokens that the caller expects; 0 where it does not say.
+    /// Number of generated tokens that the caller expects; 0 if not given.
     pub expected_out: u32,
-    /// The parts in order; the last belongs to the request itself or to its session.
+    /// Parts in order; the last belongs to the request itself or to its session.
     pub parts: Vec<PromptPart>,
 }
 
 impl PromptSize {
-    /// Gives the tokens that the answer may be expected to have.
-    pub fn asked_out(&self) -> u32 {
+    /// Returns the number of generated tokens to expect.
+    pub fn answer_tokens(&self) -> u32 {
         if self.expected_out > 0 {
             self.expected_out
         } else {
@@ -36,22 +36,23 @@
         }
     }
 
-    /// Gives the key that requests with the same shared parts have in common.
+    /// Returns the key that requests with the same shared parts have in common.
     pub fn session(&self) -> Option<u64> {
         let shared = self.parts.len().checked_sub(2)?;
         Some(self.parts[shared].tag)
     }
 
-    /// Gives the tokens that a replica must read if it keeps the first `kept` parts.
-    pub fn tokens_after(&self, kept: usize) -> u32 {
-        let spared: u32 = self.parts.iter().take(kept).map(|part| part.tokens).sum();
+    /// Returns the tokens left to prefill on a replica that caches the first `cached` parts.
+    pub fn uncached_tokens(&self, cached: usize) -> u32 {
+        let spared: u32 = self.parts.iter().take(cached).map(|part| part.tokens).sum();
         self.tokens_in.saturating_sub(spared)
     }
 }
 
-/// Gives the rendezvous rank of a replica for a session; the highest rank is its first choice.
-pub(crate) fn session_rank(session: u64, replica: ShortTag) -> u64 {
-    // Mixing two numbers is enough here and a hundredth of the cost of a digest of text.
+/// Returns the rendezvous hash of a replica for a session; the replica with the highest score is
+/// its first choice.
+pub(crate) fn rendezvous_score(session: u64, replica: ShortTag) -> u64 {
+    // Mixing two numbers suffices here, at a hundredth of the cost of hashing text.
     let mut mixed = session ^ (u64::from(replica) << 17);
     mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
--- a/crates/zinniahatch_route/src/named_limit.rs
+++ b/crates/zinniahatch_route/src/rate_limit_notice.rs
@@ -1,21 +1,21 @@
-//! What an answer says of a rate limit of its replica.
+//! Rate limit that a replica states in an answer.
 
 use zinniahatch_base::prelude::*;
 
-/// What an answer says of a rate limit of its replica.
+/// Rate limit that a replica states in an answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub enum NamedLimit {
-    /// Nothing.
+pub enum RateLimitNotice {
+    /// The answer states none.
     #[default]
     Absent,
-    /// Requests a second that the replica takes from all nodes together.
+    /// Requests per second that the replica accepts from all nodes together.
     PerSecond(RequestRate),
-    /// Something that is no rate.
+    /// The value is not a rate.
     Malformed,
 }
 
-impl NamedLimit {
-    /// Gives the rate, where one is named.
+impl RateLimitNotice {
+    /// Returns the rate if one is stated.
     pub fn rate(self) -> Option<RequestRate> {
         match self {
             Self::PerSecond(rate) => Some(rate),
--- a/crates/zinniahatch_route/src/rate_limits.rs
+++ b/crates/zinniahatch_route/src/rate_limits.rs
@@ -1,272 +1,284 @@
-//! Rate limits that replicas name, kept by all nodes of a region together without asking each other.
+//! Rate limits that replicas state, enforced by all nodes of a region without coordination.
 //!
-//! A few nodes share the rate of a replica, those with the highest rank for it; the others send it nothing while the
-//! limit is in force. The parts are fixed, so that they hold also where nodes cannot hear each other, and where a
-//! node ends its part is left unused for as long as it may still run. News tell only that a limit began, changed or
-//! ended.
+//! The few nodes with the highest rendezvous scores for a replica share its rate; the others send
+//! it nothing while the limit is in force. The shares are fixed, so they hold even where nodes
+//! cannot reach each other; the share of a node that stops is left unused for as long as the node
+//! may still be running. Updates carry only that a limit began, changed or ended.
 
-use crate::NamedLimit;
-use crate::limit_share::LimitShare;
-use crate::prompt::session_rank;
+use crate::RateLimitNotice;
+use crate::prompt::rendezvous_score;
+use crate::rate_limit_share::RateLimitShare;
 use zinniahatch_base::prelude::*;
 
-/// Time for which the end of a limit is remembered, since older news would bring it back, and the limit of a replica
-/// without an entry.
-const FORGET: Duration = Duration::from_secs(30);
-/// Limits that are kept at most.
-const MOST_ROWS: usize = 4_096;
+/// Time for which an ended limit is remembered, because older updates would restore it, and for
+/// which the limit of a replica without an entry is remembered.
+const RETENTION: Duration = Duration::from_secs(30);
+/// Largest number of limits kept.
+const MAX_ROWS: usize = 4_096;
 
-/// Gives the requests a second that a limit allows.
-fn allowed(limit: Option<RequestRate>) -> RequestRate {
+/// Returns the requests per second that a limit allows.
+fn bound(limit: Option<RequestRate>) -> RequestRate {
     limit.unwrap_or(RequestRate::INFINITY)
 }
 
 domain! {
-    /// What a node knows of the rate limit of one life of a replica.
+    /// What a node knows of the rate limit of one replica incarnation.
     #[derive(Copy)]
-    pub struct LimitNews {
-        /// The tag of the life.
+    pub struct RateLimitUpdate {
+        /// Tag of the incarnation.
         pub replica: ShortTag,
-        /// Rises with each change; news with a lower number are older.
-        pub number: u32,
-        /// The limit; none where it has ended.
+        /// Increases with each change; updates with a lower number are older.
+        pub sequence: u32,
+        /// The limit; `None` if it has ended.
         pub rate: Option<RequestRate>,
     }
 }
 
-impl LimitNews {
-    /// Tells whether it replaces what is known. Nodes that saw different answers at the same time may give both the
-    /// same number; then the lower rate counts for all of them.
+impl RateLimitUpdate {
+    /// Returns whether it replaces a known update. Nodes that saw different answers at the same
+    /// time may assign the same number to both; then the lower rate wins on all of them.
     fn replaces(&self, known: &Self) -> bool {
-        self.number > known.number
-            || (self.number == known.number && allowed(self.rate) < allowed(known.rate))
+        self.sequence > known.sequence
+            || (self.sequence == known.sequence && bound(self.rate) < bound(known.rate))
     }
 }
 
 /// A limit that began, changed or ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct LimitChange {
-    /// The limit before.
+pub struct RateLimitChange {
+    /// Limit before the change.
     pub before: Option<RequestRate>,
-    /// The limit from now on.
+    /// Limit after the change.
     pub now: Option<RequestRate>,
 }
 
-/// What became of news of a limit.
+/// Effect of an update.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum LimitEffect {
-    /// They were known.
+pub enum RateLimitEffect {
+    /// The update was known.
     Known,
-    /// They changed what is known.
-    Learned(LimitChange),
-    /// This node knows newer ones, and tells them again.
+    /// The update changed the limit.
+    Learned(RateLimitChange),
+    /// This node knows a newer update and announces it again.
     Outdated,
 }
 
-/// The limit of one life of a replica.
+/// Limit of one replica incarnation.
 #[derive(Clone, Debug)]
-struct LimitRow {
-    news: LimitNews,
-    /// When this node was last told of it, by an answer or by another node.
-    told: Instant,
-    share: LimitShare,
-    /// Whether the other nodes of the region are to be told.
-    untold: bool,
+struct RateLimitRow {
+    update: RateLimitUpdate,
+    /// When an answer or another node last confirmed the limit.
+    seen: Instant,
+    share: RateLimitShare,
+    /// Whether the update still has to be sent to the other nodes of the region.
+    unannounced: bool,
 }
 
-/// The nodes that share the limits of a region's replicas.
+/// Nodes that share the limits of a region's replicas.
 #[derive(Clone, Debug, Default)]
-struct LimitHolders {
-    /// This node; none while it does not know the others yet.
+struct LimitSharers {
+    /// This node; `None` until it knows the others.
     own: Option<ShortTag>,
     others: BTreeSet<ShortTag>,
 }
 
-impl LimitHolders {
-    /// Gives how many of the others come before this node for a replica; none where it takes no part.
-    fn place(&self, replica: ShortTag) -> Option<usize> {
-        let own = session_rank(u64::from(replica), self.own?);
+impl LimitSharers {
+    /// Returns how many other nodes rank above this one for a replica; `None` if it has no share.
+    fn rank(&self, replica: ShortTag) -> Option<usize> {
+        let own = rendezvous_score(u64::from(replica), self.own?);
         let above = self
             .others
             .iter()
-            .filter(|other| session_rank(u64::from(replica), **other) > own);
+            .filter(|other| rendezvous_score(u64::from(replica), **other) > own);
         Some(above.count())
     }
 }
 
-/// The rate limits of all replicas, as one node knows them.
+/// Rate limits of all replicas, as one node knows them.
 #[derive(Clone, Debug, Default)]
-pub struct LimitBook {
-    rows: BTreeMap<ShortTag, LimitRow>,
-    holders: LimitHolders,
+pub struct RateLimitTable {
+    rows: BTreeMap<ShortTag, RateLimitRow>,
+    sharers: LimitSharers,
 }
 
-impl LimitBook {
-    /// Takes what an answer says of its replica's limit; gives what that changed.
+impl RateLimitTable {
+    /// Records the limit that a replica states in an answer; returns the change.
     ///
-    /// An answer to a request that was sent before this node was last told of the limit may be older than it, so
-    /// that it shows neither the limit's end nor a higher one.
+    /// The answer to a request sent before this node last learned of the limit may be older than
+    /// the limit. It shows neither the end of the limit nor a higher one.
     pub fn note_answer(
         &mut self,
         replica: ShortTag,
-        named: NamedLimit,
+        named: RateLimitNotice,
         sent: Instant,
         now: Instant,
-    ) -> Option<LimitChange> {
+    ) -> Option<RateLimitChange> {
         let rate = match named {
-            NamedLimit::Malformed => return None,
-            NamedLimit::PerSecond(rate) => Some(rate),
-            NamedLimit::Absent => None,
+            RateLimitNotice::Malformed => return None,
+            RateLimitNotice::PerSecond(rate) => Some(rate),
+            RateLimitNotice::Absent => None,
         };
         let known = match self.rows.get_mut(&replica) {
             None if rate.is_none() => return None,
-            None => LimitNews {
+            None => RateLimitUpdate {
                 replica,
-                number: 0,
+                sequence: 0,
                 rate: None,
             },
-            Some(row) if row.news.rate == rate => {
+            Some(row) if row.update.rate == rate => {
                 if rate.is_some() {
-                    row.told = now;
+                    row.seen = now;
                 }
                 return None;
             }
-            Some(row) if sent < row.told && allowed(row.news.rate) < allowed(rate) => return None,
-            Some(row) => row.news,
+            Some(row) if sent < row.seen && bound(row.update.rate) < bound(rate) => return None,
+            Some(row) => row.update,
         };
-        let number = known.number + 1;
+        let sequence = known.sequence + 1;
         self.put(
-            LimitNews {
-                number,
+            RateLimitUpdate {
+                sequence,
                 rate,
                 ..known
             },
             true,
             now,
         );
-        Some(LimitChange {
+        Some(RateLimitChange {
             before: known.rate,
             now: rate,
         })
     }
 
-    /// Takes news of another node of the region.
-    pub fn hear(&mut self, news: &LimitNews, now: Instant) -> LimitEffect {
-        let known = self.rows.get_mut(&news.replica);
-        let before = known.as_ref().and_then(|row| row.news.rate);
+    /// Applies an update of another node of the region.
+    pub fn apply_update(&mut self, update: &RateLimitUpdate, now: Instant) -> RateLimitEffect {
+        let known = self.rows.get_mut(&update.replica);
+        let before = known.as_ref().and_then(|row| row.update.rate);
         if let Some(row) = known
-            && !news.replaces(&row.news)
+            && !update.replaces(&row.update)
         {
-            if row.news.replaces(news) {
-                row.untold = true;
-                return LimitEffect::Outdated;
+            if row.update.replaces(update) {
+                row.unannounced = true;
+                return RateLimitEffect::Outdated;
             }
-            return LimitEffect::Known;
+            return RateLimitEffect::Known;
         }
-        self.put(*news, false, now);
-        LimitEffect::Learned(LimitChange {
+        self.put(*update, false, now);
+        RateLimitEffect::Learned(RateLimitChange {
             before,
-            now: news.rate,
+            now: update.rate,
         })
     }
 
-    fn put(&mut self, news: LimitNews, untold: bool, now: Instant) {
-        let place = self.holders.place(news.replica);
-        let nodes = self.holders.others.len() + 1;
-        let full = self.rows.len() >= MOST_ROWS;
-        if full && !self.rows.contains_key(&news.replica) {
+    fn put(&mut self, update: RateLimitUpdate, unannounced: bool, now: Instant) {
+        let rank = self.sharers.rank(update.replica);
+        let sharer_count = self.sharers.others.len() + 1;
+        let full = self.rows.len() >= MAX_ROWS;
+        if full && !self.rows.contains_key(&update.replica) {
             return;
         }
-        let row = self.rows.entry(news.replica).or_insert_with(|| LimitRow {
-            news: LimitNews { rate: None, ..news },
-            told: now,
-            share: LimitShare::new(now),
-            untold: false,
-        });
-        if row.news.rate.is_none() {
-            row.share = LimitShare::new(now);
+        let row = self
+            .rows
+            .entry(update.replica)
+            .or_insert_with(|| RateLimitRow {
+                update: RateLimitUpdate {
+                    rate: None,
+                    ..update
+                },
+                seen: now,
+                share: RateLimitShare::new(now),
+                unannounced: false,
+            });
+        if row.update.rate.is_none() {
+            row.share = RateLimitShare::new(now);
         }
-        row.news = news;
-        row.told = now;
-        row.untold |= untold;
-        row.share.set(news.rate, place, nodes, now);
+        row.update = update;
+        row.seen = now;
+        row.unannounced |= unannounced;
+        row.share.set(update.rate, rank, sharer_count, now);
     }
 
-    /// Sets the nodes that share the limits; a node that has just started knows neither them nor what its
-    /// predecessor sent, and takes no part.
-    pub fn set_holders(&mut self, own: Option<ShortTag>, others: BTreeSet<ShortTag>, now: Instant) {
-        self.holders = LimitHolders { own, others };
-        let nodes = self.holders.others.len() + 1;
+    /// Sets the nodes that share the limits. A node that has just started knows neither them nor
+    /// what its predecessor sent, and has no share.
+    pub fn set_sharers(&mut self, own: Option<ShortTag>, others: BTreeSet<ShortTag>, now: Instant) {
+        self.sharers = LimitSharers { own, others };
+        let sharer_count = self.sharers.others.len() + 1;
         for (replica, row) in &mut self.rows {
-            let place = self.holders.place(*replica);
-            row.share.set(row.news.rate, place, nodes, now);
+            let rank = self.sharers.rank(*replica);
+            row.share.set(row.update.rate, rank, sharer_count, now);
         }
     }
 
-    /// Gives the limit of a replica.
+    /// Returns the limit of a replica.
     pub fn rate(&self, replica: ShortTag) -> Option<RequestRate> {
-        self.rows.get(&replica)?.news.rate
+        self.rows.get(&replica)?.update.rate
     }
 
-    /// Tells whether a limit of a replica is in force.
+    /// Returns whether a limit of a replica is in force.
     pub fn is_limited(&self, replica: ShortTag) -> bool {
         self.rate(replica).is_some()
     }
 
-    /// Tells whether this node may send a replica one more request now.
+    /// Returns whether this node may send a replica one more request now.
     pub fn allows(&self, replica: ShortTag, now: Instant) -> bool {
         let row = self.rows.get(&replica);
-        row.is_none_or(|row| row.news.rate.is_none() || row.share.allows(now))
+        row.is_none_or(|row| row.update.rate.is_none() || row.share.allows(now))
     }
 
-    /// Takes one request from this node's part; tells whether it may be sent.
+    /// Takes one token of this node's share; returns whether a request may be sent.
     pub fn take(&mut self, replica: ShortTag, now: Instant) -> bool {
         match self.rows.get_mut(&replica) {
-            Some(row) if row.news.rate.is_some() => row.share.take(now),
+            Some(row) if row.update.rate.is_some() => row.share.take(now),
             _ => true,
         }
     }
 
-    /// Gives the time after which a replica may be sent one more request, by this node or, where it takes no part,
-    /// by others.
+    /// Returns the time until a replica may be sent one more request, by this node or, if it has no
+    /// share, by others.
     pub fn wait(&self, replica: ShortTag, now: Instant) -> Duration {
         let row = self.rows.get(&replica);
-        row.filter(|row| row.news.rate.is_some())
+        row.filter(|row| row.update.rate.is_some())
             .map_or(Duration::ZERO, |row| row.share.wait(now))
     }
 
-    /// Takes what the other nodes of the region have not been told, so many news at most.
-    pub fn take_news(&mut self, most: usize) -> Vec<LimitNews> {
-        let mut news = Vec::new();
-        for row in self.rows.values_mut().filter(|row| row.untold).take(most) {
-            row.untold = false;
-            news.push(row.news);
+    /// Returns up to `max` updates that the other nodes of the region have not been sent.
+    pub fn take_updates(&mut self, max: usize) -> Vec<RateLimitUpdate> {
+        let mut updates = Vec::new();
+        for row in self
+            .rows
+            .values_mut()
+            .filter(|row| row.unannounced)
+            .take(max)
+        {
+            row.unannounced = false;
+            updates.push(row.update);
         }
-        news
+        updates
     }
 
-    /// Gives the limits in force, for a node that knows others.
-    pub fn known_news(&self) -> impl Iterator<Item = LimitNews> {
-        let rows = self.rows.values().map(|row| row.news);
-        rows.filter(|news| news.rate.is_some())
+    /// Returns the limits in force, for a node whose digest differs.
+    pub fn active_limits(&self) -> impl Iterator<Item = RateLimitUpdate> {
+        let rows = self.rows.values().map(|row| row.update);
+        rows.filter(|update| update.rate.is_some())
     }
 
-    /// Gives a digest of the limits in force; nodes that know the same have the same.
+    /// Returns a digest of the limits in force; nodes that know the same limits have the same
+    /// digest.
     pub fn digest(&self) -> u64 {
-        self.known_news()
-            .map(|news| {
-                let rate = news.rate.unwrap_or_default().to_bits();
-                session_rank(rate ^ u64::from(news.number), news.replica)
+        self.active_limits()
+            .map(|update| {
+                let rate = update.rate.unwrap_or_default().to_bits();
+                rendezvous_score(rate ^ u64::from(update.sequence), update.replica)
             })
             .fold(0, |digest, rank| digest ^ rank)
     }
 
-    /// Runs once a tick: forgets limits that ended, and replicas that are gone, a while ago; an entry that vanished may
-    /// come back.
-    pub(crate) fn tick(&mut self, lives: impl Fn(ShortTag) -> bool, now: Instant) {
+    /// Removes limits that ended, or whose replicas were removed, longer ago than the retention
+    /// period; a removed entry may come back. Called on every tick.
+    pub(crate) fn tick(&mut self, is_known: impl Fn(ShortTag) -> bool, now: Instant) {
         self.rows.retain(|replica, row| {
-            let over = row.news.rate.is_none() || !lives(*replica);
-            let old = now.saturating_duration_since(row.told) > FORGET;
+            let over = row.update.rate.is_none() || !is_known(*replica);
+            let old = now.saturating_duration_since(row.seen) > RETENTION;
             !(over && old)
         });
     }
--- a/crates/zinniahatch_route/src/replica_entry.rs
+++ b/crates/zinniahatch_route/src/replica_entry.rs
@@ -1,70 +1,74 @@
-//! What is told of a replica: its entry in the store, and what nodes had it read.
+//! Records about a replica that nodes exchange: its entry in the store, and prompt parts it was
+//! sent.
 
 use crate::PromptPart;
 use std::net::SocketAddrV4;
 use zinniahatch_base::prelude::*;
 
 domain! {
-    /// One life of a replica. A replica may start again under its id; it then keeps nothing, and nothing
-    /// that was learned of its earlier life or promised to it counts.
+    /// One incarnation of a replica.
+    ///
+    /// A replica may restart under the same id. The new incarnation has an empty cache, and nothing
+    /// learned about or promised to an earlier one applies to it.
     #[derive(Eq, PartialOrd, Ord)]
-    pub struct ReplicaLife {
-        /// Its id.
+    pub struct ReplicaIncarnation {
+        /// Id of the replica.
         pub id: ReplicaId,
-        /// When it started, in Unix milliseconds by its own clock; only equality counts.
-        pub born: u64,
+        /// Start time in Unix milliseconds by the replica's clock; only compared for equality.
+        pub started_ms: u64,
     }
 }
 
-impl ReplicaLife {
-    /// Gives the short tag of the life, for datagrams.
+impl ReplicaIncarnation {
+    /// Returns the short tag of the incarnation, for datagrams.
     pub fn tag(&self) -> ShortTag {
-        tag_of(&format!("{}@{}", self.id, self.born))
+        tag_of(&format!("{}@{}", self.id, self.started_ms))
     }
 }
 
 domain! {
-    /// What a replica says of itself in the store.
+    /// Entry that a replica writes to the store.
     pub struct ReplicaEntry {
-        /// The replica's id, which its next life may bear again.
+        /// Id of the replica, which its next incarnation may reuse.
         pub id: ReplicaId,
-        /// When this life of it started, in Unix milliseconds by its own clock; 0 where it does not say.
-        pub born: u64,
+        /// Start time of this incarnation in Unix milliseconds by the replica's clock; 0 if not
+        /// given.
+        pub started_ms: u64,
         /// Its service.
         pub service: ServiceId,
-        /// Where it listens.
+        /// Address at which it listens.
         pub address: SocketAddrV4,
         /// Its data centre.
         pub data_centre: DataCentreId,
-        /// Requests that it works on at once.
+        /// Number of requests that it processes concurrently.
         pub slots: u32,
         /// Whether it is leaving.
         pub leaving: bool,
-        /// Time until it is gone, where it leaves at short notice.
+        /// Time until it terminates, if it leaves at short notice.
         pub gone_in: Option<Duration>,
-        /// How much longer it is cold.
+        /// Remaining time for which it is cold.
         pub cold_for: Duration,
-        /// The store's revision of this entry.
+        /// Revision of the store that wrote this entry.
         pub revision: StoreRevision,
     }
 }
 
 impl ReplicaEntry {
-    /// Gives the life that the entry speaks of.
-    pub fn life(&self) -> ReplicaLife {
-        ReplicaLife {
+    /// Returns the incarnation that wrote the entry.
+    pub fn incarnation(&self) -> ReplicaIncarnation {
+        ReplicaIncarnation {
             id: self.id.clone(),
-            born: self.born,
+            started_ms: self.started_ms,
         }
     }
 }
 
 domain! {
-    /// Shared prompt parts that a node had a replica read.
-    pub struct PromptRead {
-        /// The tag of the replica's life.
+    /// Shared prompt parts that a node sent to a replica, which now probably caches them.
+    pub struct CachedPrefix {
+        /// Tag of the replica incarnation.
         pub replica: ShortTag,
-        /// The parts in order, without the last, which belongs to the request itself.
+        /// Parts in order, without the last, which belongs to the request itself.
         pub parts: Vec<PromptPart>,
     }
 }
--- /dev/null
+++ b/crates/zinniahatch_route/src/replica_health.rs
@@ -0,0 +1,110 @@
+//! Health of a replica, derived from the answers to requests (passive health checks).
+//!
+//! Active health checks can pass while requests fail, and a replica can go silent without closing
+//! its connections. The record is therefore kept from answers alone: failures decay within seconds,
+//! and silence counts while requests are in flight.
+
+use zinniahatch_base::prelude::*;
+
+/// Half-life of a failure; a replica with partial failures gets new work after a few seconds and is
+/// judged by that.
+const HALF_LIFE: Duration = Duration::from_secs(2);
+/// Weight of successes that every replica starts with, so that a single failure does not decide.
+const PRIOR_GOOD: f64 = 4.0;
+/// Silence with requests in flight after which a replica is suspect. Streams send every few tens of
+/// ms, and a lost packet costs about 200 ms.
+const SILENCE_LIMIT: Duration = Duration::from_millis(900);
+/// Time for which a suspect replica gets no new work before it is tried again.
+const SUSPECT_TIME: Duration = Duration::from_millis(1500);
+
+/// Health record of one replica.
+#[derive(Clone, Debug)]
+pub struct ReplicaHealth {
+    successes: f64,
+    failures: f64,
+    updated: Instant,
+    last_bytes: Instant,
+    oldest_open: Option<Instant>,
+    prefill_allowance: Duration,
+    suspect_until: Option<Instant>,
+}
+
+impl ReplicaHealth {
+    /// Creates a record.
+    pub fn new(now: Instant) -> Self {
+        Self {
+            successes: PRIOR_GOOD,
+            failures: 0.0,
+            updated: now,
+            last_bytes: now,
+            oldest_open: None,
+            prefill_allowance: Duration::ZERO,
+            suspect_until: None,
+        }
+    }
+
+    fn decay(&mut self, now: Instant) {
+        let age = now.saturating_duration_since(self.updated).as_secs_f64();
+        let keep = 0.5_f64.powf(age / HALF_LIFE.as_secs_f64());
+        self.successes = PRIOR_GOOD + (self.successes - PRIOR_GOOD) * keep;
+        self.failures *= keep;
+        self.updated = now;
+    }
+
+    /// Records a successful answer.
+    pub fn note_success(&mut self, now: Instant) {
+        self.decay(now);
+        self.successes += 1.0;
+        self.last_bytes = now;
+        self.suspect_until = None;
+    }
+
+    /// Records a failure of the replica: a broken connection, an error status or a corrupt answer.
+    pub fn note_failure(&mut self, now: Instant) {
+        self.decay(now);
+        self.failures += 1.0;
+    }
+
+    /// Records that the replica could not be reached.
+    pub fn note_unreachable(&mut self, now: Instant) {
+        self.note_failure(now);
+        self.suspect_until = Some(now + SUSPECT_TIME);
+    }
+
+    /// Records that bytes arrived from the replica.
+    pub fn note_bytes(&mut self, now: Instant) {
+        self.last_bytes = now;
+    }
+
+    /// Sets when the oldest in-flight request was sent, and how long the replica may be silent
+    /// while it prefills prompts.
+    pub fn set_oldest_open(&mut self, oldest: Option<Instant>, prefill_allowance: Duration) {
+        self.oldest_open = oldest;
+        self.prefill_allowance = prefill_allowance;
+    }
+
+    /// Records that a probe on a new connection was answered.
+    pub fn note_probe_success(&mut self, now: Instant) {
+        self.last_bytes = now;
+        self.suspect_until = None;
+    }
+
+    /// Returns the failure rate, 0 to 1.
+    pub fn failure_rate(&self, now: Instant) -> f64 {
+        let mut decayed = self.clone();
+        decayed.decay(now);
+        decayed.failures / (decayed.failures + decayed.successes)
+    }
+
+    /// Returns whether the replica should get no new work for now.
+    pub fn is_suspect(&self, now: Instant) -> bool {
+        if self.suspect_until.is_some_and(|until| now < until) {
+            return true;
+        }
+        let Some(open) = self.oldest_open else {
+            return false;
+        };
+        let silent_since = open.max(self.last_bytes);
+        now.saturating_duration_since(silent_since) > SILENCE_LIMIT + self.prefill_allowance
+    }
+}
--- a/crates/zinniahatch_route/src/replica_notice.rs
+++ b/crates/zinniahatch_route/src/replica_notice.rs
@@ -1,36 +1,36 @@
-//! What a replica says of itself in one answer.
+//! Notices of a replica about itself in the headers of one answer.
 //!
-//! All of it is decoded at once and taken in one place, so that nothing that a replica says is left unread.
+//! All of them are decoded together and applied in one place, so that none is left unread.
 
-use crate::NamedLimit;
+use crate::RateLimitNotice;
 use zinniahatch_base::prelude::*;
 
-/// What an answer says of the leaving of its replica.
+/// Whether a replica states in an answer that it is leaving.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum NamedLeaving {
-    /// Nothing.
+pub enum DrainNotice {
+    /// The answer states nothing.
     #[default]
     Absent,
-    /// It leaves, for the rest of its life.
+    /// The replica is leaving and will not take work again in this incarnation.
     Leaving,
-    /// Something that says neither.
+    /// The value is invalid.
     Malformed,
 }
 
-/// What an answer says of the time for which its replica wants nothing from this node.
+/// Time for which a replica asks this node to send it nothing (Retry-After).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum NamedRest {
-    /// Nothing.
+pub enum BackoffNotice {
+    /// The answer states none.
     #[default]
     Absent,
-    /// It wants nothing for so long.
+    /// The replica asks for a backoff of this duration.
     For(Duration),
-    /// Something that is no time.
+    /// The value is not a duration.
     Malformed,
 }
 
-impl NamedRest {
-    /// Gives the time, where one is named.
+impl BackoffNotice {
+    /// Returns the duration if one is stated.
     pub fn time(self) -> Option<Duration> {
         match self {
             Self::For(time) => Some(time),
@@ -39,17 +39,17 @@
     }
 }
 
-/// What a replica says of itself in one answer.
+/// Notices of a replica about itself in one answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ReplicaNotice {
-    /// Whether it leaves.
-    pub leaving: NamedLeaving,
-    /// The time for which it wants nothing from the node that it turned away.
-    pub rest: NamedRest,
-    /// The rate limit that it names.
-    pub rate_limit: NamedLimit,
-    /// Its running and waiting requests and its slots.
+    /// Whether it is leaving.
+    pub leaving: DrainNotice,
+    /// Backoff asked of the node whose request it refused.
+    pub rest: BackoffNotice,
+    /// Rate limit of the replica.
+    pub rate_limit: RateLimitNotice,
+    /// Numbers of running requests, waiting requests and slots.
     pub load: Option<(u32, u32, u32)>,
-    /// How much longer it is cold.
+    /// Remaining time for which it is cold.
     pub cold_for: Option<Duration>,
 }
--- /dev/null
+++ b/crates/zinniahatch_route/src/replica_state.rs
@@ -0,0 +1,151 @@
+//! What a node knows of one replica incarnation.
+
+use crate::GapMeter;
+use crate::InFlightWork;
+use crate::KeptParts;
+use crate::ReplicaEntry;
+use crate::ReplicaHealth;
+use zinniahatch_base::prelude::*;
+
+/// Age up to which the in-flight work announced by another node counts; it is announced again every
+/// 500 ms, and one of these datagrams may be lost.
+const PEER_WORK_TIME: Duration = Duration::from_millis(1200);
+/// Age up to which a load reported by the replica counts.
+const REPORT_TIME: Duration = Duration::from_millis(400);
+/// Bounds of the learned slowness of a replica, relative to its service.
+const SLOWNESS: (f64, f64) = (0.5, 8.0);
+/// Weight of a new observation in the slowness of a replica; about the last ten count.
+const SLOWNESS_GAIN: f64 = 0.1;
+
+/// Why a replica gets no new work for good.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum LeaveReason {
+    /// The replica announced that it is leaving.
+    Draining,
+    /// Its entry was removed from the store.
+    EntryGone,
+    /// Another replica answers at its address.
+    Replaced,
+}
+
+/// State of one replica incarnation.
+#[derive(Clone, Debug)]
+pub struct ReplicaState {
+    /// Its entry in the store.
+    pub entry: ReplicaEntry,
+    /// Short tag of the incarnation, for datagrams.
+    pub tag: ShortTag,
+    /// When it stops being cold.
+    pub cold_until: Option<Instant>,
+    /// Why it gets no new work.
+    pub leaving: Option<LeaveReason>,
+    /// When it terminates, if it leaves at short notice.
+    pub terminates_at: Option<Instant>,
+    /// When its entry disappeared, while its lease may merely have lapsed.
+    pub missing_since: Option<Instant>,
+    /// Revision of the store at which its entry was removed; older updates are ignored.
+    pub removed_at: StoreRevision,
+    /// In-flight work of this node.
+    pub local_work: InFlightWork,
+    /// In-flight work of this node as last announced to the other nodes, and when.
+    pub announced: (InFlightWork, Instant),
+    /// In-flight work of other nodes by the tags of their processes, with the time of the
+    /// announcement.
+    pub peer_work: BTreeMap<ShortTag, (InFlightWork, Instant)>,
+    /// Running and waiting requests as reported by the replica, with the time of the report.
+    pub reported_load: Option<(u32, u32, Instant)>,
+    /// Prompt parts that it probably caches.
+    pub prefix_cache: KeptParts,
+    /// Health derived from its answers.
+    pub health: ReplicaHealth,
+    /// Gaps between the events of its streams.
+    pub gaps: GapMeter,
+    /// Its response time relative to the model of its service; 1 is as expected.
+    pub slowness: f64,
+    /// Send times of this node's in-flight requests, by ticket.
+    pub open_requests: BTreeMap<u64, Instant>,
+}
+
+impl ReplicaState {
+    /// Creates the state of an incarnation from its first entry.
+    pub fn new(entry: ReplicaEntry, now: Instant) -> Self {
+        let mut state = Self {
+            cold_until: None,
+            leaving: None,
+            terminates_at: None,
+            missing_since: None,
+            removed_at: StoreRevision::default(),
+            tag: entry.incarnation().tag(),
+            local_work: InFlightWork::default(),
+            announced: (InFlightWork::default(), now),
+            peer_work: BTreeMap::new(),
+            reported_load: None,
+            prefix_cache: KeptParts::default(),
+            health: ReplicaHealth::new(now),
+            gaps: GapMeter::new(now),
+            slowness: 1.0,
+            open_requests: BTreeMap::new(),
+            entry: entry.clone(),
+        };
+        state.update(entry, now);
+        state
+    }
+
+    /// Applies an entry of the same incarnation, either newer or the same once more.
+    ///
+    /// The same entry comes again from a listing, or from the own watch after another node sent it.
+    /// The time for which it says that the replica is cold counts from when the entry was written,
+    /// not from now.
+    pub fn update(&mut self, entry: ReplicaEntry, now: Instant) {
+        self.missing_since = None;
+        let known = entry.revision.number != 0 && entry.revision == self.entry.revision;
+        if entry.leaving {
+            self.leaving = Some(LeaveReason::Draining);
+            if !known || self.terminates_at.is_none() {
+                self.terminates_at = entry.gone_in.map(|left| now + left);
+            }
+        } else if self.leaving == Some(LeaveReason::EntryGone) {
+            self.leaving = None;
+        }
+        let counted = known && self.cold_until.is_some();
+        if !entry.cold_for.is_zero() && !counted {
+            self.cold_until = Some(now + entry.cold_for);
+        }
+        self.entry = entry;
+    }
+
+    /// Returns whether this incarnation has the in-flight request with this ticket.
+    pub(crate) fn has_request(&self, ticket: u64) -> bool {
+        self.open_requests.contains_key(&ticket)
+    }
+
+    /// Returns whether the replica is cold.
+    pub fn is_cold(&self, now: Instant) -> bool {
+        self.cold_until.is_some_and(|until| now < until)
+    }
+
+    /// Returns the in-flight work of all nodes at the replica.
+    pub fn total_work(&self, now: Instant) -> InFlightWork {
+        let mut sum = self.local_work;
+        for (work, at) in self.peer_work.values() {
+            if now.saturating_duration_since(*at) > PEER_WORK_TIME {
+                continue;
+            }
+            sum.add_requests(*work);
+            sum.add_tokens(*work);
+        }
+        if let Some((running, waiting, at)) = self.reported_load
+            && now.saturating_duration_since(at) <= REPORT_TIME
+        {
+            sum.requests = sum.requests.max(running + waiting);
+        }
+        sum
+    }
+
+    /// Updates the slowness from an answer's time and the time that the model expected.
+    pub fn note_latency(&mut self, expected: Duration, took: Duration) {
+        let expected = expected.as_secs_f64().max(1e-3);
+        let ratio = (took.as_secs_f64() / expected).clamp(SLOWNESS.0, SLOWNESS.1);
+        self.slowness += SLOWNESS_GAIN * (ratio - self.slowness);
+    }
+}
--- a/crates/zinniahatch_route/src/replica_work.rs
+++ b/crates/zinniahatch_route/src/replica_work.rs
@@ -1,133 +1,145 @@
-//! The open work at replicas: this node's own, and what other nodes say of theirs.
+//! In-flight work at replicas: this node's own, and that announced by other nodes.
 
-use crate::OpenWork;
-use crate::PromptRead;
+use crate::CachedPrefix;
+use crate::InFlightWork;
 use crate::PromptSize;
 use crate::ReplicaTable;
 use zinniahatch_base::prelude::*;
 
-/// Age of what was told of open work from which the next round of cards, one in 500 ms, tells it again, in
-/// case the datagram was lost.
-pub const REFRESH_TIME: Duration = Duration::from_millis(400);
+/// Age from which an announcement of in-flight work is sent again with the next heartbeat, one in
+/// 500 ms, in case the datagram was lost.
+pub const WORK_REFRESH_INTERVAL: Duration = Duration::from_millis(400);
 
 impl ReplicaTable {
-    /// Notes that a request goes out; `ticket` is a number of the node's own.
+    /// Records that a request is sent; `ticket` identifies it on this node.
     pub fn note_sent(
         &mut self,
         id: &str,
         ticket: u64,
         size: &PromptSize,
-        work: OpenWork,
+        work: InFlightWork,
         capacity: u64,
         now: Instant,
     ) {
-        let Some(belief) = self.rows.get_mut(id) else {
+        let Some(state) = self.rows.get_mut(id) else {
             return;
         };
-        belief.own.add_requests(work);
-        belief.own.add_tokens(work);
-        belief.open.insert(ticket, now);
-        belief.kept.note(&size.parts, capacity);
-        self.news.note_changed(belief.tag);
+        state.local_work.add_requests(work);
+        state.local_work.add_tokens(work);
+        state.open_requests.insert(ticket, now);
+        state.prefix_cache.note(&size.parts, capacity);
+        self.work_sync.note_changed(state.tag);
         if size.parts.len() > 1 {
             let shared = &size.parts[..size.parts.len() - 1];
-            self.news.note_read(belief.tag, shared, now);
+            self.work_sync.note_read(state.tag, shared, now);
         }
     }
 
-    /// Takes what this node had read since the last call, to tell the nodes of its region.
-    pub fn take_reads(&mut self) -> Vec<PromptRead> {
-        self.news.take_reads()
+    /// Returns the prompt parts that replicas were sent since the last call, for the nodes of the
+    /// region.
+    pub fn take_cached_prefixes(&mut self) -> Vec<CachedPrefix> {
+        self.work_sync.take_reads()
     }
 
-    /// Takes the work that changed since the other nodes were told.
-    pub fn take_changes(&mut self, now: Instant) -> Vec<(ShortTag, OpenWork)> {
+    /// Returns the in-flight work that changed since it was last announced, and marks it as
+    /// announced.
+    pub fn take_changed_work(&mut self, now: Instant) -> Vec<(ShortTag, InFlightWork)> {
         let mut work = Vec::new();
-        for tag in self.news.take_changed() {
-            let Some(belief) = self.tags.get(&tag).and_then(|id| self.rows.get_mut(id)) else {
+        for tag in self.work_sync.take_changed() {
+            let Some(state) = self.tags.get(&tag).and_then(|id| self.rows.get_mut(id)) else {
                 continue;
             };
-            if belief.own == belief.told.0 {
+            if state.local_work == state.announced.0 {
                 continue;
             }
-            belief.told = (belief.own, now);
-            work.push((tag, belief.own));
+            state.announced = (state.local_work, now);
+            work.push((tag, state.local_work));
         }
         work
     }
 
-    /// Takes the open work that the other nodes were told of longer ago than `age`, to tell it again.
-    pub fn take_unchanged(&mut self, age: Duration, now: Instant) -> Vec<(ShortTag, OpenWork)> {
+    /// Returns the in-flight work that was announced at least `age` ago, and marks it as announced
+    /// again.
+    pub fn take_stale_work(
+        &mut self,
+        age: Duration,
+        now: Instant,
+    ) -> Vec<(ShortTag, InFlightWork)> {
         let mut work = Vec::new();
-        for belief in self.rows.values_mut() {
-            let (told, at) = belief.told;
-            let open = told != OpenWork::default();
+        for state in self.rows.values_mut() {
+            let (announced, at) = state.announced;
+            let open = announced != InFlightWork::default();
             if !open || now.saturating_duration_since(at) < age {
                 continue;
             }
-            belief.told = (belief.own, now);
-            work.push((belief.tag, belief.own));
+            state.announced = (state.local_work, now);
+            work.push((state.tag, state.local_work));
         }
         work
     }
 
-    /// Notes the work of another process, by its tag and the number of its news; what these do not name is
-    /// as it was.
+    /// Applies an update of another process's in-flight work; replicas that it does not name are
+    /// unchanged.
     ///
-    /// News may come on two ways, directly and through a node that gathers them, and overtake each other.
-    /// What is older than the last is dropped: it would bring back requests that have ended.
-    pub fn note_work(
+    /// Updates may arrive on two paths, directly and through a node that batches them, and overtake
+    /// each other. An update older than the last one is dropped: it would restore requests that
+    /// have finished.
+    pub fn apply_peer_work(
         &mut self,
         origin: ShortTag,
-        number: u32,
-        work: &[(ShortTag, OpenWork)],
+        sequence: u32,
+        work: &[(ShortTag, InFlightWork)],
         now: Instant,
     ) {
-        if work.is_empty() || !self.news.is_newer(origin, number, now) {
+        if work.is_empty() || !self.work_sync.is_newer(origin, sequence, now) {
             return;
         }
         for (tag, work) in work {
-            let Some(belief) = self.tags.get(tag).and_then(|id| self.rows.get_mut(id)) else {
+            let Some(state) = self.tags.get(tag).and_then(|id| self.rows.get_mut(id)) else {
                 continue;
             };
-            if *work == OpenWork::default() {
-                belief.peers.remove(&origin);
+            if *work == InFlightWork::default() {
+                state.peer_work.remove(&origin);
             } else {
-                belief.peers.insert(origin, (*work, now));
+                state.peer_work.insert(origin, (*work, now));
             }
         }
     }
 
-    /// Notes what another node had read.
-    pub fn note_reads(&mut self, reads: &[PromptRead], capacity: impl Fn(&str) -> u64) {
+    /// Applies prompt parts that replicas were sent by another node.
+    pub fn apply_cached_prefixes(
+        &mut self,
+        reads: &[CachedPrefix],
+        capacity: impl Fn(&str) -> u64,
+    ) {
         for read in reads {
             let id = self.tags.get(&read.replica);
-            if let Some(belief) = id.and_then(|id| self.rows.get_mut(id)) {
-                let capacity = capacity(&belief.entry.service);
-                belief.kept.note(&read.parts, capacity);
+            if let Some(state) = id.and_then(|id| self.rows.get_mut(id)) {
+                let capacity = capacity(&state.entry.service);
+                state.prefix_cache.note(&read.parts, capacity);
             }
         }
     }
 
-    /// Notes the first event of an answer: its prompt is read.
-    pub fn note_first_event(&mut self, id: &str, ticket: u64, work: OpenWork) {
-        if let Some(belief) = self.working_on(id, ticket) {
-            belief.own.take_tokens(work);
-            let tag = belief.tag;
-            self.news.note_changed(tag);
+    /// Records the first event of an answer: its prompt is prefilled.
+    pub fn note_first_event(&mut self, id: &str, ticket: u64, work: InFlightWork) {
+        if let Some(state) = self.replica_for_ticket(id, ticket) {
+            state.local_work.subtract_tokens(work);
+            let tag = state.tag;
+            self.work_sync.note_changed(tag);
         }
     }
 
-    /// Notes the end of a request, however it ended.
-    pub fn note_ended(&mut self, id: &str, ticket: u64, work: OpenWork, first_seen: bool) {
+    /// Records the end of a request, whether it succeeded or not.
+    pub fn note_ended(&mut self, id: &str, ticket: u64, work: InFlightWork, first_seen: bool) {
         if !first_seen {
             self.note_first_event(id, ticket, work);
         }
-        if let Some(belief) = self.working_on(id, ticket) {
-            belief.open.remove(&ticket);
-            belief.own.take_requests(work);
-            let tag = belief.tag;
-            self.news.note_changed(tag);
+        if let Some(state) = self.replica_for_ticket(id, ticket) {
+            state.open_requests.remove(&ticket);
+            state.local_work.subtract_requests(work);
+            let tag = state.tag;
+            self.work_sync.note_changed(tag);
         }
     }
 }
--- a/crates/zinniahatch_route/src/table.rs
+++ b/crates/zinniahatch_route/src/route_table.rs
@@ -1,11 +1,11 @@
-//! Finding the route of a request.
+//! Lookup of the route of a request.
 
 use crate::DesiredRoute;
 use crate::DesiredState;
 use std::rc::Rc;
 use zinniahatch_base::prelude::*;
 
-/// The routes of one version of the desired state, by host and prefix.
+/// Routes of one version of the desired state, by host and path prefix.
 #[derive(Clone, Debug, Default)]
 pub struct RouteTable {
     version: u64,
@@ -28,13 +28,15 @@
         }
     }
 
-    /// Gives the version of the desired state; 0 while none is known.
+    /// Returns the version of the desired state; 0 if none is known.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// Gives the regions that are homes of the most bound routes of a host; empty where none is
-    /// bound. Routes of one host may have different homes, and a caller asks for the host alone.
+    /// Returns the home regions that most bound routes of a host have in common; empty if no route
+    /// is bound.
+    ///
+    /// Routes of one host may have different homes, and a caller asks by host alone.
     pub fn homes_of(&self, host: &str) -> BTreeSet<RegionId> {
         let mut counts: BTreeMap<RegionId, usize> = BTreeMap::new();
         let prefixes = self.hosts.get(host.to_ascii_lowercase().as_str());
@@ -51,10 +53,10 @@
             .collect()
     }
 
-    /// Finds the route with the longest prefix that begins the path.
+    /// Returns the route with the longest prefix of the path.
     ///
-    /// It looks up the path cut at each slash, the longest first, so that the cost depends on the
-    /// depth of the path and not on the number of routes.
+    /// The path is looked up cut at each slash, the longest first, so that the cost depends on the
+    /// depth of the path rather than the number of routes.
     pub fn find(&self, host: &str, path: &str) -> Option<Rc<DesiredRoute>> {
         let host = host.split(':').next().unwrap_or(host).to_ascii_lowercase();
         let prefixes = self.hosts.get(host.as_str())?;
--- a/crates/zinniahatch_route/src/suspects.rs
+++ b/crates/zinniahatch_route/src/suspects.rs
@@ -1,489 +1,518 @@
-//! Requests that are suspected of ending the replicas which run them.
+//! Suspect requests, which may crash the replicas that run them (poison requests).
 //!
-//! Failure: a request makes each replica crash that begins it. Its caller comes again under a new id, mostly at
-//! another node; taken for a fresh request each time, it ends replica after replica, and everything that runs
-//! there breaks off with it.
+//! Failure: a request crashes each replica that begins it. Its caller retries under a new id,
+//! mostly at another node; treated as a new request each time, it crashes replica after replica,
+//! along with everything else that runs there.
 //!
-//! Guard: what repeats have in common is the digest of their content. Each node notes which contents it had
-//! on a replica that ended, and all nodes tell each other. A content under which three replicas ended, without one
-//! whole answer since, is quarantined: refused at once, at every node, until that lapses.
+//! Guard: retries share the digest of their content. Each node records the contents that it had in
+//! flight on a replica that crashed, and all nodes share these records. A content under which three
+//! replicas crashed, without a full answer in between, is quarantined: every node refuses it at
+//! once until the quarantine expires.
 //!
-//! Requests that ran beside it stay out of this in three ways: a whole answer clears a content and keeps it
-//! clear for a while; the end of a replica counts only against those on it that have most ends, among equals
-//! against the one that had run the shortest time there, since these explain it; and nothing counts but ends,
-//! so that broken channels, silence and loss of power do not.
+//! Innocent requests that ran beside it are spared in three ways. A full answer clears a content
+//! and keeps it clear for a while. The crash of a replica counts only against the contents with
+//! most crashes that were on it, among equals against the one that had run for the shortest time,
+//! since these explain it. Nothing but crashes counts: broken connections, silence and power loss
+//! do not.
 
-use crate::answered::AnswerMemory;
+use crate::recent_answers::RecentAnswers;
 use std::cmp::Reverse;
 use zinniahatch_base::prelude::*;
 
-/// Ends of replicas under one content after which it is quarantined. Two happen to bystanders: the first
-/// replica's streams are resumed together on the next one.
-const KNOWN_ENDS: usize = 3;
-/// Ends that are remembered of one content; each beyond the third doubles its quarantine, to 80 minutes.
-const MOST_ENDS: usize = 6;
-/// Time from the last end for which a content is quarantined first. A caller who repeats by program comes
-/// many times in it; whoever is wrongly held, or has had the replicas mended, is free soon.
+/// Crashes under one content from which it is quarantined. Two also happen to innocent requests:
+/// the streams of the first replica are resumed together on the next one.
+const ACCUSED_CRASHES: usize = 3;
+/// Crashes remembered per content; each beyond the third doubles the quarantine, up to 80 minutes.
+const MAX_CRASHES: usize = 6;
+/// Duration of the first quarantine, counted from the last crash. A program that retries comes back
+/// many times within it; a content quarantined wrongly, or fixed replicas, are free again soon.
 const QUARANTINE_TIME: Duration = Duration::from_secs(600);
-/// Time after the last end in which the nodes of a region tell each other whom they had on the replica: 5 ms as a
-/// rule, some tens where a node has a tenth of a core. A content with enough ends waits for it; judged at once,
-/// what everybody asks was held for 5 ms, until the news of the one that had ended the replicas came.
+/// Time after the last crash in which the nodes of a region exchange what they had on the replica:
+/// normally 5 ms, some tens of ms where a node has a tenth of a core. A content with enough crashes
+/// waits for it. Judged at once, a popular request was quarantined for 5 ms, until the update on
+/// the request that had crashed the replicas arrived.
 const SETTLE_TIME: Duration = Duration::from_millis(100);
-/// Difference of the times that two contents were on the replicas up to which these do not tell them apart: nodes
-/// learn of an end some tens of milliseconds apart. One that began just after a fatal request on three replicas
-/// was held in its place; where three ends leave that open, a fourth is waited for.
-const ALIKE_TIME: Duration = Duration::from_millis(100);
-/// Time between two ends of one replica's life that are one end, seen by several nodes. A replica that
-/// starts again under its id is away for seconds.
-const SAME_END: Duration = Duration::from_secs(1);
-/// Contents that are remembered at most, some 200 KB. The loss of a region with 400 replicas suspects more
-/// of them than that; those with fewest ends go first.
-const MOST_ROWS: usize = 2_048;
-/// Ends after which news of a content go to all nodes at once and again: one more node that learns late may
-/// cost one more replica.
-const WIDE_ENDS: usize = 2;
-/// Times that such news are told: two of three datagrams may be lost.
-const TELLS: u8 = 3;
-/// Contents with untold news at most; a node that loses more at once leaves the rest to the other nodes.
-const MOST_FRESH: usize = 256;
-
-/// The end of a replica's life under a request.
+/// Difference of two contents' run times up to which they cannot be told apart, since nodes learn
+/// of a crash some tens of milliseconds apart. A request that began just after a fatal one on three
+/// replicas was quarantined in its place; if three crashes leave that open, a fourth is required.
+const TIE_TOLERANCE: Duration = Duration::from_millis(100);
+/// Time between two crash reports of one replica incarnation up to which they are the same crash,
+/// seen by several nodes. A replica that restarts under the same id is away for seconds.
+const SAME_CRASH_TIME: Duration = Duration::from_secs(1);
+/// Largest number of contents remembered, some 200 KB. The loss of a region with 400 replicas makes
+/// more of them suspect; those with fewest crashes are evicted first.
+const MAX_ROWS: usize = 2_048;
+/// Crashes from which updates of a content are sent to all nodes at once and repeated: a single
+/// node that learns late may cost another replica.
+const BROADCAST_CRASHES: usize = 2;
+/// Number of times that such updates are sent: two of three datagrams may be lost.
+const BROADCAST_REPEATS: u8 = 3;
+/// Largest number of contents with pending updates; a node that loses more at once leaves the rest
+/// to other nodes.
+const MAX_PENDING: usize = 256;
+
+/// Crash of a replica incarnation while it ran a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct ReplicaEnd {
+struct ReplicaCrash {
     replica: ShortTag,
     at: Instant,
-    /// How long the first request of the content had been there.
+    /// How long the first request of the content had been in flight there.
     ran: Duration,
 }
 
-impl ReplicaEnd {
+impl ReplicaCrash {
     fn is_same(&self, other: &Self) -> bool {
         let apart = self.at.max(other.at).duration_since(self.at.min(other.at));
-        self.replica == other.replica && apart < SAME_END
+        self.replica == other.replica && apart < SAME_CRASH_TIME
     }
 }
 
 /// What is known of one content.
 #[derive(Clone, Debug, Default)]
 struct SuspectRow {
-    /// The last ends under it, the oldest first.
-    ends: Vec<ReplicaEnd>,
-    /// When it was last answered whole; ends up to then do not count.
+    /// Last crashes under it, oldest first.
+    crashes: Vec<ReplicaCrash>,
+    /// Time of its last full answer; crashes up to then do not count.
     cleared: Option<Instant>,
-    /// Whether this node saw one of the ends.
-    own: bool,
-    /// Whether so many ends were known of it that all nodes are told at once.
-    wide: bool,
-    /// Whether the platform's store keeps it.
-    kept: bool,
+    /// Whether this node observed one of the crashes.
+    local: bool,
+    /// Whether it has had enough crashes for its updates to go to all nodes at once.
+    broadcast: bool,
+    /// Whether the platform's store contains it.
+    persisted: bool,
 }
 
 impl SuspectRow {
-    /// Adds an end; tells whether it is new, or a request of the content had been there for longer than known.
-    fn add(&mut self, end: ReplicaEnd) -> bool {
-        if self.cleared.is_some_and(|cleared| end.at <= cleared) {
+    /// Adds a crash; returns whether it is new, or a request of the content had been in flight for
+    /// longer than known.
+    fn add(&mut self, crash: ReplicaCrash) -> bool {
+        if self.cleared.is_some_and(|cleared| crash.at <= cleared) {
             return false;
         }
-        if let Some(known) = self.ends.iter_mut().find(|known| known.is_same(&end)) {
-            let longer = end.ran > known.ran;
-            known.ran = known.ran.max(end.ran);
+        if let Some(known) = self.crashes.iter_mut().find(|known| known.is_same(&crash)) {
+            let longer = crash.ran > known.ran;
+            known.ran = known.ran.max(crash.ran);
             return longer;
         }
-        self.ends.push(end);
-        self.ends.sort_by_key(|known| known.at);
-        if self.ends.len() > MOST_ENDS {
-            self.ends.remove(0);
+        self.crashes.push(crash);
+        self.crashes.sort_by_key(|known| known.at);
+        if self.crashes.len() > MAX_CRASHES {
+            self.crashes.remove(0);
         }
-        self.wide |= self.ends.len() >= WIDE_ENDS;
+        self.broadcast |= self.crashes.len() >= BROADCAST_CRASHES;
         true
     }
 
-    /// Notes a whole answer; tells whether that is newer than what is known.
+    /// Records a full answer; returns whether it cleared any crashes.
     fn clear(&mut self, at: Instant) -> bool {
         if self.cleared.is_some_and(|cleared| at <= cleared) {
             return false;
         }
         self.cleared = Some(at);
-        let before = self.ends.len();
-        self.ends.retain(|end| end.at > at);
-        self.ends.len() < before
+        let before = self.crashes.len();
+        self.crashes.retain(|crash| crash.at > at);
+        self.crashes.len() < before
     }
 
-    /// Gives how long requests of the content had been on the replicas that ended.
+    /// Returns the total time that requests of the content had been in flight on the crashed
+    /// replicas.
     fn ran(&self) -> Duration {
-        self.ends.iter().map(|end| end.ran).sum()
+        self.crashes.iter().map(|crash| crash.ran).sum()
     }
 
-    fn is_known(&self) -> bool {
-        self.ends.len() >= KNOWN_ENDS
+    fn is_accused(&self) -> bool {
+        self.crashes.len() >= ACCUSED_CRASHES
     }
 
-    /// Gives the time from the last end for which it is held.
+    /// Returns the duration of the quarantine, from the last crash.
     fn span(&self) -> Duration {
-        let beyond = self.ends.len().saturating_sub(KNOWN_ENDS) as u32;
+        let beyond = self.crashes.len().saturating_sub(ACCUSED_CRASHES) as u32;
         QUARANTINE_TIME * 2_u32.pow(beyond)
     }
 
-    /// Gives when anything was last learned of it.
+    /// Returns when anything was last learned of the content.
     fn last(&self) -> Option<Instant> {
-        self.ends.last().map(|end| end.at).max(self.cleared)
+        self.crashes.last().map(|crash| crash.at).max(self.cleared)
     }
 
-    /// Tells whether it is of use yet. One that was held is remembered for as long again, so that a single
-    /// end holds it anew.
+    /// Returns whether the row is still needed. A content that was quarantined is remembered for as
+    /// long again, so that a single crash quarantines it anew.
     fn is_current(&self, now: Instant) -> bool {
-        let most = if self.is_known() {
+        let max = if self.is_accused() {
             self.span() * 2
         } else {
             QUARANTINE_TIME
         };
         self.last()
-            .is_some_and(|at| now.saturating_duration_since(at) <= most)
+            .is_some_and(|at| now.saturating_duration_since(at) <= max)
     }
 }
 
 domain! {
-    /// The end of a replica as one node tells another. Times are told as ages, since clocks differ.
+    /// Crash of a replica as reported to other nodes; times are sent as ages, since clocks differ.
     #[derive(Copy, Eq)]
-    pub struct ToldEnd {
-        /// The tag of the replica's life.
+    pub struct ReportedCrash {
+        /// Tag of the replica incarnation.
         pub replica: ShortTag,
-        /// How long ago it ended, in ms.
+        /// Time since the crash, in ms.
         pub age_ms: u32,
-        /// How long the first request of the content had been there, in ms.
+        /// How long the first request of the content had been in flight there, in ms.
         pub ran_ms: u32,
     }
 
-    /// What one node tells another of a content.
-    pub struct SuspectNews {
+    /// Update about one content, sent between nodes.
+    pub struct SuspectUpdate {
         /// The content.
         pub content: ContentDigest,
-        /// The replicas that ended under it.
-        pub ends: Vec<ToldEnd>,
-        /// How long ago it was answered whole, in ms.
+        /// Crashes of replicas that ran it.
+        pub crashes: Vec<ReportedCrash>,
+        /// Time since its last full answer, in ms.
         pub cleared: Option<u32>,
     }
 }
 
-/// News that are to be told now, by whom they are for.
+/// Updates that are due, by recipients.
 ///
-/// Most requests that stood on a replica that ended are no cause of it, and the loss of a region suspects
-/// thousands; told to all nodes by all, these would take more of the links than the cards do.
+/// Most requests on a crashed replica did not cause the crash, and the loss of a region makes
+/// thousands suspect; sent by all nodes to all nodes, their updates would take more bandwidth than
+/// the heartbeats.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct NewsBatch {
-    /// For all nodes that this one knows.
-    pub wide: Vec<SuspectNews>,
-    /// For the own region, and one node of each other.
-    pub own: Vec<SuspectNews>,
-    /// For the own region: another one told them here.
-    pub passed: Vec<SuspectNews>,
+pub struct SuspectUpdateBatch {
+    /// For all known nodes.
+    pub broadcast: Vec<SuspectUpdate>,
+    /// For the own region and one node of each other region.
+    pub local: Vec<SuspectUpdate>,
+    /// For the own region only, since another region sent them here.
+    pub relayed: Vec<SuspectUpdate>,
 }
 
-/// What news changed.
+/// Effect of an update.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum NewsEffect {
-    /// Nothing.
+pub enum SuspectUpdateEffect {
+    /// Nothing changed.
     Known,
-    /// Something was learned.
+    /// Something new was learned.
     Learned,
-    /// Its teller has not heard yet that the content was answered whole.
+    /// The sender has not learned yet that the content was answered in full.
     Outdated,
 }
 
-/// A content that began or ceased to be held.
+/// A content whose quarantine began or ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct QuarantineChange {
     /// The content.
     pub content: ContentDigest,
-    /// Ends of replicas under it.
-    pub ends: usize,
-    /// How much longer it is held; none where it no longer is.
+    /// Number of crashes under it.
+    pub crashes: usize,
+    /// Remaining quarantine; `None` if it ended.
     pub left: Option<Duration>,
-    /// Whether the platform's store keeps it though it is no longer held.
-    pub kept: bool,
+    /// Whether the platform's store still contains it although its quarantine ended.
+    pub persisted: bool,
 }
 
-/// All contents under which replicas ended.
+/// All contents under which replicas crashed.
 #[derive(Clone, Debug, Default)]
 pub struct SuspectTable {
     rows: BTreeMap<ContentDigest, SuspectRow>,
-    /// The contents that were held at the last review.
-    held: BTreeSet<ContentDigest>,
-    /// Contents with news that are to be told, and how often yet.
-    fresh: BTreeMap<ContentDigest, u8>,
-    /// Whole answers of a moment ago, which speak for their contents.
-    answered: AnswerMemory,
+    /// Contents that were quarantined at the last review.
+    quarantined: BTreeSet<ContentDigest>,
+    /// Contents with pending updates, and how many times each is still to be sent.
+    pending: BTreeMap<ContentDigest, u8>,
+    /// Recent full answers, which clear their contents.
+    recent_answers: RecentAnswers,
 }
 
 impl SuspectTable {
-    /// Notes that a replica has ended on which this node had had a request of the content for so long; tells
-    /// whether it counts.
-    pub fn note_end(
+    /// Records the crash of a replica on which this node had had a request of the content in flight
+    /// for `ran`; returns whether it counts.
+    pub fn note_crash(
         &mut self,
         content: ContentDigest,
         replica: ShortTag,
         ran: Duration,
         now: Instant,
     ) -> bool {
-        if self.answered.has(content, now) {
+        if self.recent_answers.contains(content, now) {
             return false;
         }
         let row = self.rows.entry(content).or_default();
-        // As coarse as it is told, so that all nodes compare the same.
+        // Rounded as in updates, so that all nodes compare the same values.
         let ran = Duration::from_millis(u64::from(millis(ran)));
-        let counts = row.add(ReplicaEnd {
+        let counts = row.add(ReplicaCrash {
             replica,
             at: now,
             ran,
         });
-        row.own = true;
+        row.local = true;
         if counts {
-            self.note_fresh(content);
-            self.bound();
+            self.add_pending(content);
+            self.evict_excess();
         }
         counts
     }
 
-    /// Notes a whole answer; tells whether it cleared the content of a suspicion.
+    /// Records a full answer; returns whether it cleared the content of suspicion.
     pub fn note_answered(&mut self, content: ContentDigest, now: Instant) -> bool {
-        self.answered.note(content, now);
+        self.recent_answers.note(content, now);
         let row = self.rows.get_mut(&content);
         let cleared = row.is_some_and(|row| row.clear(now));
         if cleared {
-            self.note_fresh(content);
+            self.add_pending(content);
         }
         cleared
     }
 
-    /// Takes news of another node or of the store; `tell` says whether to pass on what is new.
-    pub fn hear(&mut self, news: &SuspectNews, tell: bool, now: Instant) -> NewsEffect {
+    /// Applies an update of another node or the store; `relay` says whether to pass on what is new.
+    pub fn apply_update(
+        &mut self,
+        update: &SuspectUpdate,
+        relay: bool,
+        now: Instant,
+    ) -> SuspectUpdateEffect {
         let at = |age: u32| {
             let age = Duration::from_millis(u64::from(age));
             now.checked_sub(age).unwrap_or(now)
         };
-        let row = self.rows.entry(news.content).or_default();
-        let mut learned = news.cleared.is_some_and(|age| row.clear(at(age)));
-        for end in &news.ends {
-            learned |= row.add(ReplicaEnd {
-                replica: end.replica,
-                at: at(end.age_ms),
-                ran: Duration::from_millis(u64::from(end.ran_ms)),
+        let row = self.rows.entry(update.content).or_default();
+        let mut learned = update.cleared.is_some_and(|age| row.clear(at(age)));
+        for crash in &update.crashes {
+            learned |= row.add(ReplicaCrash {
+                replica: crash.replica,
+                at: at(crash.age_ms),
+                ran: Duration::from_millis(u64::from(crash.ran_ms)),
             });
         }
-        let outdated = !learned && row.ends.is_empty() && !news.ends.is_empty();
-        // Its teller may be in another region, and would go on telling with each card.
-        row.wide |= outdated;
-        if outdated || (learned && tell) {
-            self.note_fresh(news.content);
+        let outdated = !learned && row.crashes.is_empty() && !update.crashes.is_empty();
+        // The sender may be in another region, and would repeat its update with each heartbeat.
+        row.broadcast |= outdated;
+        if outdated || (learned && relay) {
+            self.add_pending(update.content);
         }
-        self.bound();
+        self.evict_excess();
         match (learned, outdated) {
-            (true, _) => NewsEffect::Learned,
-            (_, true) => NewsEffect::Outdated,
-            _ => NewsEffect::Known,
+            (true, _) => SuspectUpdateEffect::Learned,
+            (_, true) => SuspectUpdateEffect::Outdated,
+            _ => SuspectUpdateEffect::Known,
         }
     }
 
-    /// Gives a content with enough ends and no whole answer a moment ago, and when its last end was.
-    fn accused(&self, content: ContentDigest, now: Instant) -> Option<(&SuspectRow, Instant)> {
-        let row = self.rows.get(&content).filter(|row| row.is_known())?;
-        let last = row.ends.last()?.at;
-        (!self.answered.has(content, now)).then_some((row, last))
+    /// Returns a content with enough crashes and no recent full answer, and the time of its last
+    /// crash.
+    fn accused_row(&self, content: ContentDigest, now: Instant) -> Option<(&SuspectRow, Instant)> {
+        let row = self.rows.get(&content).filter(|row| row.is_accused())?;
+        let last = row.crashes.last()?.at;
+        (!self.recent_answers.contains(content, now)).then_some((row, last))
     }
 
-    /// Gives how long a content waits until it can be judged; none where it can be.
-    pub fn verdict_due(&self, content: ContentDigest, now: Instant) -> Option<Duration> {
-        let (_, last) = self.accused(content, now)?;
+    /// Returns the time until it can be decided whether a content is quarantined; `None` if it can
+    /// be now.
+    pub fn decision_delay(&self, content: ContentDigest, now: Instant) -> Option<Duration> {
+        let (_, last) = self.accused_row(content, now)?;
         time_until(last + SETTLE_TIME, now)
     }
 
-    /// Gives how much longer a content is held; none where it may run.
-    pub fn hold_left(&self, content: ContentDigest, now: Instant) -> Option<Duration> {
-        let (row, last) = self.accused(content, now)?;
+    /// Returns the remaining quarantine of a content; `None` if it may run.
+    pub fn quarantine_left(&self, content: ContentDigest, now: Instant) -> Option<Duration> {
+        let (row, last) = self.accused_row(content, now)?;
         if time_until(last + SETTLE_TIME, now).is_some() {
             return None;
         }
-        let own = row.ends.iter().filter(|end| !self.is_explained(row, end));
-        if own.count() < KNOWN_ENDS {
+        let unexplained = row
+            .crashes
+            .iter()
+            .filter(|crash| !self.is_explained(row, crash));
+        if unexplained.count() < ACCUSED_CRASHES {
             return None;
         }
         time_until(last + row.span(), now)
     }
 
-    /// Tells whether another content explains an end: one that was on the replica too and has more ends, or as
-    /// many and was on those replicas for a shorter time.
+    /// Returns whether another content explains a crash: one that was on the replica too and has
+    /// more crashes, or as many and a shorter time on those replicas.
     ///
-    /// What ends the replicas that begin it never runs for long. Contents that were there for longer had the
-    /// same ends where nothing else had been answered yet: what all callers ask stood on every replica.
-    fn is_explained(&self, row: &SuspectRow, end: &ReplicaEnd) -> bool {
-        let unsure = if row.ends.len() == KNOWN_ENDS {
-            ALIKE_TIME
+    /// A request that crashes the replicas which begin it never runs for long. Contents that had
+    /// run for longer share its crashes only because nothing else had been answered yet: a popular
+    /// request was in flight on every replica.
+    fn is_explained(&self, row: &SuspectRow, crash: &ReplicaCrash) -> bool {
+        let tolerance = if row.crashes.len() == ACCUSED_CRASHES {
+            TIE_TOLERANCE
         } else {
             Duration::ZERO
         };
-        let own = (row.ends.len(), Reverse(row.ran() + unsure));
+        let own_rank = (row.crashes.len(), Reverse(row.ran() + tolerance));
         self.rows.values().any(|other| {
             !std::ptr::eq(other, row)
-                && (other.ends.len(), Reverse(other.ran())) > own
-                && other.ends.iter().any(|known| known.is_same(end))
+                && (other.crashes.len(), Reverse(other.ran())) > own_rank
+                && other.crashes.iter().any(|known| known.is_same(crash))
         })
     }
 
-    /// Gives the contents that began or ceased to be held since the last review.
+    /// Returns the contents whose quarantine began or ended since the last review.
     pub fn review(&mut self, now: Instant) -> Vec<QuarantineChange> {
-        let known = self.rows.iter().filter(|(_, row)| row.is_known());
+        let known = self.rows.iter().filter(|(_, row)| row.is_accused());
         let contents: BTreeSet<ContentDigest> = known
             .map(|(content, _)| *content)
-            .chain(self.held.iter().copied())
+            .chain(self.quarantined.iter().copied())
             .collect();
         let mut changes = Vec::new();
         for content in contents {
-            let left = self.hold_left(content, now);
+            let left = self.quarantine_left(content, now);
             let changed = if left.is_some() {
-                self.held.insert(content)
+                self.quarantined.insert(content)
             } else {
-                self.held.remove(&content)
+                self.quarantined.remove(&content)
             };
             if !changed {
                 continue;
             }
             let row = self.rows.get_mut(&content);
-            let ends = row.as_ref().map_or(0, |row| row.ends.len());
-            let kept = left.is_none() && row.is_some_and(|row| std::mem::take(&mut row.kept));
+            let crashes = row.as_ref().map_or(0, |row| row.crashes.len());
+            let persisted =
+                left.is_none() && row.is_some_and(|row| std::mem::take(&mut row.persisted));
             changes.push(QuarantineChange {
                 content,
-                ends,
+                crashes,
                 left,
-                kept,
+                persisted,
             });
         }
         changes
     }
 
-    /// Gives how many contents were held at the last review.
-    pub fn held(&self) -> usize {
-        self.held.len()
+    /// Returns how many contents were quarantined at the last review.
+    pub fn quarantined_count(&self) -> usize {
+        self.quarantined.len()
     }
 
-    /// Gives a content that is held on the word of this node and that the store does not keep yet.
-    pub fn unkept(&self, now: Instant) -> Option<(SuspectNews, Duration)> {
-        self.held.iter().find_map(|content| {
+    /// Returns a quarantined content that this node observed crashing a replica and that the store
+    /// does not contain yet.
+    pub fn unpersisted(&self, now: Instant) -> Option<(SuspectUpdate, Duration)> {
+        self.quarantined.iter().find_map(|content| {
             let row = self.rows.get(content)?;
-            let left = self.hold_left(*content, now)?;
-            (row.own && !row.kept).then(|| (news_of(*content, row, now), left))
+            let left = self.quarantine_left(*content, now)?;
+            (row.local && !row.persisted).then(|| (update_of(*content, row, now), left))
         })
     }
 
-    /// Notes that the store keeps a content.
-    pub fn note_kept(&mut self, content: ContentDigest) {
+    /// Records that the store contains a content.
+    pub fn note_persisted(&mut self, content: ContentDigest) {
         if let Some(row) = self.rows.get_mut(&content) {
-            row.kept = true;
+            row.persisted = true;
         }
     }
 
-    /// Forgets what the store keeps, since it may have lost it; gives how many contents were kept.
-    pub fn forget_kept(&mut self) -> usize {
+    /// Forgets which contents the store contains, since it may have lost them; returns their
+    /// number.
+    pub fn forget_persisted(&mut self) -> usize {
         let mut count = 0;
         for row in self.rows.values_mut() {
-            count += usize::from(std::mem::take(&mut row.kept));
+            count += usize::from(std::mem::take(&mut row.persisted));
         }
         count
     }
 
-    /// Takes up to so many news: those never told, and with `again` those that were told too seldom.
-    pub fn take_news(&mut self, again: bool, most: usize, now: Instant) -> NewsBatch {
+    /// Returns up to `max` pending updates: those never sent and, with `again`, those that are
+    /// still to be repeated.
+    pub fn take_updates(&mut self, again: bool, max: usize, now: Instant) -> SuspectUpdateBatch {
         let due = self
-            .fresh
+            .pending
             .iter()
-            .filter(|(_, left)| again || **left == TELLS);
-        let due: Vec<ContentDigest> = due.map(|(content, _)| *content).take(most).collect();
-        let mut batch = NewsBatch::default();
+            .filter(|(_, left)| again || **left == BROADCAST_REPEATS);
+        let due: Vec<ContentDigest> = due.map(|(content, _)| *content).take(max).collect();
+        let mut batch = SuspectUpdateBatch::default();
         for content in due {
-            let left = self.fresh.remove(&content).unwrap_or(0).saturating_sub(1);
+            let left = self.pending.remove(&content).unwrap_or(0).saturating_sub(1);
             let Some(row) = self.rows.get(&content) else {
                 continue;
             };
-            let news = news_of(content, row, now);
-            if !row.wide {
-                let part = if row.own {
-                    &mut batch.own
+            let update = update_of(content, row, now);
+            if !row.broadcast {
+                let target = if row.local {
+                    &mut batch.local
                 } else {
-                    &mut batch.passed
+                    &mut batch.relayed
                 };
-                part.push(news);
+                target.push(update);
                 continue;
             }
-            batch.wide.push(news);
+            batch.broadcast.push(update);
             if left > 0 {
-                self.fresh.insert(content, left);
+                self.pending.insert(content, left);
             }
         }
         batch
     }
 
-    /// Gives a digest of the contents that have ends enough to be held; nodes whose digests differ tell each
-    /// other theirs.
-    pub fn known_digest(&self) -> u64 {
-        let known = self.rows.iter().filter(|(_, row)| row.is_known());
+    /// Returns a digest of the contents with enough crashes for quarantine; nodes whose digests
+    /// differ exchange them.
+    pub fn accused_digest(&self) -> u64 {
+        let known = self.rows.iter().filter(|(_, row)| row.is_accused());
         known.fold(0, |digest, (content, _)| digest ^ content)
     }
 
-    /// Gives the news of up to so many contents that have ends enough to be held, from a drawn one on.
-    pub fn known_news(&self, draw: ContentDigest, most: usize, now: Instant) -> Vec<SuspectNews> {
-        let rows = self.rows.range(draw..).chain(self.rows.range(..draw));
-        rows.filter(|(_, row)| row.is_known())
-            .take(most)
-            .map(|(content, row)| news_of(*content, row, now))
+    /// Returns updates for up to `max` contents with enough crashes for quarantine, in order from
+    /// `start` and wrapping around.
+    pub fn accused_updates(
+        &self,
+        start: ContentDigest,
+        max: usize,
+        now: Instant,
+    ) -> Vec<SuspectUpdate> {
+        let rows = self.rows.range(start..).chain(self.rows.range(..start));
+        rows.filter(|(_, row)| row.is_accused())
+            .take(max)
+            .map(|(content, row)| update_of(*content, row, now))
             .collect()
     }
 
-    /// Runs once a tick: forgets what is of no use any more.
+    /// Removes expired rows. Called on every tick.
     pub fn tick(&mut self, now: Instant) {
         self.rows.retain(|_, row| row.is_current(now));
         let rows = &self.rows;
-        self.fresh.retain(|content, _| rows.contains_key(content));
-        self.answered.forget(now);
+        self.pending.retain(|content, _| rows.contains_key(content));
+        self.recent_answers.evict(now);
     }
 
-    fn note_fresh(&mut self, content: ContentDigest) {
-        // Those that may be held are few, and do not wait behind the many that a loss suspects.
-        let wide = self.rows.get(&content).is_some_and(|row| row.wide);
-        if wide || self.fresh.len() < MOST_FRESH || self.fresh.contains_key(&content) {
-            self.fresh.insert(content, TELLS);
+    fn add_pending(&mut self, content: ContentDigest) {
+        // Contents that may be quarantined are few and bypass the limit, which the loss of many
+        // replicas reaches.
+        let broadcast = self.rows.get(&content).is_some_and(|row| row.broadcast);
+        if broadcast || self.pending.len() < MAX_PENDING || self.pending.contains_key(&content) {
+            self.pending.insert(content, BROADCAST_REPEATS);
         }
     }
 
-    /// Drops the row with fewest ends, of these the oldest, where there are too many.
-    fn bound(&mut self) {
-        if self.rows.len() <= MOST_ROWS {
+    /// Evicts the row with fewest crashes, the oldest among equals, if there are too many rows.
+    fn evict_excess(&mut self) {
+        if self.rows.len() <= MAX_ROWS {
             return;
         }
-        let least = self
+        let weakest = self
             .rows
             .iter()
-            .min_by_key(|(_, row)| (row.ends.len(), row.last()));
-        if let Some(content) = least.map(|(content, _)| *content) {
+            .min_by_key(|(_, row)| (row.crashes.len(), row.last()));
+        if let Some(content) = weakest.map(|(content, _)| *content) {
             self.rows.remove(&content);
-            self.fresh.remove(&content);
+            self.pending.remove(&content);
         }
     }
 }
 
-fn news_of(content: ContentDigest, row: &SuspectRow, now: Instant) -> SuspectNews {
+fn update_of(content: ContentDigest, row: &SuspectRow, now: Instant) -> SuspectUpdate {
     let age = |at: Instant| millis(now.saturating_duration_since(at));
-    let ends = row.ends.iter().map(|end| ToldEnd {
-        replica: end.replica,
-        age_ms: age(end.at),
-        ran_ms: millis(end.ran),
+    let crashes = row.crashes.iter().map(|crash| ReportedCrash {
+        replica: crash.replica,
+        age_ms: age(crash.at),
+        ran_ms: millis(crash.ran),
     });
-    SuspectNews {
+    SuspectUpdate {
         content,
-        ends: ends.collect(),
+        crashes: crashes.collect(),
         cleared: row.cleared.map(age),
     }
 }
 
-/// Gives the time until a moment; none where it has passed.
+/// Returns the time until a moment; `None` if it has passed.
 fn time_until(at: Instant, now: Instant) -> Option<Duration> {
     at.checked_duration_since(now)
         .filter(|left| !left.is_zero())
--- a/crates/zinniahatch_route/src/work_news.rs
+++ b/crates/zinniahatch_route/src/work_news.rs
@@ -4,9 +4,9 @@
 //! what they believe of the same replicas. News that are 180 ms old leave 200 placements unknown at 1,100
 //! requests/s, each 60 to 190 ms of a replica's reading, and all nodes choose the replica that was idle.
 
-use crate::OpenWork;
+use crate::CachedPrefix;
+use crate::InFlightWork;
 use crate::PromptPart;
-use crate::PromptRead;
 use crate::RegionSpends;
 use zinniahatch_base::prelude::*;
 
@@ -33,9 +33,9 @@
         /// The number of these news, rising with each.
         pub number: u32,
         /// Open work that changed, by the tags of the replicas.
-        pub work: Vec<(ShortTag, OpenWork)>,
+        pub work: Vec<(ShortTag, InFlightWork)>,
         /// Shared prompt parts that were read.
-        pub reads: Vec<PromptRead>,
+        pub reads: Vec<CachedPrefix>,
     }
 }
 
@@ -66,7 +66,7 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct WorkNews {
     changed: BTreeSet<ShortTag>,
-    reads: Vec<PromptRead>,
+    reads: Vec<CachedPrefix>,
     /// When the last part of a chain was told to have been read by a replica.
     read_at: BTreeMap<(ShortTag, u64), Instant>,
     /// The last number of each process, and when it was heard.
@@ -92,13 +92,13 @@
             return;
         }
         self.read_at.insert((replica, last.tag), now);
-        self.reads.push(PromptRead {
+        self.reads.push(CachedPrefix {
             replica,
             parts: shared.to_vec(),
         });
     }
 
-    pub(crate) fn take_reads(&mut self) -> Vec<PromptRead> {
+    pub(crate) fn take_reads(&mut self) -> Vec<CachedPrefix> {
         std::mem::take(&mut self.reads)
     }
 
--- a/crates/zinniahatch_route/tests/beliefs.rs
+++ b/crates/zinniahatch_route/tests/beliefs.rs
@@ -7,9 +7,9 @@
 use test_case::test_case;
 use zinniahatch_base::prelude::*;
 use zinniahatch_route::EntryChange;
-use zinniahatch_route::HealthRecord;
 use zinniahatch_route::KeptParts;
 use zinniahatch_route::PromptPart;
+use zinniahatch_route::ReplicaHealth;
 
 /// The store was away for some seconds, all entries of replicas lapsed, and callers were refused
 /// although every replica lived. Entries that vanish around an outage count for a little longer.
@@ -17,8 +17,8 @@
 fn vanish_around_an_outage() {
     let now = Instant::now();
     let mut table = table(&["r1"], now);
-    table.note_store_trouble(now);
-    table.vanish("r1", 0.into(), now + Duration::from_secs(1));
+    table.note_store_failure(now);
+    table.remove_entry("r1", 0.into(), now + Duration::from_secs(1));
     assert_eq!(table.get("r1").unwrap().leaving, None);
     table.tick(now + Duration::from_secs(3));
     assert!(table.get("r1").is_some(), "within the grace");
@@ -30,10 +30,10 @@
 fn vanish_and_return() {
     let now = Instant::now();
     let mut table = table(&["r1"], now);
-    table.note_store_trouble(now);
-    table.vanish("r1", 0.into(), now);
+    table.note_store_failure(now);
+    table.remove_entry("r1", 0.into(), now);
     let change = table.upsert(entry("r1", "a"), now + Duration::from_secs(2));
-    assert_eq!(change, EntryChange::Belief);
+    assert_eq!(change, EntryChange::Updated);
     table.tick(now + Duration::from_secs(9));
     assert_eq!(table.get("r1").unwrap().leaving, None);
 }
@@ -42,7 +42,7 @@
 fn vanish_on_a_calm_day() {
     let now = Instant::now();
     let mut table = table(&["r1"], now);
-    table.vanish("r1", 0.into(), now);
+    table.remove_entry("r1", 0.into(), now);
     assert!(table.get("r1").unwrap().leaving.is_some());
 }
 
@@ -65,11 +65,11 @@
 fn learn_does_not_revive_what_left() {
     let now = Instant::now();
     let mut table = table(&["r1", "r2"], now);
-    table.vanish("r1", 0.into(), now);
+    table.remove_entry("r1", 0.into(), now);
     table.tick(now);
     assert!(table.get("r1").is_none());
-    table.note_store_trouble(now);
-    table.learn(vec![entry("r1", "a")], &[], now + Duration::from_secs(1));
+    table.note_store_failure(now);
+    table.merge_peer_snapshot(vec![entry("r1", "a")], &[], now + Duration::from_secs(1));
     assert!(table.get("r1").is_none());
 }
 
@@ -77,16 +77,16 @@
 fn learn_only_while_blind() {
     let now = Instant::now();
     let mut table = table(&["r1"], now);
-    table.learn(vec![entry("r2", "a")], &[], now);
+    table.merge_peer_snapshot(vec![entry("r2", "a")], &[], now);
     assert!(table.get("r2").is_none(), "this node has news of its own");
     let mut leaving = entry("r1", "a");
     leaving.leaving = true;
-    table.learn(vec![leaving], &[], now);
+    table.merge_peer_snapshot(vec![leaving], &[], now);
     assert!(table.get("r1").unwrap().leaving.is_some());
-    table.note_store_trouble(now);
-    table.learn(vec![entry("r2", "a")], &[], now);
+    table.note_store_failure(now);
+    table.merge_peer_snapshot(vec![entry("r2", "a")], &[], now);
     assert!(table.get("r2").is_some());
-    table.learn(Vec::new(), &[entry("r2", "a").life()], now);
+    table.merge_peer_snapshot(Vec::new(), &[entry("r2", "a").incarnation()], now);
     assert!(
         table.get("r2").unwrap().leaving.is_some(),
         "it left elsewhere"
@@ -98,13 +98,13 @@
 #[test_case(12, true; "many_failures")]
 fn failure_share_after(failures: u32, grey: bool) {
     let now = Instant::now();
-    let mut record = HealthRecord::new(now);
+    let mut record = ReplicaHealth::new(now);
     for _ in 0..failures {
-        record.note_bad(now);
+        record.note_failure(now);
     }
-    assert_eq!(record.failure_share(now) > 0.5, grey);
+    assert_eq!(record.failure_rate(now) > 0.5, grey);
     assert!(
-        record.failure_share(now + Duration::from_secs(20)) < 0.1,
+        record.failure_rate(now + Duration::from_secs(20)) < 0.1,
         "it fades"
     );
 }
@@ -114,21 +114,21 @@
 #[test]
 fn is_suspect_when_silent() {
     let now = Instant::now();
-    let mut record = HealthRecord::new(now);
+    let mut record = ReplicaHealth::new(now);
     assert!(
         !record.is_suspect(now + Duration::from_secs(60)),
         "idle is not silent"
     );
-    record.note_open(Some(now), Duration::ZERO);
+    record.set_oldest_open(Some(now), Duration::ZERO);
     assert!(!record.is_suspect(now + Duration::from_millis(500)));
     assert!(record.is_suspect(now + Duration::from_secs(1)));
-    record.note_open(Some(now), Duration::from_secs(2));
+    record.set_oldest_open(Some(now), Duration::from_secs(2));
     assert!(
         !record.is_suspect(now + Duration::from_secs(1)),
         "it reads a long prompt"
     );
-    record.note_open(Some(now), Duration::ZERO);
-    record.note_heard(now + Duration::from_millis(900));
+    record.set_oldest_open(Some(now), Duration::ZERO);
+    record.note_bytes(now + Duration::from_millis(900));
     assert!(!record.is_suspect(now + Duration::from_secs(1)));
 }
 
@@ -150,7 +150,7 @@
 fn upsert_ignores_what_is_older_than_a_removal() {
     let now = Instant::now();
     let mut table = table(&["r1"], now);
-    table.vanish("r1", 9.into(), now);
+    table.remove_entry("r1", 9.into(), now);
     let mut old = entry("r1", "a");
     old.revision = 5.into();
     assert_eq!(table.upsert(old.clone(), now), EntryChange::None);
@@ -158,7 +158,7 @@
     assert_eq!(table.upsert(old.clone(), now), EntryChange::None);
     assert!(table.get("r1").is_none());
     old.revision = 10.into();
-    assert_eq!(table.upsert(old, now), EntryChange::Belief);
+    assert_eq!(table.upsert(old, now), EntryChange::Updated);
 }
 
 /// The news that a replica is cold for two seconds came a second time, two seconds later, from the own
--- a/crates/zinniahatch_route/tests/common/mod.rs
+++ b/crates/zinniahatch_route/tests/common/mod.rs
@@ -11,7 +11,7 @@
 use zinniahatch_route::DesiredState;
 use zinniahatch_route::MemberCard;
 use zinniahatch_route::MemberStage;
-use zinniahatch_route::PlaceAsk;
+use zinniahatch_route::PlacementQuery;
 use zinniahatch_route::PromptPart;
 use zinniahatch_route::PromptSize;
 use zinniahatch_route::RepeatKind;
@@ -66,7 +66,7 @@
 pub(crate) fn entry(id: &str, place: &str) -> ReplicaEntry {
     ReplicaEntry {
         id: id.into(),
-        born: 1,
+        started_ms: 1,
         service: "s".into(),
         address: address(1),
         data_centre: place.into(),
@@ -132,8 +132,8 @@
         }
     }
 
-    pub(crate) fn ask(&self) -> PlaceAsk<'_> {
-        PlaceAsk {
+    pub(crate) fn ask(&self) -> PlacementQuery<'_> {
+        PlacementQuery {
             service: &self.service,
             region: "north",
             size: &self.size,
