--- a/crates/zinniahatch_route/tests/hearing.rs
+++ b/crates/zinniahatch_route/tests/hearing.rs
@@ -6,29 +6,29 @@
 use test_case::test_case;
 use zinniahatch_base::prelude::*;
 use zinniahatch_route::AnswerProof;
+use zinniahatch_route::BackoffChange;
+use zinniahatch_route::BackoffNotice;
 use zinniahatch_route::ColdGate;
+use zinniahatch_route::DrainNotice;
 use zinniahatch_route::HeardNotice;
-use zinniahatch_route::NamedLeaving;
-use zinniahatch_route::NamedLimit;
-use zinniahatch_route::NamedRest;
 use zinniahatch_route::NoticeEffect;
+use zinniahatch_route::RateLimitNotice;
 use zinniahatch_route::ReplicaEntry;
 use zinniahatch_route::ReplicaNotice;
 use zinniahatch_route::ReplicaTable;
-use zinniahatch_route::RestChange;
-use zinniahatch_route::Withheld;
+use zinniahatch_route::SendRefusal;
 
 const LEAVING: ReplicaNotice = ReplicaNotice {
-    leaving: NamedLeaving::Leaving,
-    rest: NamedRest::Absent,
-    rate_limit: NamedLimit::Absent,
+    leaving: DrainNotice::Leaving,
+    rest: BackoffNotice::Absent,
+    rate_limit: RateLimitNotice::Absent,
     load: None,
     cold_for: None,
 };
 
-fn life(born: u64, revision: Revision) -> ReplicaEntry {
+fn life(started_ms: u64, revision: Revision) -> ReplicaEntry {
     ReplicaEntry {
-        born,
+        started_ms,
         revision: revision.into(),
         ..entry("r", "a")
     }
@@ -41,7 +41,7 @@
     now: Instant,
 ) -> NoticeEffect {
     let heard = HeardNotice {
-        replica: life(1, 0).life().tag(),
+        replica: life(1, 0).incarnation().tag(),
         notice,
         proof,
         taken: false,
@@ -51,8 +51,8 @@
     table.hear(&heard, now)
 }
 
-fn withheld(table: &mut ReplicaTable, now: Instant) -> Option<Withheld> {
-    let claim = table.claim(&mut ColdGate::default(), "r", 0, now);
+fn withheld(table: &mut ReplicaTable, now: Instant) -> Option<SendRefusal> {
+    let claim = table.reserve(&mut ColdGate::default(), "r", 0, now);
     claim.and_then(|claim| table.permit(claim, now)).err()
 }
 
@@ -83,13 +83,13 @@
             table.upsert(life(1, 11), now);
         }
         LaterWord::Lapsed => {
-            table.vanish("r", 11.into(), now);
+            table.remove_entry("r", 11.into(), now);
             table.tick(now);
             assert_eq!(table.rows().count(), 0);
             table.upsert(life(1, 12), now);
         }
         LaterWord::Listed => {
-            table.relist(vec![life(1, 10)], 12.into(), now);
+            table.apply_listing(vec![life(1, 10)], 12.into(), now);
         }
         LaterWord::OlderEra => {
             let revision = StoreRevision { era: 1, number: 3 };
@@ -102,11 +102,11 @@
             );
         }
         LaterWord::Neighbour => {
-            table.note_store_trouble(now);
-            table.learn(vec![life(1, 10)], &[], now);
+            table.note_store_failure(now);
+            table.merge_peer_snapshot(vec![life(1, 10)], &[], now);
         }
     }
-    assert_eq!(withheld(&mut table, now), Some(Withheld::Leaving));
+    assert_eq!(withheld(&mut table, now), Some(SendRefusal::Leaving));
 }
 
 /// Guards against a new life that is left alone for what the one before it said.
@@ -121,7 +121,7 @@
     // An answer of the life before that was late.
     let effect = hear(&mut table, &LEAVING, AnswerProof::Sealed, now);
     assert_eq!(effect, NoticeEffect::default());
-    assert!(!table.hear_leaving(&life(1, 0).life()));
+    assert!(!table.hear_leaving(&life(1, 0).incarnation()));
     assert_eq!(withheld(&mut table, now), None);
 }
 
@@ -131,9 +131,11 @@
     let now = Instant::now();
     let mut table = ReplicaTable::default();
     table.upsert(life(1, 10), now);
-    let claim = table.claim(&mut ColdGate::default(), "r", 0, now).unwrap();
+    let claim = table
+        .reserve(&mut ColdGate::default(), "r", 0, now)
+        .unwrap();
     hear(&mut table, &LEAVING, AnswerProof::Named, now);
-    assert_eq!(table.permit(claim, now).unwrap_err(), Withheld::Leaving);
+    assert_eq!(table.permit(claim, now).unwrap_err(), SendRefusal::Leaving);
 }
 
 /// Guards against nodes that go on sending to a replica which told another one that it leaves.
@@ -146,17 +148,17 @@
     let mut other = ReplicaTable::default();
     other.upsert(life(1, 10), now);
     assert_ne!(told.leaving_digest(), other.leaving_digest());
-    for life in told.said_leaving() {
+    for life in told.announced_leaving() {
         assert!(other.hear_leaving(life));
     }
     assert_eq!(told.leaving_digest(), other.leaving_digest());
-    assert_eq!(withheld(&mut other, now), Some(Withheld::Leaving));
+    assert_eq!(withheld(&mut other, now), Some(SendRefusal::Leaving));
 }
 
 /// Gives what a replica says that turns a request away for a while.
 fn rest(seconds: f64) -> ReplicaNotice {
     ReplicaNotice {
-        rest: NamedRest::For(Duration::from_secs_f64(seconds)),
+        rest: BackoffNotice::For(Duration::from_secs_f64(seconds)),
         ..ReplicaNotice::default()
     }
 }
@@ -168,7 +170,7 @@
 /// Takes an answer to a request that the replica took.
 fn hear_taken(table: &mut ReplicaTable, sent: Instant, now: Instant) -> NoticeEffect {
     let heard = HeardNotice {
-        replica: life(1, 0).life().tag(),
+        replica: life(1, 0).incarnation().tag(),
         notice: &ReplicaNotice::default(),
         proof: AnswerProof::Sealed,
         taken: true,
@@ -185,20 +187,20 @@
     let mut table = ReplicaTable::default();
     table.upsert(life(1, 10), now);
     let effect = hear(&mut table, &rest(3.0), AnswerProof::Named, now);
-    assert_eq!(effect.rest, Some(RestChange::Began(seconds(3.0))));
+    assert_eq!(effect.rest, Some(BackoffChange::Began(seconds(3.0))));
     let later = now + seconds(1.0);
     let effect = hear(&mut table, &rest(0.5), AnswerProof::Named, later);
-    assert_eq!(effect.rest, Some(RestChange::Covered));
+    assert_eq!(effect.rest, Some(BackoffChange::Covered));
     assert!(!hear_taken(&mut table, now, later).serves);
     assert_eq!(
         withheld(&mut table, now + seconds(2.9)),
-        Some(Withheld::Resting)
+        Some(SendRefusal::Resting)
     );
     let effect = hear(&mut table, &rest(3.0), AnswerProof::Named, later);
-    assert_eq!(effect.rest, Some(RestChange::Lengthened(seconds(3.0))));
+    assert_eq!(effect.rest, Some(BackoffChange::Lengthened(seconds(3.0))));
     assert_eq!(
         withheld(&mut table, now + seconds(3.9)),
-        Some(Withheld::Resting)
+        Some(SendRefusal::Resting)
     );
     assert_eq!(withheld(&mut table, now + seconds(4.0)), None);
 }
@@ -212,10 +214,10 @@
     hear(&mut table, &rest(1.0), AnswerProof::Named, now);
     let end = now + seconds(1.0);
     assert_eq!(withheld(&mut table, end), None);
-    assert_eq!(withheld(&mut table, end), Some(Withheld::Resting));
+    assert_eq!(withheld(&mut table, end), Some(SendRefusal::Resting));
     assert_eq!(
         withheld(&mut table, end + seconds(0.9)),
-        Some(Withheld::Resting)
+        Some(SendRefusal::Resting)
     );
     assert_eq!(withheld(&mut table, end + seconds(1.0)), None);
     // Each request that it takes lets one more follow.
@@ -239,18 +241,20 @@
     let now = Instant::now();
     let mut table = ReplicaTable::default();
     table.upsert(life(1, 10), now);
-    let claim = table.claim(&mut ColdGate::default(), "r", 0, now).unwrap();
+    let claim = table
+        .reserve(&mut ColdGate::default(), "r", 0, now)
+        .unwrap();
     hear(&mut table, &rest(1.0), AnswerProof::Named, now);
-    assert_eq!(table.permit(claim, now).unwrap_err(), Withheld::Resting);
+    assert_eq!(table.permit(claim, now).unwrap_err(), SendRefusal::Resting);
 }
 
 /// Guards against values that keep a replica out for ever, or that are heeded though they say nothing.
-#[test_case(NamedRest::For(Duration::ZERO), AnswerProof::Sealed, 0.0; "zero")]
-#[test_case(NamedRest::Malformed, AnswerProof::Sealed, 0.0; "malformed")]
-#[test_case(NamedRest::For(Duration::from_millis(250)), AnswerProof::Named, 0.25; "fraction")]
-#[test_case(NamedRest::For(Duration::from_secs(36_000)), AnswerProof::Sealed, 600.0; "hours")]
-#[test_case(NamedRest::For(Duration::from_secs(36_000)), AnswerProof::Missing, 30.0; "unproven")]
-fn rest_is_bounded(named: NamedRest, proof: AnswerProof, expected: f64) {
+#[test_case(BackoffNotice::For(Duration::ZERO), AnswerProof::Sealed, 0.0; "zero")]
+#[test_case(BackoffNotice::Malformed, AnswerProof::Sealed, 0.0; "malformed")]
+#[test_case(BackoffNotice::For(Duration::from_millis(250)), AnswerProof::Named, 0.25; "fraction")]
+#[test_case(BackoffNotice::For(Duration::from_secs(36_000)), AnswerProof::Sealed, 600.0; "hours")]
+#[test_case(BackoffNotice::For(Duration::from_secs(36_000)), AnswerProof::Missing, 30.0; "unproven")]
+fn rest_is_bounded(named: BackoffNotice, proof: AnswerProof, expected: f64) {
     let now = Instant::now();
     let mut table = ReplicaTable::default();
     table.upsert(life(1, 10), now);
@@ -259,10 +263,13 @@
         ..ReplicaNotice::default()
     };
     let effect = hear(&mut table, &notice, proof, now);
-    assert_eq!(effect.rejected.is_empty(), named != NamedRest::Malformed);
+    assert_eq!(
+        effect.rejected.is_empty(),
+        named != BackoffNotice::Malformed
+    );
     assert_eq!(effect.unproven.is_empty(), proof != AnswerProof::Missing);
-    let tag = life(1, 0).life().tag();
-    assert_eq!(table.rests.wait(tag, now), seconds(expected));
+    let tag = life(1, 0).incarnation().tag();
+    assert_eq!(table.backoffs.wait(tag, now), seconds(expected));
 }
 
 /// Guards against an answer of somebody else that takes a replica out of use for good.
@@ -273,10 +280,10 @@
     table.upsert(life(1, 10), now);
     let effect = hear(&mut table, &LEAVING, AnswerProof::Missing, now);
     assert!(!effect.leaving);
-    assert_eq!(table.said_leaving().count(), 0);
+    assert_eq!(table.announced_leaving().count(), 0);
     assert_eq!(
         withheld(&mut table, now + seconds(29.0)),
-        Some(Withheld::Resting)
+        Some(SendRefusal::Resting)
     );
     assert_eq!(withheld(&mut table, now + seconds(30.0)), None);
 }
@@ -293,9 +300,9 @@
 }
 
 /// Guards against the usual load for a replica that says that it is cold again.
-#[test_case(AnswerProof::Named, Some(Withheld::Cold); "its_own")]
+#[test_case(AnswerProof::Named, Some(SendRefusal::Cold); "its_own")]
 #[test_case(AnswerProof::Missing, None; "of_somebody")]
-fn cold_replica_is_believed(proof: AnswerProof, expected: Option<Withheld>) {
+fn cold_replica_is_believed(proof: AnswerProof, expected: Option<SendRefusal>) {
     let now = Instant::now();
     let mut table = ReplicaTable::default();
     table.upsert(life(1, 10), now);
@@ -314,11 +321,11 @@
     let now = Instant::now();
     let mut table = ReplicaTable::default();
     table.upsert(life(1, 10), now);
-    table.vanish("r", 11.into(), now);
+    table.remove_entry("r", 11.into(), now);
     table.tick(now);
     hear(&mut table, &LEAVING, AnswerProof::Named, now);
     table.upsert(life(1, 12), now);
-    assert_eq!(withheld(&mut table, now), Some(Withheld::Leaving));
+    assert_eq!(withheld(&mut table, now), Some(SendRefusal::Leaving));
 }
 
 /// Guards against a rest that is forgotten where the entry of the replica vanishes and comes back.
@@ -328,13 +335,13 @@
     let mut table = ReplicaTable::default();
     table.upsert(life(1, 10), now);
     hear(&mut table, &rest(3.0), AnswerProof::Named, now);
-    table.vanish("r", 11.into(), now);
+    table.remove_entry("r", 11.into(), now);
     table.tick(now);
     table.upsert(life(1, 12), now);
     table.tick(now);
     assert_eq!(
         withheld(&mut table, now + seconds(2.9)),
-        Some(Withheld::Resting)
+        Some(SendRefusal::Resting)
     );
 }
 
@@ -345,18 +352,18 @@
     let mut table = ReplicaTable::default();
     table.upsert(life(1, 10), now);
     let notice = ReplicaNotice {
-        rate_limit: NamedLimit::PerSecond(1.0),
+        rate_limit: RateLimitNotice::PerSecond(1.0),
         ..ReplicaNotice::default()
     };
     hear(&mut table, &notice, AnswerProof::Sealed, now);
-    table.vanish("r", 11.into(), now);
+    table.remove_entry("r", 11.into(), now);
     table.tick(now);
     let later = now + seconds(20.0);
     table.upsert(life(1, 12), later);
     table.tick(later);
-    let tag = life(1, 0).life().tag();
+    let tag = life(1, 0).incarnation().tag();
     assert_eq!(table.limits.rate(tag), Some(1.0));
-    table.vanish("r", 13.into(), later);
+    table.remove_entry("r", 13.into(), later);
     table.tick(later + seconds(31.0));
     assert_eq!(table.limits.rate(tag), None);
 }
--- a/crates/zinniahatch_route/tests/limit_fleet/mod.rs
+++ b/crates/zinniahatch_route/tests/limit_fleet/mod.rs
@@ -9,9 +9,9 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 use std::time::Instant;
-use zinniahatch_route::LimitBook;
-use zinniahatch_route::LimitNews;
-use zinniahatch_route::NamedLimit;
+use zinniahatch_route::RateLimitNotice;
+use zinniahatch_route::RateLimitTable;
+use zinniahatch_route::RateLimitUpdate;
 
 pub(crate) use shared_bucket::SharedBucket;
 
@@ -36,7 +36,7 @@
     type News: Clone;
 
     /// Takes what an answer says.
-    fn note_answer(&mut self, named: NamedLimit, sent: Instant, now: Instant);
+    fn note_answer(&mut self, named: RateLimitNotice, sent: Instant, now: Instant);
     /// Takes news of another node.
     fn hear(&mut self, news: &Self::News, now: Instant);
     /// Takes what the others are to be told.
@@ -44,34 +44,34 @@
     /// Gives a digest of what is known, and all of it.
     fn known(&self) -> (u64, Vec<Self::News>);
     /// Sets who takes part.
-    fn set_holders(&mut self, own: Option<u32>, others: BTreeSet<u32>, now: Instant);
+    fn set_sharers(&mut self, own: Option<u32>, others: BTreeSet<u32>, now: Instant);
     /// Takes one request; tells whether it may be sent.
     fn take(&mut self, now: Instant) -> bool;
     /// Tells whether a limit is believed to be in force.
     fn is_limited(&self) -> bool;
 }
 
-impl LimitWay for LimitBook {
-    type News = LimitNews;
+impl LimitWay for RateLimitTable {
+    type News = RateLimitUpdate;
 
-    fn note_answer(&mut self, named: NamedLimit, sent: Instant, now: Instant) {
+    fn note_answer(&mut self, named: RateLimitNotice, sent: Instant, now: Instant) {
         self.note_answer(REPLICA, named, sent, now);
     }
 
-    fn hear(&mut self, news: &LimitNews, now: Instant) {
-        self.hear(news, now);
+    fn hear(&mut self, news: &RateLimitUpdate, now: Instant) {
+        self.apply_update(news, now);
     }
 
-    fn take_news(&mut self) -> Vec<LimitNews> {
-        self.take_news(10)
+    fn take_news(&mut self) -> Vec<RateLimitUpdate> {
+        self.take_updates(10)
     }
 
-    fn known(&self) -> (u64, Vec<LimitNews>) {
-        (self.digest(), self.known_news().collect())
+    fn known(&self) -> (u64, Vec<RateLimitUpdate>) {
+        (self.digest(), self.active_limits().collect())
     }
 
-    fn set_holders(&mut self, own: Option<u32>, others: BTreeSet<u32>, now: Instant) {
-        self.set_holders(own, others, now);
+    fn set_sharers(&mut self, own: Option<u32>, others: BTreeSet<u32>, now: Instant) {
+        self.set_sharers(own, others, now);
     }
 
     fn take(&mut self, now: Instant) -> bool {
@@ -144,7 +144,7 @@
         node: usize,
         start: u64,
         sent: Duration,
-        named: NamedLimit,
+        named: RateLimitNotice,
     },
     /// News reach a node.
     News(usize, N),
@@ -304,7 +304,7 @@
             FleetEvent::Begin { node, start, sent } => {
                 let named = self
                     .rate()
-                    .map_or(NamedLimit::Absent, NamedLimit::PerSecond);
+                    .map_or(RateLimitNotice::Absent, RateLimitNotice::PerSecond);
                 let back = self.draw(1..4);
                 let answer = FleetEvent::Answer {
                     node,
@@ -434,7 +434,7 @@
         let others: BTreeSet<u32> = others.map(|(other, _)| other as u32).collect();
         let acquainted = row.began.is_zero() || time >= row.began + ACQUAINT;
         row.way
-            .set_holders(acquainted.then_some(node as u32), others, now);
+            .set_sharers(acquainted.then_some(node as u32), others, now);
         let (digest, _) = self.nodes[node].way.known();
         for to in (0..count).filter(|to| *to != node) {
             self.tell(node, to, |_| FleetEvent::Card {
--- a/crates/zinniahatch_route/tests/limit_fleet/shared_bucket.rs
+++ b/crates/zinniahatch_route/tests/limit_fleet/shared_bucket.rs
@@ -4,9 +4,9 @@
 use super::REPLICA;
 use std::collections::BTreeSet;
 use std::time::Instant;
-use zinniahatch_route::LimitBook;
-use zinniahatch_route::LimitNews;
-use zinniahatch_route::NamedLimit;
+use zinniahatch_route::RateLimitNotice;
+use zinniahatch_route::RateLimitTable;
+use zinniahatch_route::RateLimitUpdate;
 
 /// Requests that may be sent at once beyond a second's worth of the rate.
 const BURST: f64 = 2.0;
@@ -14,7 +14,7 @@
 #[derive(Clone)]
 pub(crate) enum BucketNews {
     /// The limit changed.
-    Limit(LimitNews),
+    Limit(RateLimitUpdate),
     /// So many requests were sent.
     Sent(f64),
 }
@@ -22,7 +22,7 @@
 /// The bucket of all nodes as one of them sees it.
 #[derive(Default)]
 pub(crate) struct SharedBucket {
-    limits: LimitBook,
+    limits: RateLimitTable,
     level: f64,
     at: Option<Instant>,
     untold: f64,
@@ -43,7 +43,7 @@
 impl LimitWay for SharedBucket {
     type News = BucketNews;
 
-    fn note_answer(&mut self, named: NamedLimit, sent: Instant, now: Instant) {
+    fn note_answer(&mut self, named: RateLimitNotice, sent: Instant, now: Instant) {
         self.advance(now);
         self.limits.note_answer(REPLICA, named, sent, now);
     }
@@ -52,14 +52,14 @@
         self.advance(now);
         match news {
             BucketNews::Limit(news) => {
-                self.limits.hear(news, now);
+                self.limits.apply_update(news, now);
             }
             BucketNews::Sent(requests) => self.level -= requests,
         }
     }
 
     fn take_news(&mut self) -> Vec<BucketNews> {
-        let limits = self.limits.take_news(10).into_iter();
+        let limits = self.limits.take_updates(10).into_iter();
         let mut news: Vec<BucketNews> = limits.map(BucketNews::Limit).collect();
         let sent = std::mem::take(&mut self.untold);
         news.extend((sent > 0.0).then_some(BucketNews::Sent(sent)));
@@ -67,11 +67,11 @@
     }
 
     fn known(&self) -> (u64, Vec<BucketNews>) {
-        let known = self.limits.known_news().map(BucketNews::Limit);
+        let known = self.limits.active_limits().map(BucketNews::Limit);
         (self.limits.digest(), known.collect())
     }
 
-    fn set_holders(&mut self, own: Option<u32>, _others: BTreeSet<u32>, _now: Instant) {
+    fn set_sharers(&mut self, own: Option<u32>, _others: BTreeSet<u32>, _now: Instant) {
         self.knows_others = own.is_some();
     }
 
--- a/crates/zinniahatch_route/tests/lives.rs
+++ b/crates/zinniahatch_route/tests/lives.rs
@@ -6,16 +6,16 @@
 use common::prompt;
 use test_case::test_case;
 use zinniahatch_base::prelude::*;
+use zinniahatch_route::CachedPrefix;
 use zinniahatch_route::EntryChange;
+use zinniahatch_route::InFlightWork;
 use zinniahatch_route::LeaveReason;
-use zinniahatch_route::OpenWork;
-use zinniahatch_route::PromptRead;
-use zinniahatch_route::RETURN_HOLD;
+use zinniahatch_route::RESTORE_HOLD;
 use zinniahatch_route::ReplicaEntry;
-use zinniahatch_route::ReplicaLife;
+use zinniahatch_route::ReplicaIncarnation;
 use zinniahatch_route::ReplicaTable;
 
-const WORK: OpenWork = OpenWork {
+const WORK: InFlightWork = InFlightWork {
     requests: 1,
     urgent_requests: 0,
     tokens: 500,
@@ -23,9 +23,9 @@
 };
 const CAPACITY: u64 = 100_000;
 
-fn life(born: u64, revision: Revision) -> ReplicaEntry {
+fn life(started_ms: u64, revision: Revision) -> ReplicaEntry {
     ReplicaEntry {
-        born,
+        started_ms,
         revision: revision.into(),
         ..entry("r", "a")
     }
@@ -46,7 +46,7 @@
         now,
     );
     let change = table.upsert(life(2, 12), now);
-    assert_eq!(change, EntryChange::NewLife(entry("r", "a").address));
+    assert_eq!(change, EntryChange::Restarted(entry("r", "a").address));
     assert_eq!(table.get("r").and_then(|belief| belief.leaving), None);
 }
 
@@ -62,28 +62,28 @@
     table.note_sent("r", 7, &size, WORK, CAPACITY, now);
     let peer = tag_of("n2@1");
     let before = table.get("r").map(|belief| belief.tag).unwrap_or_default();
-    table.note_work(peer, 1, &[(before, WORK)], now);
+    table.apply_peer_work(peer, 1, &[(before, WORK)], now);
     if let Some(belief) = table.get_mut("r") {
         belief.health.note_unreachable(now);
-        belief.note_pace(Duration::from_millis(10), Duration::from_millis(80));
+        belief.note_latency(Duration::from_millis(10), Duration::from_millis(80));
     }
     table.upsert(life(2, 11), now);
 
     // What still comes of the life before changes nothing of this one.
-    table.note_work(peer, 2, &[(before, WORK)], now);
-    let read = PromptRead {
-        replica: life(1, 10).life().tag(),
+    table.apply_peer_work(peer, 2, &[(before, WORK)], now);
+    let read = CachedPrefix {
+        replica: life(1, 10).incarnation().tag(),
         parts: size.parts.clone(),
     };
-    table.note_reads(&[read], |_| CAPACITY);
+    table.apply_cached_prefixes(&[read], |_| CAPACITY);
     table.note_sent("r", 8, &prompt(2, 2), WORK, CAPACITY, now);
     table.note_ended("r", 7, WORK, false);
     let belief = table.get("r").expect("the replica is known");
-    assert_eq!(belief.all_work(now), WORK);
-    assert_eq!(belief.kept.leading(&size.parts[1..]), 0);
+    assert_eq!(belief.total_work(now), WORK);
+    assert_eq!(belief.prefix_cache.leading(&size.parts[1..]), 0);
     assert!(!belief.health.is_suspect(now));
     assert!((belief.slowness - 1.0).abs() < f64::EPSILON);
-    assert!(table.working_on("r", 7).is_none());
+    assert!(table.replica_for_ticket("r", 7).is_none());
 }
 
 /// News of the earlier life that was on its way when the next one registered must not end that one.
@@ -93,10 +93,10 @@
     let mut table = ReplicaTable::default();
     table.upsert(life(1, 10), now);
     table.upsert(life(2, 12), now);
-    table.vanish("r", 11.into(), now);
+    table.remove_entry("r", 11.into(), now);
     assert_eq!(table.upsert(life(1, 10), now), EntryChange::None);
     let belief = table.get("r").expect("the replica is known");
-    assert_eq!((belief.entry.born, belief.leaving), (2, None));
+    assert_eq!((belief.entry.started_ms, belief.leaving), (2, None));
 }
 
 /// A node that the store does not serve learns from another that the first life is gone; the second life,
@@ -106,13 +106,13 @@
     let now = Instant::now();
     let mut table = ReplicaTable::default();
     table.upsert(life(2, 12), now);
-    let gone = |born| ReplicaLife {
+    let gone = |started_ms| ReplicaIncarnation {
         id: "r".into(),
-        born,
+        started_ms,
     };
-    table.learn(Vec::new(), &[gone(1)], now);
+    table.merge_peer_snapshot(Vec::new(), &[gone(1)], now);
     assert_eq!(table.get("r").and_then(|belief| belief.leaving), None);
-    table.learn(Vec::new(), &[gone(2)], now);
+    table.merge_peer_snapshot(Vec::new(), &[gone(2)], now);
     let reason = table.get("r").and_then(|belief| belief.leaving);
     assert_eq!(reason, Some(LeaveReason::EntryGone));
 }
@@ -123,13 +123,16 @@
     let now = Instant::now();
     let mut table = ReplicaTable::default();
     table.upsert(life(1, 10), now);
-    table.vanish("r", 11.into(), now);
+    table.remove_entry("r", 11.into(), now);
     table.tick(now);
-    table.note_store_trouble(now);
-    table.learn(vec![life(1, 10)], &[], now);
+    table.note_store_failure(now);
+    table.merge_peer_snapshot(vec![life(1, 10)], &[], now);
     assert!(table.get("r").is_none());
-    table.learn(vec![life(2, 12)], &[], now);
-    assert_eq!(table.get("r").map(|belief| belief.entry.born), Some(2));
+    table.merge_peer_snapshot(vec![life(2, 12)], &[], now);
+    assert_eq!(
+        table.get("r").map(|belief| belief.entry.started_ms),
+        Some(2)
+    );
 }
 
 /// A replica was probed just before it crashed and was back under its id within the half second that the
@@ -139,25 +142,25 @@
     let now = Instant::now();
     let mut table = ReplicaTable::default();
     table.upsert(life(2, 12), now);
-    table.note_probe(&life(1, 10).life(), false, now);
+    table.note_probe(&life(1, 10).incarnation(), false, now);
     let suspect = |table: &ReplicaTable| table.get("r").map(|belief| belief.health.is_suspect(now));
     assert_eq!(suspect(&table), Some(false));
-    table.note_probe(&life(2, 12).life(), false, now);
+    table.note_probe(&life(2, 12).incarnation(), false, now);
     assert_eq!(suspect(&table), Some(true));
-    table.note_probe(&life(1, 10).life(), true, now);
+    table.note_probe(&life(1, 10).incarnation(), true, now);
     assert_eq!(
         suspect(&table),
         Some(true),
         "nor does the earlier life clear it"
     );
-    table.note_probe(&life(2, 12).life(), true, now);
+    table.note_probe(&life(2, 12).incarnation(), true, now);
     assert_eq!(suspect(&table), Some(false));
 }
 
-fn written(born: u64, era: u64, number: u64) -> ReplicaEntry {
+fn written(started_ms: u64, era: u64, number: u64) -> ReplicaEntry {
     ReplicaEntry {
         revision: StoreRevision { era, number },
-        ..life(born, number)
+        ..life(started_ms, number)
     }
 }
 
@@ -174,7 +177,7 @@
     let belief = table.get("r").expect("it is known");
     assert!(belief.leaving.is_some());
     // What a node tells that has not met the store since.
-    table.vanish(
+    table.remove_entry(
         "r",
         StoreRevision {
             era: 0,
@@ -182,9 +185,12 @@
         },
         now,
     );
-    assert_eq!(table.get("r").map(|belief| belief.vanished.era), Some(0));
+    assert_eq!(table.get("r").map(|belief| belief.removed_at.era), Some(0));
     table.upsert(written(2, 0, 700), now);
-    assert_eq!(table.get("r").map(|belief| belief.entry.born), Some(1));
+    assert_eq!(
+        table.get("r").map(|belief| belief.entry.started_ms),
+        Some(1)
+    );
 }
 
 /// A replica had ended, and the copy still names it. It writes nothing, and must not get requests; one that lives
@@ -194,15 +200,15 @@
     let now = Instant::now();
     let mut table = ReplicaTable::default();
     table.upsert(written(1, 0, 10), now);
-    table.vanish("r", StoreRevision { era: 0, number: 12 }, now);
+    table.remove_entry("r", StoreRevision { era: 0, number: 12 }, now);
     table.tick(now);
     assert!(table.get("r").is_none());
-    table.relist(
+    table.apply_listing(
         vec![written(1, 1, 9)],
         StoreRevision { era: 1, number: 9 },
         now,
     );
-    table.relist(
+    table.apply_listing(
         vec![written(1, 1, 9)],
         StoreRevision { era: 1, number: 11 },
         now,
@@ -220,11 +226,11 @@
     let mut table = ReplicaTable::default();
     let (none, place) = (BTreeSet::new(), "west-a".into());
     table.note_evacuation(&place, true, StoreRevision { era: 0, number: 40 });
-    table.note_return(now);
+    table.note_store_restored(now);
     let copy = StoreRevision { era: 1, number: 30 };
     assert!(table.set_evacuated(&none, copy, now).is_empty());
     assert!(table.evacuated().contains("west-a"));
-    let later = now + RETURN_HOLD;
+    let later = now + RESTORE_HOLD;
     assert_eq!(table.set_evacuated(&none, copy, later), [place]);
     assert!(table.evacuated().is_empty());
 }
@@ -237,7 +243,7 @@
     let mut table = ReplicaTable::default();
     let place = "west-a".into();
     table.note_evacuation(&place, true, StoreRevision { era: 0, number: 40 });
-    table.note_return(now);
+    table.note_store_restored(now);
     assert!(table.note_evacuation(&place, false, StoreRevision { era: 1, number: 31 }));
     assert!(!table.note_evacuation(&place, true, StoreRevision { era: 0, number: 50 }));
     assert!(table.evacuated().is_empty());
@@ -255,7 +261,7 @@
     };
     table.upsert(drained, now);
     assert_eq!(table.tick(now).len(), 0);
-    table.vanish("r", 12.into(), now);
+    table.remove_entry("r", 12.into(), now);
     assert_eq!(table.tick(now).len(), 1);
     assert_eq!(table.rows().count(), 0);
 }
@@ -263,7 +269,7 @@
 /// Guards against a leaving that is undone where the entry of the same life lapses and is written again.
 #[test_case(1, Some(LeaveReason::Draining); "same_life")]
 #[test_case(2, None; "next_life")]
-fn upsert_after_drained_entry_lapsed(born: u64, expected: Option<LeaveReason>) {
+fn upsert_after_drained_entry_lapsed(started_ms: u64, expected: Option<LeaveReason>) {
     let now = Instant::now();
     let mut table = ReplicaTable::default();
     table.upsert(life(1, 10), now);
@@ -272,8 +278,8 @@
         ..life(1, 11)
     };
     table.upsert(drained, now);
-    table.vanish("r", 12.into(), now);
+    table.remove_entry("r", 12.into(), now);
     table.tick(now);
-    table.upsert(life(born, 13), now);
+    table.upsert(life(started_ms, 13), now);
     assert_eq!(table.get("r").and_then(|belief| belief.leaving), expected);
 }
--- a/crates/zinniahatch_route/tests/notice_fleet/course.rs
+++ b/crates/zinniahatch_route/tests/notice_fleet/course.rs
@@ -126,11 +126,11 @@
     /// Gives what the entry of a replica says; one that leaves may say so or not.
     pub(super) fn entry_of(&mut self, replica: usize) -> ReplicaEntry {
         let row = &self.replicas[replica];
-        let (born, cold) = (row.born, row.cold_until.saturating_sub(self.time));
+        let (started_ms, cold) = (row.born, row.cold_until.saturating_sub(self.time));
         let leaving = row.leaving.is_some() && self.random.random_bool(0.5);
         ReplicaEntry {
             id: id_of(replica),
-            born,
+            started_ms,
             cold_for: cold,
             leaving,
             ..entry("r", "a")
@@ -164,7 +164,7 @@
         let now = self.now();
         if silent {
             for node in &mut self.nodes {
-                node.table.note_store_trouble(now);
+                node.table.note_store_failure(now);
             }
         }
         if !returned.back {
@@ -172,7 +172,7 @@
         }
         for node in 0..self.nodes.len() {
             if returned.older {
-                self.nodes[node].table.note_return(now);
+                self.nodes[node].table.note_store_restored(now);
             }
             let delay = self.draw(5..600);
             self.plan_event(delay, FleetEvent::Relist(node));
@@ -192,6 +192,6 @@
         for entry in &entries {
             self.nodes[node].rule.note_entry(entry);
         }
-        self.nodes[node].table.relist(entries, revision, now);
+        self.nodes[node].table.apply_listing(entries, revision, now);
     }
 }
--- a/crates/zinniahatch_route/tests/notice_fleet/mod.rs
+++ b/crates/zinniahatch_route/tests/notice_fleet/mod.rs
@@ -15,17 +15,17 @@
 use std::time::Duration;
 use std::time::Instant;
 use zinniahatch_route::AnswerProof;
+use zinniahatch_route::BackoffNotice;
 use zinniahatch_route::ColdGate;
+use zinniahatch_route::DrainNotice;
 use zinniahatch_route::HeardNotice;
-use zinniahatch_route::LimitNews;
-use zinniahatch_route::NamedLeaving;
-use zinniahatch_route::NamedLimit;
-use zinniahatch_route::NamedRest;
+use zinniahatch_route::RateLimitNotice;
+use zinniahatch_route::RateLimitUpdate;
 use zinniahatch_route::ReplicaEntry;
-use zinniahatch_route::ReplicaLife;
+use zinniahatch_route::ReplicaIncarnation;
 use zinniahatch_route::ReplicaNotice;
 use zinniahatch_route::ReplicaTable;
-use zinniahatch_route::SendClaim;
+use zinniahatch_route::SendReservation;
 
 pub(crate) use judge::BrokenBound;
 pub(crate) use judge::FleetJudge;
@@ -117,14 +117,14 @@
 
 enum FleetEvent {
     /// The channel for a request is connected; none is needed where a mutant sends without a claim.
-    Connected(FleetCall, Option<SendClaim>),
+    Connected(FleetCall, Option<SendReservation>),
     Arrival(FleetCall),
     Answer(FleetCall, ReplicaNotice, bool),
     Entry(usize, ReplicaEntry),
     Gone(usize, usize, u64),
     Relist(usize),
-    Limit(usize, LimitNews),
-    Leaving(usize, ReplicaLife),
+    Limit(usize, RateLimitUpdate),
+    Leaving(usize, ReplicaIncarnation),
     Write(usize, u64),
 }
 
@@ -147,10 +147,10 @@
     format!("r{replica}").into()
 }
 
-fn life_of(replica: usize, born: u64) -> ReplicaLife {
-    ReplicaLife {
+fn life_of(replica: usize, started_ms: u64) -> ReplicaIncarnation {
+    ReplicaIncarnation {
         id: id_of(replica),
-        born,
+        started_ms,
     }
 }
 
@@ -251,7 +251,7 @@
                 if self.nodes[node].cut <= self.time && self.runs(node) {
                     let revision = self.store.revision(revision);
                     let table = &mut self.nodes[node].table;
-                    table.vanish(&id_of(replica), revision, now);
+                    table.remove_entry(&id_of(replica), revision, now);
                 }
             }
             FleetEvent::Relist(node) => {
@@ -264,7 +264,7 @@
             }
             FleetEvent::Limit(node, news) => {
                 if self.runs(node) {
-                    self.nodes[node].table.hear_limit(&news, now);
+                    self.nodes[node].table.apply_limit_update(&news, now);
                 }
             }
             FleetEvent::Leaving(node, life) => {
@@ -313,7 +313,7 @@
             let Some(tag) = row.table.get(&id).map(|belief| belief.tag) else {
                 continue;
             };
-            let claim = match row.table.claim(&mut row.gate, &id, share, now) {
+            let claim = match row.table.reserve(&mut row.gate, &id, share, now) {
                 Ok(claim) => Some(claim),
                 Err(withheld) if row.rule.overrides(way, tag, withheld, now) => None,
                 Err(_) => continue,
@@ -342,7 +342,7 @@
         began.is_zero() || self.time >= began + ACQUAINT
     }
 
-    fn write(&mut self, mut call: FleetCall, claim: Option<SendClaim>) {
+    fn write(&mut self, mut call: FleetCall, claim: Option<SendReservation>) {
         if self.nodes[call.node].start != call.start {
             return;
         }
@@ -375,18 +375,20 @@
             .note_arrival(call.tag, call.node, call.start, probe, self.time);
         let row = &self.replicas[call.replica];
         let mut notice = ReplicaNotice {
-            rate_limit: row.limit.map_or(NamedLimit::Absent, NamedLimit::PerSecond),
+            rate_limit: row
+                .limit
+                .map_or(RateLimitNotice::Absent, RateLimitNotice::PerSecond),
             cold_for: Some(row.cold_until.saturating_sub(self.time)).filter(|_| probe),
             ..ReplicaNotice::default()
         };
         if row.leaving.is_some() {
-            notice.leaving = NamedLeaving::Leaving;
+            notice.leaving = DrainNotice::Leaving;
         }
         if let Some((_, rest)) = row.rest.filter(|_| !probe) {
             // Some ask for less than they asked before.
             let part = self.random.random_range(0.2..1.0);
             let rest = Duration::from_secs_f64(rest * part);
-            notice.rest = NamedRest::For(rest);
+            notice.rest = BackoffNotice::For(rest);
             self.judge
                 .note_rest(call.tag, call.node, call.start, rest, self.time);
             let delay = self.draw(1..4);
@@ -422,8 +424,8 @@
         let life = row
             .table
             .get(&id_of(call.replica))
-            .map(|belief| belief.entry.life());
-        if notice.leaving == NamedLeaving::Leaving && call.way != SendWay::Probe {
+            .map(|belief| belief.entry.incarnation());
+        if notice.leaving == DrainNotice::Leaving && call.way != SendWay::Probe {
             self.judge
                 .note_told_leaving(call.tag, call.node, call.start, self.time);
         }
@@ -466,13 +468,13 @@
                 .collect();
             let own = self.acquainted(node).then_some(node as u32);
             let table = &mut self.nodes[node].table;
-            table.limits.set_holders(own, others, now);
+            table.limits.set_sharers(own, others, now);
             table.tick(now);
-            let mut news = table.limits.take_news(10);
+            let mut news = table.limits.take_updates(10);
             if cards {
                 // What a difference of digests would lead to.
-                news = table.limits.known_news().collect();
-                let lives: Vec<ReplicaLife> = table.said_leaving().cloned().collect();
+                news = table.limits.active_limits().collect();
+                let lives: Vec<ReplicaIncarnation> = table.announced_leaving().cloned().collect();
                 for life in lives {
                     self.tell(node, |to| FleetEvent::Leaving(to, life.clone()));
                 }
--- a/crates/zinniahatch_route/tests/notice_fleet/mutants.rs
+++ b/crates/zinniahatch_route/tests/notice_fleet/mutants.rs
@@ -4,18 +4,24 @@
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
 use std::time::Instant;
-use zinniahatch_route::NamedLeaving;
-use zinniahatch_route::NamedRest;
+use zinniahatch_route::BackoffNotice;
+use zinniahatch_route::DrainNotice;
 use zinniahatch_route::ReplicaEntry;
 use zinniahatch_route::ReplicaNotice;
-use zinniahatch_route::Withheld;
+use zinniahatch_route::SendRefusal;
 
 /// What a node does beside the table's gate.
 pub(crate) trait GateRule: Default {
     fn note_entry(&mut self, _entry: &ReplicaEntry) {}
     fn note_answer(&mut self, _tag: u32, _notice: &ReplicaNotice, _taken: bool, _now: Instant) {}
     /// Tells whether a request goes out though the gate withholds it.
-    fn overrides(&mut self, _way: SendWay, _tag: u32, _withheld: Withheld, _now: Instant) -> bool {
+    fn overrides(
+        &mut self,
+        _way: SendWay,
+        _tag: u32,
+        _withheld: SendRefusal,
+        _now: Instant,
+    ) -> bool {
         false
     }
 }
@@ -31,8 +37,8 @@
 pub(crate) struct SkipsGate;
 
 impl GateRule for SkipsGate {
-    fn overrides(&mut self, way: SendWay, _tag: u32, withheld: Withheld, _now: Instant) -> bool {
-        way == SendWay::HandedOver && withheld != Withheld::Gone
+    fn overrides(&mut self, way: SendWay, _tag: u32, withheld: SendRefusal, _now: Instant) -> bool {
+        way == SendWay::HandedOver && withheld != SendRefusal::Gone
     }
 }
 
@@ -44,16 +50,16 @@
 
 impl GateRule for EndsRestByLater {
     fn note_answer(&mut self, tag: u32, notice: &ReplicaNotice, taken: bool, now: Instant) {
-        if let NamedRest::For(rest) = notice.rest {
+        if let BackoffNotice::For(rest) = notice.rest {
             self.until.insert(tag, now + rest);
         } else if taken {
             self.until.remove(&tag);
         }
     }
 
-    fn overrides(&mut self, _way: SendWay, tag: u32, withheld: Withheld, now: Instant) -> bool {
+    fn overrides(&mut self, _way: SendWay, tag: u32, withheld: SendRefusal, now: Instant) -> bool {
         let over = self.until.get(&tag).is_none_or(|until| now >= *until);
-        withheld == Withheld::Resting && over
+        withheld == SendRefusal::Resting && over
     }
 }
 
@@ -66,19 +72,19 @@
 
 impl GateRule for UndoesLeaving {
     fn note_entry(&mut self, entry: &ReplicaEntry) {
-        let tag = entry.life().tag();
+        let tag = entry.incarnation().tag();
         if !entry.leaving && self.said.contains(&tag) {
             self.ready.insert(tag);
         }
     }
 
     fn note_answer(&mut self, tag: u32, notice: &ReplicaNotice, _taken: bool, _now: Instant) {
-        if notice.leaving == NamedLeaving::Leaving {
+        if notice.leaving == DrainNotice::Leaving {
             self.said.insert(tag);
         }
     }
 
-    fn overrides(&mut self, _way: SendWay, tag: u32, withheld: Withheld, _now: Instant) -> bool {
-        withheld == Withheld::Leaving && self.ready.contains(&tag)
+    fn overrides(&mut self, _way: SendWay, tag: u32, withheld: SendRefusal, _now: Instant) -> bool {
+        withheld == SendRefusal::Leaving && self.ready.contains(&tag)
     }
 }
--- a/crates/zinniahatch_route/tests/overload.rs
+++ b/crates/zinniahatch_route/tests/overload.rs
@@ -4,11 +4,11 @@
 
 use proptest::prelude::*;
 use zinniahatch_base::prelude::*;
+use zinniahatch_route::Admission;
 use zinniahatch_route::AdmissionRule;
 use zinniahatch_route::FirstEventModel;
 use zinniahatch_route::ModelSample;
 use zinniahatch_route::RepeatBudget;
-use zinniahatch_route::Verdict;
 
 const GOAL: Duration = Duration::from_millis(800);
 const LEFT: Duration = Duration::from_secs(5);
@@ -16,11 +16,11 @@
 fn rule() -> AdmissionRule {
     AdmissionRule {
         goal: GOAL,
-        spent: Duration::ZERO,
-        left: LEFT,
-        favour: 1.0,
+        elapsed: Duration::ZERO,
+        remaining: LEFT,
+        goal_factor: 1.0,
         goal_margin: 0.9,
-        least_wait: 0.4,
+        min_wait: 0.4,
     }
 }
 
@@ -32,7 +32,7 @@
     for index in 0..count {
         let now = every * index;
         let wait = free_at.saturating_sub(now);
-        if admit && rule().judge(wait + read, Duration::ZERO, wait) != Verdict::Admit {
+        if admit && rule().decide(wait + read, Duration::ZERO, wait) != Admission::Admit {
             continue;
         }
         free_at = free_at.max(now) + read;
@@ -60,19 +60,19 @@
 fn judge_long_prompt_on_an_idle_replica() {
     let read = Duration::from_millis(1_200);
     assert_eq!(
-        rule().judge(read, Duration::ZERO, Duration::ZERO),
-        Verdict::Admit
+        rule().decide(read, Duration::ZERO, Duration::ZERO),
+        Admission::Admit
     );
 }
 
 #[test]
 fn judge_what_cannot_be_served() {
-    let verdict = rule().judge(
+    let verdict = rule().decide(
         Duration::from_secs(6),
         Duration::ZERO,
         Duration::from_secs(5),
     );
-    let Verdict::Refuse(after) = verdict else {
+    let Admission::Refuse(after) = verdict else {
         panic!("it cannot end before its caller gives up");
     };
     assert!(
@@ -87,9 +87,9 @@
 fn retry_after_grows_with_the_queue() {
     let hint = |wait_ms: u64| {
         let wait = Duration::from_millis(wait_ms);
-        match rule().judge(wait + Duration::from_millis(100), Duration::ZERO, wait) {
-            Verdict::Refuse(after) => after,
-            Verdict::Admit => Duration::ZERO,
+        match rule().decide(wait + Duration::from_millis(100), Duration::ZERO, wait) {
+            Admission::Refuse(after) => after,
+            Admission::Admit => Duration::ZERO,
         }
     };
     assert_eq!(hint(100), Duration::ZERO);
@@ -150,33 +150,33 @@
             let millis = base + token * f64::from(tokens + ahead);
             model.learn(ModelSample {
                 tokens,
-                ahead: 0,
+                tokens_ahead: 0,
                 queue: Duration::ZERO,
                 urgent: false,
                 took: Duration::from_secs_f64(millis / 1e3),
             });
         }
         let expected = base + token * 6_000.0;
-        let found = model.expect(6_000).as_secs_f64() * 1e3;
+        let found = model.expected_time(6_000).as_secs_f64() * 1e3;
         prop_assert!((found - expected).abs() <= expected * 0.125 + 5.0, "{found} for {expected}");
     }
 
     /// Urgent requests passed what lay ahead of them, and taught the model that reading takes no
     /// time; then full replicas looked free. Such answers teach nothing.
     #[test]
-    fn model_withstands_what_is_passed(ahead in 2_000_u32..40_000) {
+    fn model_withstands_what_is_passed(tokens_ahead in 2_000_u32..40_000) {
         let mut model = FirstEventModel::new(40.0);
-        let before = model.expect(3_000);
+        let before = model.expected_time(3_000);
         for _ in 0..400 {
             model.learn(ModelSample {
                 tokens: 450,
-                ahead,
+                tokens_ahead,
                 queue: Duration::ZERO,
                 urgent: true,
                 took: Duration::from_millis(55),
             });
         }
-        prop_assert_eq!(model.expect(3_000), before);
+        prop_assert_eq!(model.expected_time(3_000), before);
     }
 
     /// On a busy site a token ahead cost more than one of the request's own, since answers are generated
@@ -186,19 +186,19 @@
     fn model_learns_the_wait(part in 0.5_f64..3.0, token in 0.015_f64..0.06, urgent in any::<bool>()) {
         let mut model = FirstEventModel::new(40.0);
         for index in 0..2_000_u32 {
-            let ahead = if index % 3 == 0 { 0 } else { 4_000 + index % 9_000 };
+            let tokens_ahead = if index % 3 == 0 { 0 } else { 4_000 + index % 9_000 };
             let tokens = 2_000 + index.wrapping_mul(2_654_435_761) % 6_000;
-            let millis = 60.0 + token * f64::from(tokens) + token * part * f64::from(ahead);
+            let millis = 60.0 + token * f64::from(tokens) + token * part * f64::from(tokens_ahead);
             model.learn(ModelSample {
                 tokens,
-                ahead,
+                tokens_ahead,
                 queue: Duration::ZERO,
                 urgent,
                 took: Duration::from_secs_f64(millis / 1e3),
             });
         }
         let expected = token * part * 10_000.0;
-        let found = model.waiting(10_000, urgent).as_secs_f64() * 1e3;
+        let found = model.queue_time(10_000, urgent).as_secs_f64() * 1e3;
         prop_assert!((found - expected).abs() <= expected / 6.0 + 5.0, "{found} for {expected}");
     }
 
@@ -210,13 +210,13 @@
             let took = if index % every == 0 { 8_000 } else { 50 };
             model.learn(ModelSample {
                 tokens: 100,
-                ahead: 0,
+                tokens_ahead: 0,
                 queue: Duration::ZERO,
                 urgent: false,
                 took: Duration::from_millis(took),
             });
         }
-        prop_assert!(model.expect(100) < Duration::from_millis(90));
+        prop_assert!(model.expected_time(100) < Duration::from_millis(90));
     }
 }
 
@@ -229,13 +229,13 @@
     let work = Duration::from_millis(300);
     let rule = AdmissionRule {
         goal_margin: 0.5,
-        least_wait: 0.1,
+        min_wait: 0.1,
         ..rule()
     };
-    assert_eq!(rule.judge(work, Duration::ZERO, work), Verdict::Admit);
-    assert_eq!(rule.judge(trip + work, trip, work), Verdict::Admit);
+    assert_eq!(rule.decide(work, Duration::ZERO, work), Admission::Admit);
+    assert_eq!(rule.decide(trip + work, trip, work), Admission::Admit);
     let late = Duration::from_millis(400);
-    assert_ne!(rule.judge(trip + late, trip, late), Verdict::Admit);
+    assert_ne!(rule.decide(trip + late, trip, late), Admission::Admit);
 }
 
 /// On an overloaded site urgent answers began after 99 ms in the median, 300 were expected, and 4,000 urgent
@@ -249,13 +249,16 @@
         let waited = if urgent { 20 } else { 900 };
         model.learn(ModelSample {
             tokens: 500,
-            ahead: 6_000,
+            tokens_ahead: 6_000,
             queue: Duration::ZERO,
             urgent,
             took: Duration::from_millis(50 + waited),
         });
     }
-    let (common, urgent) = (model.waiting(6_000, false), model.waiting(6_000, true));
+    let (common, urgent) = (
+        model.queue_time(6_000, false),
+        model.queue_time(6_000, true),
+    );
     assert!(common > Duration::from_millis(500), "{common:?}");
     assert!(urgent < Duration::from_millis(60), "{urgent:?}");
 }
--- a/crates/zinniahatch_route/tests/placement.rs
+++ b/crates/zinniahatch_route/tests/placement.rs
@@ -9,19 +9,19 @@
 use common::regions;
 use common::table;
 use zinniahatch_base::prelude::*;
-use zinniahatch_route::AwayTried;
+use zinniahatch_route::CachedPrefix;
 use zinniahatch_route::ColdGate;
+use zinniahatch_route::InFlightWork;
 use zinniahatch_route::LeaveReason;
-use zinniahatch_route::LocalChoice;
+use zinniahatch_route::LocalPlacement;
 use zinniahatch_route::MemberTable;
-use zinniahatch_route::OpenWork;
-use zinniahatch_route::PromptRead;
 use zinniahatch_route::PromptSize;
+use zinniahatch_route::RemoteAttempts;
 use zinniahatch_route::ReplicaTable;
-use zinniahatch_route::choose_away;
 use zinniahatch_route::choose_local;
+use zinniahatch_route::choose_remote;
 
-fn choose(table: &ReplicaTable, parts: &AskParts, now: Instant) -> Option<LocalChoice> {
+fn choose(table: &ReplicaTable, parts: &AskParts, now: Instant) -> Option<LocalPlacement> {
     choose_local(table, &ColdGate::default(), &regions(), &parts.ask(), now)
 }
 
@@ -72,7 +72,7 @@
     let mut table = table(&["r1", "r2"], now);
     let parts = AskParts::new(prompt(7, 1));
     let first = choose(&table, &parts, now).unwrap().replica;
-    table.get_mut(&first).unwrap().own = OpenWork {
+    table.get_mut(&first).unwrap().local_work = InFlightWork {
         requests: 5,
         tokens: 60_000,
         urgent_requests: 0,
@@ -90,12 +90,12 @@
     let now = Instant::now();
     let mut table = table(&["r1"], now);
     let parts = AskParts::new(prompt(7, 1));
-    let mut full = OpenWork {
+    let mut full = InFlightWork {
         requests: 20,
-        ..OpenWork::default()
+        ..InFlightWork::default()
     };
-    let mut expect = |full: OpenWork, urgent: bool| {
-        table.get_mut("r1").unwrap().own = full;
+    let mut expect = |full: InFlightWork, urgent: bool| {
+        table.get_mut("r1").unwrap().local_work = full;
         let mut ask = parts.ask();
         ask.urgent = urgent;
         choose_local(&table, &ColdGate::default(), &regions(), &ask, now).unwrap()
@@ -115,14 +115,14 @@
     let mut parts = AskParts::new(prompt(7, 1));
     parts.copy_token = Duration::from_micros(2);
     let first = choose(&table, &parts, now).unwrap().replica;
-    let read = PromptRead {
-        replica: entry(&first, "a").life().tag(),
+    let read = CachedPrefix {
+        replica: entry(&first, "a").incarnation().tag(),
         parts: parts.size.parts[..2].to_vec(),
     };
-    table.note_reads(&[read], |_| 100_000);
+    table.apply_cached_prefixes(&[read], |_| 100_000);
     let at_home = choose(&table, &parts, now).unwrap();
     assert_eq!((at_home.tokens, at_home.copy_from), (3_000, None));
-    table.get_mut(&first).unwrap().own.tokens = 60_000;
+    table.get_mut(&first).unwrap().local_work.tokens = 60_000;
     let elsewhere = choose(&table, &parts, now).unwrap();
     assert_ne!(elsewhere.replica, first);
     assert_eq!(elsewhere.tokens, 3_000, "only its own part is read");
@@ -165,7 +165,7 @@
 fn choose_local_with_short_notice() {
     let now = Instant::now();
     let mut table = table(&["r1"], now);
-    table.get_mut("r1").unwrap().gone_at = Some(now + Duration::from_secs(2));
+    table.get_mut("r1").unwrap().terminates_at = Some(now + Duration::from_secs(2));
     let parts = AskParts::new(PromptSize::default());
     assert!(
         choose(&table, &parts, now).is_none(),
@@ -230,11 +230,11 @@
         |list: &[&str]| -> BTreeSet<Box<str>> { list.iter().map(|name| (*name).into()).collect() };
     let away = |allowed: &[&str], regions: &[&str], nodes: &[&str]| {
         let allowed = names(allowed);
-        let tried = AwayTried {
+        let tried = RemoteAttempts {
             regions: names(regions),
             nodes: names(nodes),
         };
-        choose_away(&members, &table, &parts.ask(), &allowed, &tried, 0, now)
+        choose_remote(&members, &table, &parts.ask(), &allowed, &tried, 0, now)
             .map(|choice| choice.node)
     };
     assert_eq!(away(&[], &[], &[]).as_deref(), Some("w1"));
@@ -249,12 +249,12 @@
     assert_eq!(other.as_deref(), Some("w2"), "another node of the region");
     let later = now + Duration::from_secs(3);
     assert!(
-        choose_away(
+        choose_remote(
             &members,
             &table,
             &parts.ask(),
             &BTreeSet::new(),
-            &AwayTried::default(),
+            &RemoteAttempts::default(),
             0,
             later
         )
@@ -272,7 +272,7 @@
     let names: Vec<&str> = ids.iter().map(String::as_str).collect();
     let mut table = table(&names, now);
     for (number, belief) in table.rows_mut().enumerate() {
-        belief.own.tokens = if number == 7 { 0 } else { 20_000 };
+        belief.local_work.tokens = if number == 7 { 0 } else { 20_000 };
     }
     let mut counts: BTreeMap<ReplicaId, usize> = BTreeMap::new();
     for node in 0..30 {
@@ -296,14 +296,14 @@
     let first = choose(&table, &parts, now).unwrap();
     for _ in 0..10 {
         let slow = table.get_mut(&first.replica).unwrap();
-        slow.note_pace(first.expected, first.expected * 5);
+        slow.note_latency(first.expected, first.expected * 5);
     }
     let other = choose(&table, &parts, now).unwrap();
     assert_ne!(other.replica, first.replica);
     // As fast as before, it has its session back.
     for _ in 0..60 {
         let healed = table.get_mut(&first.replica).unwrap();
-        healed.note_pace(first.expected, first.expected);
+        healed.note_latency(first.expected, first.expected);
     }
     assert_eq!(choose(&table, &parts, now).unwrap().replica, first.replica);
 }
--- a/crates/zinniahatch_route/tests/rate_limits.rs
+++ b/crates/zinniahatch_route/tests/rate_limits.rs
@@ -10,10 +10,10 @@
 use std::time::Duration;
 use std::time::Instant;
 use test_case::test_case;
-use zinniahatch_route::LimitBook;
-use zinniahatch_route::LimitEffect;
-use zinniahatch_route::LimitNews;
-use zinniahatch_route::NamedLimit;
+use zinniahatch_route::RateLimitEffect;
+use zinniahatch_route::RateLimitNotice;
+use zinniahatch_route::RateLimitTable;
+use zinniahatch_route::RateLimitUpdate;
 
 const REPLICA: u32 = 7;
 const TIME: Duration = Duration::from_secs(30);
@@ -75,7 +75,7 @@
 #[test_case(plan(37, 1.0, 20.0), 12; "many_nodes")]
 #[test_case(plan(37, 30.0, 20.0), 12; "many_nodes_high")]
 fn no_window_passes_the_bound(plan: FleetPlan, seeds: u64) {
-    let played = play::<LimitBook>(plan, seeds);
+    let played = play::<RateLimitTable>(plan, seeds);
     println!("{played:?}");
     assert_eq!(played.broken, Vec::<u64>::new());
 }
@@ -93,7 +93,7 @@
 #[test_case(plan(110, 6.0, 20.0); "most_nodes")]
 fn ways_compared(plan: FleetPlan) {
     let seeds = if plan.nodes > 40 { 2 } else { 8 };
-    println!("parts: {:?}", play::<LimitBook>(plan, seeds));
+    println!("parts: {:?}", play::<RateLimitTable>(plan, seeds));
     println!("bucket: {:?}", play::<SharedBucket>(plan, seeds));
 }
 
@@ -102,28 +102,31 @@
 fn hear_older_news_change_nothing() {
     let now = Instant::now();
     let at = |millis| now + Duration::from_millis(millis);
-    let (mut one, mut other) = (LimitBook::default(), LimitBook::default());
-    one.note_answer(REPLICA, NamedLimit::PerSecond(1.0), at(0), at(10));
-    let begun = one.take_news(1);
-    other.hear(&begun[0], at(20));
+    let (mut one, mut other) = (RateLimitTable::default(), RateLimitTable::default());
+    one.note_answer(REPLICA, RateLimitNotice::PerSecond(1.0), at(0), at(10));
+    let begun = one.take_updates(1);
+    other.apply_update(&begun[0], at(20));
     // Sent before the limit was known here.
     assert_eq!(
-        other.note_answer(REPLICA, NamedLimit::Absent, at(15), at(30)),
+        other.note_answer(REPLICA, RateLimitNotice::Absent, at(15), at(30)),
         None
     );
-    let raised = NamedLimit::PerSecond(4.0);
+    let raised = RateLimitNotice::PerSecond(4.0);
     assert_eq!(other.note_answer(REPLICA, raised, at(15), at(30)), None);
     assert!(
         other
-            .note_answer(REPLICA, NamedLimit::Absent, at(25), at(40))
+            .note_answer(REPLICA, RateLimitNotice::Absent, at(25), at(40))
             .is_some()
     );
-    assert_eq!(other.hear(&begun[0], at(50)), LimitEffect::Outdated);
+    assert_eq!(
+        other.apply_update(&begun[0], at(50)),
+        RateLimitEffect::Outdated
+    );
     assert!(!other.is_limited(REPLICA));
-    let ended = other.take_news(1);
+    let ended = other.take_updates(1);
     assert!(matches!(
-        one.hear(&ended[0], at(60)),
-        LimitEffect::Learned(_)
+        one.apply_update(&ended[0], at(60)),
+        RateLimitEffect::Learned(_)
     ));
     assert!(!one.is_limited(REPLICA));
     assert_eq!(one.digest(), other.digest());
@@ -133,9 +136,9 @@
 #[test]
 fn take_replica_that_takes_nothing_is_asked_now_and_then() {
     let now = Instant::now();
-    let mut book = LimitBook::default();
-    book.set_holders(Some(1), [2].into(), now);
-    book.note_answer(REPLICA, NamedLimit::PerSecond(0.0), now, now);
+    let mut book = RateLimitTable::default();
+    book.set_sharers(Some(1), [2].into(), now);
+    book.note_answer(REPLICA, RateLimitNotice::PerSecond(0.0), now, now);
     let wait = book.wait(REPLICA, now);
     assert!(
         !book.take(REPLICA, now) && wait <= Duration::from_secs(30),
@@ -149,9 +152,9 @@
 #[test]
 fn take_fresh_node_sends_nothing() {
     let now = Instant::now();
-    let mut book = LimitBook::default();
-    book.set_holders(None, [2].into(), now);
-    book.note_answer(REPLICA, NamedLimit::PerSecond(50.0), now, now);
+    let mut book = RateLimitTable::default();
+    book.set_sharers(None, [2].into(), now);
+    book.note_answer(REPLICA, RateLimitNotice::PerSecond(50.0), now, now);
     assert!(!book.take(REPLICA, now + Duration::from_secs(5)));
 }
 
@@ -159,15 +162,15 @@
 #[test]
 fn hear_same_number_lower_rate_counts() {
     let now = Instant::now();
-    let news = |rate| LimitNews {
+    let news = |rate| RateLimitUpdate {
         replica: REPLICA,
         number: 1,
         rate,
     };
     for order in [[Some(1.0), Some(2.0), None], [None, Some(2.0), Some(1.0)]] {
-        let mut book = LimitBook::default();
+        let mut book = RateLimitTable::default();
         for rate in order {
-            book.hear(&news(rate), now);
+            book.apply_update(&news(rate), now);
         }
         assert_eq!(book.rate(REPLICA), Some(1.0));
     }
--- a/crates/zinniahatch_route/tests/reader_cover.rs
+++ b/crates/zinniahatch_route/tests/reader_cover.rs
@@ -47,7 +47,7 @@
     let later = now + Duration::from_secs(2);
     let own = node.entries_digest(&regions(), &region);
     assert_eq!(cover.judge(own, [reader], later), CoverState::Behind);
-    node.vanish("r2", 5.into(), later);
+    node.remove_entry("r2", 5.into(), later);
     let own = node.entries_digest(&regions(), &region);
     assert_eq!(cover.judge(own, [reader], later), CoverState::Behind);
 }
@@ -66,6 +66,6 @@
     let region: RegionId = "north".into();
     let digest = one.entries_digest(&regions(), &region);
     assert_eq!(digest, two.entries_digest(&regions(), &region));
-    two.vanish("r1", 1.into(), now);
+    two.remove_entry("r1", 1.into(), now);
     assert_ne!(digest, two.entries_digest(&regions(), &region));
 }
--- a/crates/zinniahatch_route/tests/replay.rs
+++ b/crates/zinniahatch_route/tests/replay.rs
@@ -10,13 +10,13 @@
 use common::regions;
 use common::table;
 use zinniahatch_base::prelude::*;
+use zinniahatch_route::Admission;
 use zinniahatch_route::AdmissionRule;
 use zinniahatch_route::ColdGate;
+use zinniahatch_route::InFlightWork;
 use zinniahatch_route::LeaveReason;
-use zinniahatch_route::OpenWork;
 use zinniahatch_route::ReplicaTable;
 use zinniahatch_route::ServingPreset;
-use zinniahatch_route::Verdict;
 use zinniahatch_route::choose_local;
 
 const GOAL: Duration = Duration::from_millis(800);
@@ -80,7 +80,7 @@
         for (id, (_, reads)) in &mut self.queues {
             reads.retain(|(end, _)| *end > at);
             if let Some(belief) = self.table.get_mut(id) {
-                belief.own = OpenWork {
+                belief.local_work = InFlightWork {
                     requests: reads.len() as u32,
                     tokens: reads.iter().map(|(_, tokens)| tokens).sum(),
                     urgent_requests: 0,
@@ -110,21 +110,22 @@
         let preset = ServingPreset::default();
         let rule = AdmissionRule {
             goal: GOAL,
-            spent: Duration::ZERO,
-            left: PATIENCE,
-            favour: 1.0,
+            elapsed: Duration::ZERO,
+            remaining: PATIENCE,
+            goal_factor: 1.0,
             goal_margin: preset.goal_margin,
-            least_wait: preset.least_wait,
+            min_wait: preset.least_wait,
         };
         if self.admit
-            && let Verdict::Refuse(after) = rule.judge(choice.expected, Duration::ZERO, choice.wait)
+            && let Admission::Refuse(after) =
+                rule.decide(choice.expected, Duration::ZERO, choice.wait)
         {
             self.sum.refused += 1;
             return Some(call.at + after.as_secs_f64() * 1e3);
         }
         let capacity = 1_000_000;
         if let Some(belief) = self.table.get_mut(&choice.replica) {
-            belief.kept.note(&parts.size.parts, capacity);
+            belief.prefix_cache.note(&parts.size.parts, capacity);
         }
         if let Some((free, reads)) = self.queues.get_mut(&choice.replica) {
             let reading = f64::from(choice.tokens) * TOKEN_MS;
--- a/crates/zinniahatch_route/tests/rest_ways.rs
+++ b/crates/zinniahatch_route/tests/rest_ways.rs
@@ -10,10 +10,10 @@
 use std::collections::BTreeMap;
 use zinniahatch_base::prelude::*;
 use zinniahatch_route::AnswerProof;
+use zinniahatch_route::BackoffNotice;
 use zinniahatch_route::ColdGate;
 use zinniahatch_route::HeardNotice;
-use zinniahatch_route::NamedRest;
-use zinniahatch_route::OpenWork;
+use zinniahatch_route::InFlightWork;
 use zinniahatch_route::ReplicaEntry;
 use zinniahatch_route::ReplicaNotice;
 use zinniahatch_route::ReplicaTable;
@@ -26,7 +26,7 @@
 /// Requests that a replica queues beyond its slots.
 const QUEUE: u32 = 4;
 const HOLD: Duration = Duration::from_millis(100);
-const WORK: OpenWork = OpenWork {
+const WORK: InFlightWork = InFlightWork {
     requests: 1,
     urgent_requests: 0,
     tokens: 0,
@@ -161,7 +161,7 @@
         for offset in 0..REPLICAS {
             let replica = (first + offset) % REPLICAS;
             let table = &mut self.tables[caller.node];
-            let claim = table.claim(&mut ColdGate::default(), &id_of(replica), 0, now);
+            let claim = table.reserve(&mut ColdGate::default(), &id_of(replica), 0, now);
             if claim.is_err() {
                 continue;
             }
@@ -211,9 +211,9 @@
         };
         let notice = ReplicaNotice {
             rest: if taken {
-                NamedRest::Absent
+                BackoffNotice::Absent
             } else {
-                NamedRest::For(rest)
+                BackoffNotice::For(rest)
             },
             ..ReplicaNotice::default()
         };
@@ -237,7 +237,7 @@
     fn refuse(&mut self, caller: Caller, sends: u32) {
         let now = self.start + self.time;
         let table = &self.tables[caller.node];
-        let waits = (0..REPLICAS).map(|replica| table.rests.wait(entry_tag(replica), now));
+        let waits = (0..REPLICAS).map(|replica| table.backoffs.wait(entry_tag(replica), now));
         let first = waits.min().unwrap_or_default();
         let after = if first.is_zero() || sends > 0 {
             AGAIN
@@ -267,7 +267,7 @@
         id: id_of(replica),
         ..entry("r", "a")
     };
-    entry.life().tag()
+    entry.incarnation().tag()
 }
 
 /// Plays all seeds; gives the shares of the requests asked for that were served, turned away by a replica, and sent once
--- a/crates/zinniahatch_route/tests/returns.rs
+++ b/crates/zinniahatch_route/tests/returns.rs
@@ -8,14 +8,14 @@
 use test_case::test_case;
 use zinniahatch_base::prelude::*;
 use zinniahatch_route::AnswerProof;
+use zinniahatch_route::BackoffNotice;
 use zinniahatch_route::HeardNotice;
-use zinniahatch_route::NamedRest;
-use zinniahatch_route::PlaceAsk;
+use zinniahatch_route::PlacementQuery;
 use zinniahatch_route::ReplicaEntry;
 use zinniahatch_route::ReplicaNotice;
 use zinniahatch_route::ReplicaTable;
 use zinniahatch_route::ReturnLine;
-use zinniahatch_route::Withheld;
+use zinniahatch_route::SendRefusal;
 use zinniahatch_route::earliest_return;
 
 /// Makes a table of replicas, each with the rest that it asked for, in seconds.
@@ -26,13 +26,13 @@
             id: format!("r{number}").into(),
             ..entry("r", "a")
         };
-        let replica = entry.life().tag();
+        let replica = entry.incarnation().tag();
         table.upsert(entry, now);
         let Some(rest) = rest else {
             continue;
         };
         let notice = ReplicaNotice {
-            rest: NamedRest::For(Duration::from_secs(*rest)),
+            rest: BackoffNotice::For(Duration::from_secs(*rest)),
             ..ReplicaNotice::default()
         };
         let heard = HeardNotice {
@@ -49,14 +49,14 @@
 }
 
 /// Guards against callers who are told a constant, or to wait for a replica while another one would serve them.
-#[test_case(&[Some(3), Some(2)], Some((Withheld::Resting, 2)); "the_first_that_is_back")]
+#[test_case(&[Some(3), Some(2)], Some((SendRefusal::Resting, 2)); "the_first_that_is_back")]
 #[test_case(&[Some(3), None], None; "one_serves")]
 #[test_case(&[], None; "none_there")]
-fn earliest_return_of_region(rests: &[Option<u64>], expected: Option<(Withheld, u64)>) {
+fn earliest_return_of_region(rests: &[Option<u64>], expected: Option<(SendRefusal, u64)>) {
     let now = Instant::now();
     let table = table(rests, now);
     let (size, tried, peers) = (prompt(1, 1), BTreeSet::new(), BTreeSet::new());
-    let ask = PlaceAsk {
+    let ask = PlacementQuery {
         service: &"s".into(),
         region: "north",
         size: &size,
--- a/crates/zinniahatch_route/tests/spread.rs
+++ b/crates/zinniahatch_route/tests/spread.rs
@@ -2,9 +2,9 @@
 
 use std::collections::VecDeque;
 use zinniahatch_base::prelude::*;
-use zinniahatch_route::PaceMeter;
+use zinniahatch_route::GapMeter;
 use zinniahatch_route::StreamModel;
-use zinniahatch_route::away_share;
+use zinniahatch_route::remote_share;
 
 /// Time of a step of generation, and what it generates for each stream.
 const STEP: f64 = 3.0;
@@ -24,7 +24,7 @@
     unread: VecDeque<f64>,
     /// Streams by their beginning, steps done, and time of the last event.
     streams: Vec<(f64, u32, f64)>,
-    meter: PaceMeter,
+    meter: GapMeter,
     model: StreamModel,
     lasted: Vec<f64>,
     start: Instant,
@@ -36,7 +36,7 @@
             now: 0.0,
             unread: VecDeque::new(),
             streams: Vec::new(),
-            meter: PaceMeter::new(start),
+            meter: GapMeter::new(start),
             model: StreamModel::new(start),
             lasted: Vec::new(),
             start,
@@ -64,7 +64,7 @@
                 *steps += 1;
                 if steps.is_multiple_of(STEPS_EACH) {
                     let pause = Duration::from_secs_f64((now - *last) / 1e3);
-                    self.model.note_pause(&mut self.meter, pause, instant);
+                    self.model.note_gap(&mut self.meter, pause, instant);
                     *last = now;
                 }
             }
@@ -81,7 +81,7 @@
 
     /// Gives the expected time of a whole answer.
     fn expected(&self, way: f64) -> Duration {
-        let pause = self.model.region_pause(self.instant());
+        let pause = self.model.region_gap(self.instant());
         Duration::from_secs_f64((way + READING) / 1e3) + pause * EVENTS
     }
 }
@@ -100,7 +100,7 @@
         }
         here.run_until(at);
         there.run_until(at);
-        let share = away_share(here.expected(0.0), there.expected(TRIP), 0.8);
+        let share = remote_share(here.expected(0.0), there.expected(TRIP), 0.8);
         draw = (draw + 0.618) % 1.0;
         if spread && index > 50 && draw < share {
             there.unread.push_back(at);
@@ -126,25 +126,25 @@
 
 #[test]
 fn away_share_grows_with_the_gain() {
-    let share = |there| away_share(Duration::from_secs(2), Duration::from_millis(there), 0.8);
+    let share = |there| remote_share(Duration::from_secs(2), Duration::from_millis(there), 0.8);
     assert!(share(1_600) < f64::EPSILON, "no gain beyond the way's risk");
     assert!(share(1_400) > 0.0 && share(1_400) < share(1_200));
     assert!((share(100) - 1.0).abs() < f64::EPSILON);
-    assert!(away_share(Duration::ZERO, Duration::ZERO, 0.8) < f64::EPSILON);
+    assert!(remote_share(Duration::ZERO, Duration::ZERO, 0.8) < f64::EPSILON);
 }
 
 #[test]
 fn replica_pause_falls_back_to_the_region() {
     let now = Instant::now();
     let mut model = StreamModel::new(now);
-    let (mut busy, unseen) = (PaceMeter::new(now), PaceMeter::new(now));
+    let (mut busy, unseen) = (GapMeter::new(now), GapMeter::new(now));
     for _ in 0..200 {
-        model.note_pause(&mut busy, Duration::from_millis(60), now);
+        model.note_gap(&mut busy, Duration::from_millis(60), now);
     }
-    let known = model.replica_pause(&unseen, now);
+    let known = model.replica_gap(&unseen, now);
     assert!(known > Duration::from_millis(55), "{known:?}");
     let later = now + Duration::from_secs(20);
-    let faded = model.region_pause(later);
+    let faded = model.region_gap(later);
     assert!(faded < known, "an old pause says nothing of now: {faded:?}");
     model.note_length(100, 12);
     assert!((model.events(50) - 6.0).abs() < 1e-9);
--- a/crates/zinniahatch_route/tests/suspects.rs
+++ b/crates/zinniahatch_route/tests/suspects.rs
@@ -4,10 +4,10 @@
 use std::time::Duration;
 use std::time::Instant;
 use test_case::test_case;
-use zinniahatch_route::NewsBatch;
-use zinniahatch_route::NewsEffect;
-use zinniahatch_route::SuspectNews;
 use zinniahatch_route::SuspectTable;
+use zinniahatch_route::SuspectUpdate;
+use zinniahatch_route::SuspectUpdateBatch;
+use zinniahatch_route::SuspectUpdateEffect;
 
 const FATAL: u64 = 7;
 const BESIDE: u64 = 8;
@@ -23,7 +23,7 @@
 }
 
 fn hold(table: &SuspectTable, content: u64, now: Instant) -> Option<Duration> {
-    table.hold_left(content, now + SETTLED)
+    table.quarantine_left(content, now + SETTLED)
 }
 
 fn seconds(count: u64) -> Duration {
@@ -36,7 +36,7 @@
     let mut now = start;
     for replica in replicas {
         now += seconds(1);
-        assert!(table.note_end(content, replica, SHORT, now));
+        assert!(table.note_crash(content, replica, SHORT, now));
     }
     (table, now)
 }
@@ -45,17 +45,21 @@
 fn stand_beside(table: &mut SuspectTable, ran: Duration, start: Instant) {
     for replica in 0..3 {
         let at = start + seconds(1 + u64::from(replica));
-        table.note_end(BESIDE, replica, ran, at);
+        table.note_crash(BESIDE, replica, ran, at);
     }
 }
 
 /// Takes all news that are due, whoever they are for.
-fn take(table: &mut SuspectTable, again: bool, now: Instant) -> Vec<SuspectNews> {
-    let NewsBatch { wide, own, passed } = table.take_news(again, MOST, now);
-    [wide, own, passed].concat()
+fn take(table: &mut SuspectTable, again: bool, now: Instant) -> Vec<SuspectUpdate> {
+    let SuspectUpdateBatch {
+        broadcast,
+        local,
+        relayed,
+    } = table.take_updates(again, MOST, now);
+    [broadcast, local, relayed].concat()
 }
 
-fn ids(news: &[SuspectNews]) -> Vec<u64> {
+fn ids(news: &[SuspectUpdate]) -> Vec<u64> {
     news.iter().map(|one| one.content).collect()
 }
 
@@ -77,13 +81,13 @@
     let (fatal, now) = ended(FATAL, 0..3, start);
     let mut table = SuspectTable::default();
     stand_beside(&mut table, SHORT * 9, start);
-    assert_eq!(table.hold_left(BESIDE, now), None);
-    let wait = table.verdict_due(BESIDE, now).expect("it waits");
-    for news in fatal.known_news(0, MOST, now + SHORT) {
-        table.hear(&news, false, now + SHORT);
+    assert_eq!(table.quarantine_left(BESIDE, now), None);
+    let wait = table.decision_delay(BESIDE, now).expect("it waits");
+    for news in fatal.accused_updates(0, MOST, now + SHORT) {
+        table.apply_update(&news, false, now + SHORT);
     }
-    assert_eq!(table.verdict_due(BESIDE, now + wait), None);
-    assert_eq!(table.hold_left(BESIDE, now + wait), None);
+    assert_eq!(table.decision_delay(BESIDE, now + wait), None);
+    assert_eq!(table.quarantine_left(BESIDE, now + wait), None);
     assert!(held(&table, FATAL, now));
 }
 
@@ -94,7 +98,7 @@
     let start = Instant::now();
     let mut table = SuspectTable::default();
     for node in 0..7 {
-        table.note_end(FATAL, 1, SHORT, start + Duration::from_millis(node * 20));
+        table.note_crash(FATAL, 1, SHORT, start + Duration::from_millis(node * 20));
     }
     assert!(!held(&table, FATAL, start + seconds(1)));
 }
@@ -105,7 +109,7 @@
     let start = Instant::now();
     let mut table = SuspectTable::default();
     for life in 0..3 {
-        table.note_end(FATAL, 1, SHORT, start + seconds(life * 4));
+        table.note_crash(FATAL, 1, SHORT, start + seconds(life * 4));
     }
     assert!(held(&table, FATAL, start + seconds(8)));
 }
@@ -119,7 +123,7 @@
     let (mut table, now) = ended(FATAL, 0..3, start);
     stand_beside(&mut table, SHORT, start);
     assert!(!held(&table, BESIDE, now));
-    table.note_end(FATAL, 3, SHORT, now + seconds(1));
+    table.note_crash(FATAL, 3, SHORT, now + seconds(1));
     assert!(!held(&table, BESIDE, now + seconds(1)));
     assert!(held(&table, FATAL, now + seconds(1)));
 }
@@ -132,15 +136,15 @@
     let (mut table, now) = ended(FATAL, 0..3, start);
     for replica in 0..3 {
         let at = start + seconds(1 + u64::from(replica));
-        table.note_end(BESIDE, replica, SHORT * 7, at);
+        table.note_crash(BESIDE, replica, SHORT * 7, at);
         // Another request of it had just begun there, on this node or another.
-        table.note_end(BESIDE, replica, SHORT / 4, at);
+        table.note_crash(BESIDE, replica, SHORT / 4, at);
     }
     assert!(held(&table, FATAL, now));
     assert!(!held(&table, BESIDE, now));
     let mut other = SuspectTable::default();
     for news in take(&mut table, true, now) {
-        other.hear(&news, false, now);
+        other.apply_update(&news, false, now);
     }
     assert!(held(&other, FATAL, now));
     assert!(!held(&other, BESIDE, now));
@@ -156,7 +160,7 @@
     stand_beside(&mut table, SHORT / 2, start);
     assert!(!held(&table, BESIDE, now));
     assert!(!held(&table, FATAL, now));
-    table.note_end(FATAL, 3, SHORT, now);
+    table.note_crash(FATAL, 3, SHORT, now);
     assert!(!held(&table, BESIDE, now));
     assert!(held(&table, FATAL, now));
 }
@@ -167,17 +171,19 @@
 fn answer_clears() {
     let (mut table, now) = ended(BESIDE, 0..3, Instant::now());
     assert_eq!(table.review(now + SETTLED).len(), 1);
-    let (news, _) = table.unkept(now + SETTLED).expect("this node saw the ends");
+    let (news, _) = table
+        .unpersisted(now + SETTLED)
+        .expect("this node saw the ends");
     assert_eq!(news.content, BESIDE);
-    table.note_kept(BESIDE);
-    assert!(table.unkept(now + SETTLED).is_none());
+    table.note_persisted(BESIDE);
+    assert!(table.unpersisted(now + SETTLED).is_none());
     assert!(table.note_answered(BESIDE, now + seconds(1)));
     assert!(!held(&table, BESIDE, now + seconds(1)));
     let changes = table.review(now + seconds(1));
     assert_eq!(changes.len(), 1);
     assert_eq!(changes[0].left, None);
-    assert!(changes[0].kept, "its key is to be removed");
-    assert_eq!(table.held(), 0);
+    assert!(changes[0].persisted, "its key is to be removed");
+    assert_eq!(table.quarantined_count(), 0);
 }
 
 /// A look-up that all callers make stood on every replica of a region when it lost power for a moment. It
@@ -188,8 +194,8 @@
     let mut table = SuspectTable::default();
     table.note_answered(BESIDE, start);
     for replica in 0..40 {
-        assert!(!table.note_end(BESIDE, replica, SHORT, start + seconds(1)));
-        table.note_end(
+        assert!(!table.note_crash(BESIDE, replica, SHORT, start + seconds(1)));
+        table.note_crash(
             1_000 + u64::from(replica),
             replica,
             SHORT,
@@ -209,12 +215,15 @@
     let mut table = SuspectTable::default();
     table.note_answered(BESIDE, start);
     for news in take(&mut other, false, now) {
-        assert_eq!(table.hear(&news, false, now), NewsEffect::Learned);
+        assert_eq!(
+            table.apply_update(&news, false, now),
+            SuspectUpdateEffect::Learned
+        );
     }
     assert!(!held(&table, BESIDE, now));
     assert!(table.note_answered(BESIDE, now));
     for news in take(&mut table, false, now) {
-        other.hear(&news, false, now);
+        other.apply_update(&news, false, now);
     }
     assert!(!held(&other, BESIDE, now));
 }
@@ -229,16 +238,25 @@
     table.note_answered(BESIDE, now + seconds(1));
     while !take(&mut table, true, now).is_empty() {}
     let later = now + seconds(2);
-    let told = other.known_news(0, MOST, later);
+    let told = other.accused_updates(0, MOST, later);
     assert_eq!(ids(&told), [BESIDE]);
-    assert_eq!(table.hear(&told[0], false, later), NewsEffect::Outdated);
-    assert_eq!(ids(&table.take_news(false, MOST, later).wide), [BESIDE]);
+    assert_eq!(
+        table.apply_update(&told[0], false, later),
+        SuspectUpdateEffect::Outdated
+    );
+    assert_eq!(
+        ids(&table.take_updates(false, MOST, later).broadcast),
+        [BESIDE]
+    );
     // A node that knew nothing else of it puts the teller right, too.
     let mut third = SuspectTable::default();
     third.note_answered(BESIDE, start);
-    third.hear(&told[0], false, later);
+    third.apply_update(&told[0], false, later);
     third.note_answered(BESIDE, later + seconds(1));
-    assert_eq!(ids(&third.take_news(false, MOST, later).wide), [BESIDE]);
+    assert_eq!(
+        ids(&third.take_updates(false, MOST, later).broadcast),
+        [BESIDE]
+    );
 }
 
 /// The caller of a fatal request comes for hours. Each time that the hold lapses one replica ends, no more,
@@ -256,10 +274,10 @@
         now += left + seconds(1);
         table.tick(now);
         assert!(!held(&table, FATAL, now));
-        table.note_end(FATAL, replica, SHORT, now);
+        table.note_crash(FATAL, replica, SHORT, now);
     }
     table.tick(now + seconds(24 * 3_600));
-    assert_eq!(table.known_digest(), 0);
+    assert_eq!(table.accused_digest(), 0);
 }
 
 /// A region with 400 replicas is lost with 30 requests on each. What is remembered and told stays bounded, and
@@ -268,19 +286,19 @@
 fn suspects_are_bounded() {
     let (mut table, now) = ended(FATAL, 0..3, Instant::now());
     for content in 0..12_000 {
-        table.note_end(1_000 + content, 500 + (content / 30) as u32, SHORT, now);
+        table.note_crash(1_000 + content, 500 + (content / 30) as u32, SHORT, now);
     }
     assert!(held(&table, FATAL, now));
-    table.note_end(FATAL, 9, SHORT, now + seconds(1));
-    let first = table.take_news(false, 24, now);
-    assert_eq!(ids(&first.wide), [FATAL]);
+    table.note_crash(FATAL, 9, SHORT, now + seconds(1));
+    let first = table.take_updates(false, 24, now);
+    assert_eq!(ids(&first.broadcast), [FATAL]);
     // What is remembered shows in no answer, and in the memory of a node alone.
     let rows = format!("{table:?}").matches("SuspectRow").count();
     assert!(rows <= 2_048, "{rows} contents are remembered");
     let rest: usize = (0..MOST)
-        .map(|_| table.take_news(false, 24, now).own.len())
+        .map(|_| table.take_updates(false, 24, now).local.len())
         .sum();
-    let told = first.own.len() + rest;
+    let told = first.local.len() + rest;
     assert!(told > 0 && told <= 256, "{told} contents are told");
 }
 
@@ -289,17 +307,20 @@
 #[test]
 fn news_are_told_by_their_weight() {
     let (mut table, now) = ended(FATAL, 0..1, Instant::now());
-    let batch = table.take_news(false, MOST, now);
-    assert_eq!(ids(&batch.own), [FATAL]);
+    let batch = table.take_updates(false, MOST, now);
+    assert_eq!(ids(&batch.local), [FATAL]);
     assert!(take(&mut table, true, now).is_empty());
     let mut other = SuspectTable::default();
-    other.hear(&batch.own[0], true, now);
-    assert_eq!(ids(&other.take_news(false, MOST, now).passed), [FATAL]);
-    table.note_end(FATAL, 1, SHORT, now);
-    assert_eq!(ids(&table.take_news(false, MOST, now).wide), [FATAL]);
+    other.apply_update(&batch.local[0], true, now);
+    assert_eq!(ids(&other.take_updates(false, MOST, now).relayed), [FATAL]);
+    table.note_crash(FATAL, 1, SHORT, now);
+    assert_eq!(
+        ids(&table.take_updates(false, MOST, now).broadcast),
+        [FATAL]
+    );
     assert!(take(&mut table, false, now).is_empty());
-    assert_eq!(ids(&table.take_news(true, MOST, now).wide), [FATAL]);
-    assert_eq!(ids(&table.take_news(true, MOST, now).wide), [FATAL]);
+    assert_eq!(ids(&table.take_updates(true, MOST, now).broadcast), [FATAL]);
+    assert_eq!(ids(&table.take_updates(true, MOST, now).broadcast), [FATAL]);
     assert!(take(&mut table, true, now).is_empty());
 }
 
@@ -310,15 +331,15 @@
     let start = Instant::now();
     let (mut one, now) = ended(FATAL, 0..3, start);
     let mut two = SuspectTable::default();
-    two.note_end(FATAL, 9, SHORT, now);
-    assert_ne!(one.known_digest(), two.known_digest());
-    for news in one.known_news(99, MOST, now) {
-        two.hear(&news, false, now);
+    two.note_crash(FATAL, 9, SHORT, now);
+    assert_ne!(one.accused_digest(), two.accused_digest());
+    for news in one.accused_updates(99, MOST, now) {
+        two.apply_update(&news, false, now);
     }
-    for news in two.known_news(99, MOST, now) {
-        one.hear(&news, false, now);
+    for news in two.accused_updates(99, MOST, now) {
+        one.apply_update(&news, false, now);
     }
-    assert_eq!(one.known_digest(), two.known_digest());
+    assert_eq!(one.accused_digest(), two.accused_digest());
     assert_eq!(hold(&one, FATAL, now), hold(&two, FATAL, now));
 }
 
@@ -348,7 +369,7 @@
             now += seconds(2);
             match event {
                 Event::End(content, replica, ran) => {
-                    nodes[node].note_end(content, replica, SHORT * ran as u32, now);
+                    nodes[node].note_crash(content, replica, SHORT * ran as u32, now);
                 }
                 Event::Answer(content) => {
                     nodes[node].note_answered(content, now);
@@ -358,7 +379,7 @@
             for teller in order.iter().copied().chain([node]) {
                 for news in take(&mut nodes[teller], true, now) {
                     for (_, hearer) in nodes.iter_mut().enumerate().filter(|(at, _)| *at != teller) {
-                        hearer.hear(&news, true, now);
+                        hearer.apply_update(&news, true, now);
                     }
                 }
             }
@@ -366,11 +387,11 @@
         // Own answers have lapsed by then, the suspicions have not.
         now += seconds(40);
         for content in 0..4 {
-            let left: Vec<_> = nodes.iter().map(|node| node.hold_left(content, now)).collect();
+            let left: Vec<_> = nodes.iter().map(|node| node.quarantine_left(content, now)).collect();
             prop_assert_eq!(left[0].is_some(), left[1].is_some());
             prop_assert_eq!(left[1].is_some(), left[2].is_some());
         }
-        prop_assert_eq!(nodes[0].known_digest(), nodes[1].known_digest());
-        prop_assert_eq!(nodes[1].known_digest(), nodes[2].known_digest());
+        prop_assert_eq!(nodes[0].accused_digest(), nodes[1].accused_digest());
+        prop_assert_eq!(nodes[1].accused_digest(), nodes[2].accused_digest());
     }
 }
--- a/crates/zinniahatch_route/tests/work_news.rs
+++ b/crates/zinniahatch_route/tests/work_news.rs
@@ -10,11 +10,11 @@
 use common::table;
 use test_case::test_case;
 use zinniahatch_base::prelude::*;
+use zinniahatch_route::CachedPrefix;
 use zinniahatch_route::ColdGate;
 use zinniahatch_route::CollectorBook;
+use zinniahatch_route::InFlightWork;
 use zinniahatch_route::MemberCard;
-use zinniahatch_route::OpenWork;
-use zinniahatch_route::PromptRead;
 use zinniahatch_route::ReplicaTable;
 use zinniahatch_route::WorkGatherer;
 use zinniahatch_route::WorkPart;
@@ -24,14 +24,14 @@
 
 const OWN: &str = "n0";
 
-fn work(requests: u32) -> OpenWork {
-    OpenWork {
+fn work(requests: u32) -> InFlightWork {
+    InFlightWork {
         requests,
-        ..OpenWork::default()
+        ..InFlightWork::default()
     }
 }
 
-fn part(origin: ShortTag, number: u32, work: Vec<(ShortTag, OpenWork)>) -> WorkPart {
+fn part(origin: ShortTag, number: u32, work: Vec<(ShortTag, InFlightWork)>) -> WorkPart {
     WorkPart {
         origin,
         number,
@@ -152,7 +152,7 @@
 #[test]
 fn gatherer_large_part_goes_alone() {
     let mut large = part(1, 1, Vec::new());
-    let read = PromptRead {
+    let read = CachedPrefix {
         replica: 1,
         parts: prompt(1, 1).parts,
     };
@@ -171,11 +171,14 @@
     let now = Instant::now();
     let mut table = table(&["r"], now);
     let tag = table.get("r").unwrap().tag;
-    table.note_work(5, 2, &[(tag, OpenWork::default())], now);
-    table.note_work(5, 1, &[(tag, work(3))], now);
-    assert_eq!(table.get("r").unwrap().all_work(now), OpenWork::default());
-    table.note_work(5, 3, &[(tag, work(3))], now);
-    assert_eq!(table.get("r").unwrap().all_work(now), work(3));
+    table.apply_peer_work(5, 2, &[(tag, InFlightWork::default())], now);
+    table.apply_peer_work(5, 1, &[(tag, work(3))], now);
+    assert_eq!(
+        table.get("r").unwrap().total_work(now),
+        InFlightWork::default()
+    );
+    table.apply_peer_work(5, 3, &[(tag, work(3))], now);
+    assert_eq!(table.get("r").unwrap().total_work(now), work(3));
 }
 
 const NODES: usize = 24;
@@ -196,7 +199,7 @@
 struct OpenRead {
     node: usize,
     ticket: u64,
-    work: OpenWork,
+    work: InFlightWork,
     end_ms: f64,
 }
 
@@ -245,12 +248,12 @@
         let now = self.at(ms);
         self.number += 1;
         for sender in 0..NODES {
-            let work = self.tables[sender].take_changes(now);
-            let reads = self.tables[sender].take_reads();
+            let work = self.tables[sender].take_changed_work(now);
+            let reads = self.tables[sender].take_cached_prefixes();
             for (receiver, table) in self.tables.iter_mut().enumerate() {
                 if receiver != sender {
-                    table.note_work(sender as ShortTag, self.number, &work, now);
-                    table.note_reads(&reads, |_| u64::MAX);
+                    table.apply_peer_work(sender as ShortTag, self.number, &work, now);
+                    table.apply_cached_prefixes(&reads, |_| u64::MAX);
                 }
             }
         }
@@ -266,10 +269,10 @@
         ask.draw = u64::from(call).wrapping_mul(0x9e37_79b9_7f4a_7c15);
         let table = &self.tables[node];
         let choice = choose_local(table, &ColdGate::default(), &regions(), &ask, now).unwrap();
-        let work = OpenWork {
+        let work = InFlightWork {
             requests: 1,
             tokens: choice.tokens,
-            ..OpenWork::default()
+            ..InFlightWork::default()
         };
         let (id, ticket) = (choice.replica, u64::from(call));
         self.tables[node].note_sent(&id, ticket, &size, work, u64::MAX, now);
