--- a/crates/zinniahatch_entry/tests/channel.rs
+++ b/crates/zinniahatch_entry/tests/channel.rs
@@ -59,7 +59,7 @@
         revision: StoreRevision::from(1),
     };
     table.upsert(entry, now);
-    let claim = table.claim(&mut ColdGate::default(), "i-1", 0, now);
+    let claim = table.reserve(&mut ColdGate::default(), "i-1", 0, now);
     table.permit(claim.unwrap(), now).unwrap()
 }
 
--- a/crates/zinniahatch_route/src/send_permit.rs
+++ b/crates/zinniahatch_route/src/send_permit.rs
@@ -1,9 +1,9 @@
 //! Permits that every request needs before it leaves this node.
 //!
-//! A connection writes nothing without a permit, and permits are created only here: for a replica by
-//! the table of replicas, which knows its notices, for another node by the table of nodes. A new path
-//! to a replica therefore cannot ignore the replica's notices; it would not compile. A permit is
-//! consumed by the request it was issued for:
+//! A connection writes nothing without a permit, and permits are created only here: for a replica
+//! by the table of replicas, which knows its notices, for another node by the table of nodes. A new
+//! path to a replica therefore cannot ignore the replica's notices; it would not compile. A permit
+//! is consumed by the request it was issued for:
 //!
 //! ```compile_fail
 //! fn send_twice(permit: zinniahatch_route::ReplicaPermit) {
--- a/crates/zinniahatch_route/src/suspects.rs
+++ b/crates/zinniahatch_route/src/suspects.rs
@@ -25,7 +25,8 @@
 /// Crashes remembered per content; each beyond the third doubles the quarantine, up to 80 minutes.
 const MAX_CRASHES: usize = 6;
 /// Duration of the first quarantine, counted from the last crash. A program that retries comes back
-/// many times within it; a content quarantined wrongly, or fixed replicas, are free again soon.
+/// many times within it; a content quarantined wrongly, or one whose replicas were fixed, is free
+/// again soon.
 const QUARANTINE_TIME: Duration = Duration::from_secs(600);
 /// Time after the last crash in which the nodes of a region exchange what they had on the replica:
 /// normally 5 ms, some tens of ms where a node has a tenth of a core. A content with enough crashes
--- a/crates/zinniahatch_route/tests/notice_fleet/judge.rs
+++ b/crates/zinniahatch_route/tests/notice_fleet/judge.rs
@@ -91,7 +91,7 @@
         rest: Duration,
         at: Duration,
     ) {
-        self.backoffs.push(AskedRest {
+        self.rests.push(AskedRest {
             tag,
             node,
             start,
@@ -119,7 +119,7 @@
 
     /// Gives how often replicas said something that bound a node, so that a test that nobody plays is seen.
     pub(crate) fn said(&self) -> usize {
-        self.backoffs.len() + self.told_leaving.len() + self.told_limit.len() + self.cold.len()
+        self.rests.len() + self.told_leaving.len() + self.told_limit.len() + self.cold.len()
     }
 
     /// Gives the bounds that were passed.
@@ -154,7 +154,7 @@
     }
 
     fn rest_broken(&self) -> bool {
-        self.backoffs.iter().any(|asked| {
+        self.rests.iter().any(|asked| {
             let (from, until) = (asked.at + HEED, asked.at + asked.rest);
             let within = self.arrivals.iter().filter(|arrival| {
                 let same = arrival.tag == asked.tag
--- a/crates/zinniahatch_route/tests/rate_limits.rs
+++ b/crates/zinniahatch_route/tests/rate_limits.rs
@@ -164,7 +164,7 @@
     let now = Instant::now();
     let news = |rate| RateLimitUpdate {
         replica: REPLICA,
-        number: 1,
+        sequence: 1,
         rate,
     };
     for order in [[Some(1.0), Some(2.0), None], [None, Some(2.0), Some(1.0)]] {
