--- a/crates/zinniahatch_entry/src/request/placing.rs
+++ b/crates/zinniahatch_entry/src/request/placing.rs
@@ -237,7 +237,7 @@
     gain: f64,
     now: Instant,
 ) -> Option<RemotePlacement> {
-    if here.answer.is_zero() {
+    if here.decode_time.is_zero() {
         return None;
     }
     let away = find_away(core, plan, course, ask, now)?;
@@ -330,7 +330,7 @@
                     "direct": call.is_direct(), "route": plan.route.name, "tokens_in": call.size.tokens_in,
                     "service": plan.service, "replica": choice.replica, "version": plan.version,
                     "expected_ms": choice.expected.as_millis() as u64,
-                    "answer_ms": choice.answer.as_millis() as u64,
+                    "answer_ms": choice.decode_time.as_millis() as u64,
                     "wait_ms": choice.wait.as_millis() as u64, "costs_ms": choice.cost.named_ms(),
                     "tokens": choice.tokens, "copy_from": choice.copy_from,
                     "cold": choice.cold, "limit_per_second": limit, "sends": course.sends}),
@@ -345,7 +345,7 @@
                     "direct": call.is_direct(), "route": plan.route.name, "tokens_in": call.size.tokens_in,
                     "service": plan.service, "to": choice.node, "region": choice.region,
                     "expected_ms": choice.expected.as_millis() as u64,
-                    "answer_ms": choice.answer.as_millis() as u64,
+                    "answer_ms": choice.decode_time.as_millis() as u64,
                     "version": plan.version, "sends": course.sends}),
             );
         }
--- a/crates/zinniahatch_route/src/admission.rs
+++ b/crates/zinniahatch_route/src/admission.rs
@@ -1,7 +1,7 @@
 //! Admission control: whether a request is admitted or refused at once.
 //!
 //! Load pattern: a regional peak or a burst brings more prompts than the replicas can process in
-//! time. Every request that joins the queue delays all later ones, so that no answer meets its
+//! time. Every request that joins the queue delays all later ones, so that no response meets its
 //! latency target although the replicas are never idle. Refusing the requests that would wait too
 //! long keeps the queue short and the admitted requests in time.
 
@@ -15,7 +15,7 @@
 /// Inputs of the admission decision for one request.
 #[derive(Clone, Copy, Debug)]
 pub struct AdmissionRule {
-    /// Latency target: time to the first event up to which the answer has its full worth.
+    /// Latency target: time to the first event up to which the response has its full worth.
     pub goal: Duration,
     /// Time since the request arrived.
     pub elapsed: Duration,
--- a/crates/zinniahatch_route/src/backoff.rs
+++ b/crates/zinniahatch_route/src/backoff.rs
@@ -15,8 +15,9 @@
 const JITTER: f64 = 0.1;
 /// Largest jitter.
 const MAX_JITTER: Duration = Duration::from_millis(500);
-/// Time after which requests sent after the backoff are no longer counted as in flight.
-const ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
+/// Time after the last request sent since a backoff from which unanswered ones no longer count as
+/// in flight.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(1);
 /// Time after a backoff for which requests to the replica are bounded by the window.
 const RAMP_TIME: Duration = Duration::from_secs(30);
 /// Time after which a replica with a full window is checked again.
@@ -64,7 +65,7 @@
         if now < self.until {
             return self.until.saturating_duration_since(now);
         }
-        let timed_out = now.saturating_duration_since(self.sent_at) >= ANSWER_TIMEOUT;
+        let timed_out = now.saturating_duration_since(self.sent_at) >= RESPONSE_TIMEOUT;
         let full = f64::from(self.in_flight) >= self.window.floor();
         if full && !timed_out {
             RECHECK_TIME
@@ -145,10 +146,10 @@
         }
     }
 
-    /// Records an answer and whether the replica accepted the request; returns whether it is the
-    /// first accepted one since the backoff. The answer to a request sent before the end of the
+    /// Records a response and whether the replica accepted the request; returns whether it is the
+    /// first accepted one since the backoff. The response to a request sent before the end of the
     /// backoff is ignored.
-    pub(crate) fn note_answer(
+    pub(crate) fn note_response(
         &mut self,
         replica: ShortTag,
         accepted: bool,
@@ -197,7 +198,7 @@
         if !row.wait(now).is_zero() {
             return false;
         }
-        if now.saturating_duration_since(row.sent_at) >= ANSWER_TIMEOUT {
+        if now.saturating_duration_since(row.sent_at) >= RESPONSE_TIMEOUT {
             row.in_flight = 0;
         }
         row.in_flight += 1;
--- a/crates/zinniahatch_route/src/first_event_model.rs
+++ b/crates/zinniahatch_route/src/first_event_model.rs
@@ -1,20 +1,20 @@
-//! Model of the time to the first event of an answer, for placement, admission and cross-region
+//! Model of the time to the first event of a response, for placement, admission and cross-region
 //! routing.
 //!
-//! `time = base + per_token * tokens to prefill`. Both parameters are learned from answers, because
-//! the prefill rates of engines differ tenfold and no engine reports its own. They are tracked as
-//! low quantiles rather than means: part of the work ahead of a request was sent by nodes that have
-//! not announced it yet, so an answer is often later than the line and never earlier. A line
-//! through the means had half the true slope on a large site, and a queue looked half as long as it
-//! was.
+//! `time = base + per_token * tokens to prefill`. Both parameters are learned from responses,
+//! because the prefill rates of engines differ tenfold and no engine reports its own. They are
+//! tracked as low quantiles rather than means: part of the work ahead of a request was sent by
+//! nodes that have not announced it yet, so a response is often later than the line and never
+//! earlier. A line through the means had half the true slope on a large site, and a queue looked
+//! half as long as it was.
 
 use zinniahatch_base::prelude::*;
 
-/// Tracked quantile of the answer times: the answers that were not held up.
+/// Tracked quantile of the response times: the responses that were not held up.
 const QUANTILE: f64 = 0.35;
-/// Step of the tracking, relative to the value; about thirty answers move it to a new level.
+/// Step of the tracking, relative to the value; about thirty responses move it to a new level.
 const STEP: f64 = 0.06;
-/// Prompt length from which an answer is a sample of the prefill rate; below it, the base
+/// Prompt length from which a response is a sample of the prefill rate; below it, the base
 /// dominates.
 const LONG_PROMPT: u32 = 1_200;
 /// Smallest number of own tokens assumed when the tokens ahead are compared with them.
@@ -29,14 +29,14 @@
 /// Bounds of the same for urgent requests, which engines prefill first, but between chunks of
 /// prompts already begun.
 const URGENT_QUEUE_RATIO_BOUNDS: (f64, f64) = (0.05, 4.0);
-/// Tokens ahead from which an urgent answer is a sample of the queueing time; only a fifth of the
+/// Tokens ahead from which an urgent response is a sample of the queueing time; only a fifth of the
 /// common tokens are counted.
 const URGENT_MIN_AHEAD: u32 = 240;
 /// Tracked quantile of the queueing times: the median.
 const QUEUE_QUANTILE: f64 = 0.5;
-/// Step of the tracking, relative to the value; about fifty answers move it to a new level.
+/// Step of the tracking, relative to the value; about fifty responses move it to a new level.
 const QUEUE_STEP: f64 = 0.04;
-/// Weight of a new answer in the average slot time; about the last fifty answers count.
+/// Weight of a new response in the average slot time; about the last fifty responses count.
 const SLOT_TIME_GAIN: f64 = 0.02;
 /// Prior prefill time per token, in ms; the middle of the range of engines for a 70B model.
 const PRIOR_TOKEN_MS: f64 = 0.025;
@@ -45,7 +45,7 @@
 /// Bounds of the learned base, in ms.
 const BASE_MS_BOUNDS: (f64, f64) = (1.0, 5_000.0);
 
-/// One observed answer.
+/// One observed response.
 #[derive(Clone, Copy, Debug)]
 pub struct ModelSample {
     /// Tokens of the request itself that had to be prefilled before the first event.
@@ -97,10 +97,10 @@
         }
     }
 
-    /// Learns from an answer: short prompts are samples of the base, long ones of the prefill rate,
-    /// and those with many tokens ahead of the queueing time.
+    /// Learns from a response: short prompts are samples of the base, long ones of the prefill
+    /// rate, and those with many tokens ahead of the queueing time.
     ///
-    /// Queueing has a parameter of its own. When the prefill rate was learned from such answers
+    /// Queueing has a parameter of its own. When the prefill rate was learned from such responses
     /// too, it looked twice as high; with a fixed ratio for queueing, 53 of 100 requests expected
     /// at 700 to 900 ms of a latency target of 1,000 ms were late on an overloaded site.
     pub fn learn(&mut self, sample: ModelSample) {
@@ -122,7 +122,7 @@
     /// Learns how long the tokens ahead delay a request.
     ///
     /// Urgent requests overtake most of them and have a ratio of their own. With that of common
-    /// requests, which rises when a site is overloaded, 300 ms were expected where urgent answers
+    /// requests, which rises when a site is overloaded, 300 ms were expected where urgent responses
     /// began after 99 ms, and 4,000 of them were refused in one day on 80 nodes.
     fn learn_queue_ratio(&mut self, sample: ModelSample) {
         let (least, known, bounds) = if sample.urgent {
@@ -144,7 +144,7 @@
         *known = track(*known, seen, QUEUE_QUANTILE, QUEUE_STEP, bounds);
     }
 
-    /// Learns from a finished answer how long a request holds its slot.
+    /// Learns from a finished response how long a request holds its slot.
     pub fn learn_slot_time(&mut self, took: Duration) {
         let took = took.as_secs_f64() * 1e3;
         self.slot_time += SLOT_TIME_GAIN * (took - self.slot_time);
--- a/crates/zinniahatch_route/src/hearing.rs
+++ b/crates/zinniahatch_route/src/hearing.rs
@@ -116,7 +116,7 @@
         if heard.proof >= AnswerProof::Named {
             effect.serves = self
                 .backoffs
-                .note_answer(heard.replica, heard.taken, heard.sent);
+                .note_response(heard.replica, heard.taken, heard.sent);
         }
         if let Some(rest) = rest {
             effect.rest = self
@@ -142,7 +142,7 @@
             RateLimitNotice::Absent | RateLimitNotice::PerSecond(_) => {}
         }
         self.limits
-            .note_answer(heard.replica, named, heard.sent, now)
+            .note_response(heard.replica, named, heard.sent, now)
     }
 
     /// Takes another node's news that a replica said that it leaves; tells whether that is new.
--- a/crates/zinniahatch_route/src/in_flight_work.rs
+++ b/crates/zinniahatch_route/src/in_flight_work.rs
@@ -3,8 +3,8 @@
 use zinniahatch_base::prelude::*;
 
 /// Share of the common tokens ahead that counts for an urgent request. Their real delay is about a
-/// half, but with that placement followed the prefill work alone and long answers gathered where it
-/// was low: with 0.6 the scores on two sites were 0.872 and 0.910, with 0.2 they were 0.882 and
+/// half, but with that placement followed the prefill work alone and long responses gathered where
+/// it was low: with 0.6 the scores on two sites were 0.872 and 0.910, with 0.2 they were 0.882 and
 /// 0.920.
 const URGENT_AHEAD_SHARE: f64 = 0.2;
 
@@ -38,9 +38,9 @@
 
     /// Returns the number of requests whose slots a new request cannot have.
     ///
-    /// Engines preempt common requests for urgent ones: with all of 24 slots in use, urgent answers
-    /// began after 100 ms at the median, and an estimate that made them wait for a slot sent them
-    /// to other regions.
+    /// Engines preempt common requests for urgent ones: with all of 24 slots in use, urgent
+    /// responses began after 100 ms at the median, and an estimate that made them wait for a slot
+    /// sent them to other regions.
     pub fn slots_ahead(&self, urgent: bool) -> u32 {
         if urgent {
             self.urgent_requests
--- a/crates/zinniahatch_route/src/lib.rs
+++ b/crates/zinniahatch_route/src/lib.rs
@@ -27,7 +27,7 @@
 mod rate_limit_share;
 mod rate_limits;
 mod reader_cover;
-mod recent_answers;
+mod recent_responses;
 mod region_ways;
 mod remote_share;
 mod replica_entry;
--- a/crates/zinniahatch_route/src/placement.rs
+++ b/crates/zinniahatch_route/src/placement.rs
@@ -37,7 +37,7 @@
 const MIN_SLOWNESS: f64 = 0.8;
 /// Share of the slots that is planned with; the rest is left for requests that other nodes send
 /// before they learn of each other's.
-const SLOT_MARGIN: f64 = 0.95;
+const USABLE_SLOTS: f64 = 0.95;
 /// Unit of the running requests in a digest: tenths.
 const RUNNING_SCALE: f64 = 10.0;
 
@@ -54,7 +54,7 @@
     pub urgent: bool,
     /// Replicas that were tried already.
     pub tried: &'a BTreeSet<ReplicaId>,
-    /// Longest time that the whole answer may take.
+    /// Longest time that the whole response may take.
     pub deadline: Duration,
     /// Time to copy one cached token between replicas; zero if they cannot.
     pub copy_token: Duration,
@@ -82,7 +82,7 @@
     /// Wait for a slot within the queueing time.
     pub queue: Duration,
     /// Expected time from the first event to the last.
-    pub answer: Duration,
+    pub decode_time: Duration,
     /// Time for which the prefill stalls other streams of the replica, summed over them.
     pub stream_stall: Duration,
     /// Tokens that the replica has to prefill for this request.
@@ -107,7 +107,7 @@
     /// Queueing time within it.
     pub wait: Duration,
     /// Expected time from the first event to the last.
-    pub answer: Duration,
+    pub decode_time: Duration,
     /// Time for which the prefill stalls other streams of the remote replica, summed over them.
     pub stream_stall: Duration,
 }
@@ -116,14 +116,14 @@
     /// Returns the time that the request costs all callers together: its own, and the stall of the
     /// streams that its prefill interrupts.
     pub fn total_caller_time(&self) -> Duration {
-        self.expected + self.answer + self.stream_stall
+        self.expected + self.decode_time + self.stream_stall
     }
 }
 
 impl RemotePlacement {
     /// Returns the time that the request costs all callers together in the remote region.
     pub fn total_caller_time(&self) -> Duration {
-        self.expected + self.answer + self.stream_stall
+        self.expected + self.decode_time + self.stream_stall
     }
 }
 
@@ -191,7 +191,7 @@
             cost,
             wait: wait.mul_f64(slowness),
             queue: queue.mul_f64(slowness),
-            answer: answer_time(table, state, query, now),
+            decode_time: decode_time(table, state, query, now),
             stream_stall: model.prefill_time(prompt.tokens) * work.requests,
             tokens: prompt.tokens,
             cold,
@@ -202,7 +202,7 @@
 }
 
 /// Returns the expected time from the first event to the last on a replica.
-fn answer_time(
+fn decode_time(
     table: &ReplicaTable,
     state: &ReplicaState,
     query: &PlacementQuery<'_>,
@@ -211,7 +211,7 @@
     let Some(model) = table.stream_model(query.service) else {
         return Duration::ZERO;
     };
-    let events = model.events(query.size.answer_tokens());
+    let events = model.events(query.size.output_tokens());
     model.replica_gap(&state.gaps, now).mul_f64(events)
 }
 
@@ -257,7 +257,7 @@
 /// Returns the expected wait for a slot: zero while one is free, then one slot time per round of
 /// requests.
 fn slot_wait(requests: f64, slots: f64, slot_time: Duration) -> Duration {
-    let over = requests + 1.0 - slots * SLOT_MARGIN;
+    let over = requests + 1.0 - slots * USABLE_SLOTS;
     if over <= 0.0 {
         return Duration::ZERO;
     }
@@ -323,7 +323,7 @@
     (ids(ranked, CHOICES), ids(others, OUTSIDERS))
 }
 
-/// Chooses the remote region in which the answer would end first, and a node there.
+/// Chooses the remote region in which the response would end first, and a node there.
 ///
 /// `random` picks the node, so that the nodes of one region share the load evenly.
 pub fn choose_remote(
@@ -337,7 +337,7 @@
 ) -> Option<RemotePlacement> {
     let model = table.model_of(query.service);
     let streams = table.stream_model(query.service);
-    let events = streams.map_or(0.0, |streams| streams.events(query.size.answer_tokens()));
+    let events = streams.map_or(0.0, |streams| streams.events(query.size.output_tokens()));
     let idle = streams.map_or(Duration::ZERO, StreamModel::idle_gap);
     let mut best: Option<RemotePlacement> = None;
     for (region, nodes) in members.live_elsewhere(query.region, now) {
@@ -360,7 +360,7 @@
         let round_trip = members.round_trip(&card.node);
         let expected = round_trip + wait + model.expected_time(query.size.tokens_in);
         let gap = Duration::from_micros(u64::from(digest.pause_us)).max(idle);
-        let answer = gap.mul_f64(events);
+        let decode_time = gap.mul_f64(events);
         let stream_stall = model
             .prefill_time(query.size.tokens_in)
             .mul_f64(f64::from(digest.running) / RUNNING_SCALE);
@@ -370,7 +370,7 @@
             expected,
             round_trip,
             wait,
-            answer,
+            decode_time,
             stream_stall,
         };
         let is_faster =
--- a/crates/zinniahatch_route/src/placement_cost.rs
+++ b/crates/zinniahatch_route/src/placement_cost.rs
@@ -25,7 +25,7 @@
 /// choices that differ from session to session prevent that.
 const OUTSIDE_COST: Duration = Duration::from_millis(80);
 /// Cost of a replica whose slots are all in use; it grows with the square of their use. Long
-/// answers hold slots for seconds: placed by queued tokens alone, they gathered on replicas with
+/// responses hold slots for seconds: placed by queued tokens alone, they gathered on replicas with
 /// little prefill work, until 60 of 64 slots were in use there and prompts waited 1.5 s for one.
 const FULL_COST: Duration = Duration::from_millis(150);
 
--- a/crates/zinniahatch_route/src/prompt.rs
+++ b/crates/zinniahatch_route/src/prompt.rs
@@ -28,7 +28,7 @@
 
 impl PromptSize {
     /// Returns the number of generated tokens to expect.
-    pub fn answer_tokens(&self) -> u32 {
+    pub fn output_tokens(&self) -> u32 {
         if self.expected_out > 0 {
             self.expected_out
         } else {
--- a/crates/zinniahatch_route/src/rate_limit_notice.rs
+++ b/crates/zinniahatch_route/src/rate_limit_notice.rs
@@ -1,11 +1,11 @@
-//! Rate limit that a replica states in an answer.
+//! Rate limit that a replica states in a response.
 
 use zinniahatch_base::prelude::*;
 
-/// Rate limit that a replica states in an answer.
+/// Rate limit that a replica states in a response.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum RateLimitNotice {
-    /// The answer states none.
+    /// The response states none.
     #[default]
     Absent,
     /// Requests per second that the replica accepts from all nodes together.
--- a/crates/zinniahatch_route/src/rate_limit_share.rs
+++ b/crates/zinniahatch_route/src/rate_limit_share.rs
@@ -4,7 +4,7 @@
 
 /// Burst of all nodes together, in addition to one second's worth of the rate.
 const BURST: f64 = 2.0;
-/// Lowest rate at which requests are still sent: only answers of the replica show that its limit
+/// Lowest rate at which requests are still sent: only responses of the replica show that its limit
 /// has ended.
 const MIN_RATE: RequestRate = 0.1;
 
--- a/crates/zinniahatch_route/src/rate_limits.rs
+++ b/crates/zinniahatch_route/src/rate_limits.rs
@@ -35,7 +35,7 @@
 }
 
 impl RateLimitUpdate {
-    /// Returns whether it replaces a known update. Nodes that saw different answers at the same
+    /// Returns whether it replaces a known update. Nodes that saw different responses at the same
     /// time may assign the same number to both; then the lower rate wins on all of them.
     fn replaces(&self, known: &Self) -> bool {
         self.sequence > known.sequence
@@ -67,7 +67,7 @@
 #[derive(Clone, Debug)]
 struct RateLimitRow {
     update: RateLimitUpdate,
-    /// When an answer or another node last confirmed the limit.
+    /// When a response or another node last confirmed the limit.
     seen: Instant,
     share: RateLimitShare,
     /// Whether the update still has to be sent to the other nodes of the region.
@@ -102,11 +102,11 @@
 }
 
 impl RateLimitTable {
-    /// Records the limit that a replica states in an answer; returns the change.
+    /// Records the limit that a replica states in a response; returns the change.
     ///
-    /// The answer to a request sent before this node last learned of the limit may be older than
+    /// The response to a request sent before this node last learned of the limit may be older than
     /// the limit. It shows neither the end of the limit nor a higher one.
-    pub fn note_answer(
+    pub fn note_response(
         &mut self,
         replica: ShortTag,
         named: RateLimitNotice,
--- a/crates/zinniahatch_route/src/recent_answers.rs
+++ b/crates/zinniahatch_route/src/recent_responses.rs
@@ -3,23 +3,23 @@
 use std::collections::VecDeque;
 use zinniahatch_base::prelude::*;
 
-/// Time for which a full answer clears a content of suspicion. Without it, a request that many
-/// callers make was blamed when all replicas that served it were lost at once, although each of
-/// them had just answered it.
+/// Time for which a complete response clears a content of suspicion. Without it, a request that
+/// many callers make was blamed when all replicas that served it were lost at once, although each
+/// of them had just answered it.
 const RETENTION: Duration = Duration::from_secs(30);
 /// Largest number of contents remembered, some 200 KB; covers 64 requests/s per node for 30 s.
 const MAX_CONTENTS: usize = 2_048;
 
-/// Contents with the time of their last full answer.
+/// Contents with the time of their last complete response.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct RecentAnswers {
+pub(crate) struct RecentResponses {
     last: BTreeMap<ContentDigest, Instant>,
     /// The same in order of time, for eviction.
     order: VecDeque<(Instant, ContentDigest)>,
 }
 
-impl RecentAnswers {
-    /// Records a full answer.
+impl RecentResponses {
+    /// Records a complete response.
     pub(crate) fn note(&mut self, content: ContentDigest, now: Instant) {
         if self.last.insert(content, now).is_none() {
             self.order.push_back((now, content));
--- a/crates/zinniahatch_route/src/remote_share.rs
+++ b/crates/zinniahatch_route/src/remote_share.rs
@@ -1,13 +1,13 @@
 //! Share of the streams that are sent to a remote region because it decodes faster.
 //!
 //! Load pattern: the peaks of regions come at different hours. A region at its peak still begins
-//! each answer in time, but decodes at a third of the speed of the next region, which is idle. The
-//! longer streams last, the more of them a failure cuts off, and the longest do not finish before
-//! their callers give up.
+//! each response in time, but decodes at a third of the speed of the next region, which is idle.
+//! The longer streams last, the more of them a failure cuts off, and the longest do not finish
+//! before their callers give up.
 
 use zinniahatch_base::prelude::*;
 
-/// Share of requests that is sent away per unit of relative improvement of the whole answer time.
+/// Share of requests that is sent away per unit of relative improvement of the whole response time.
 /// Updates from the other region are half a second old; sending everything as soon as it looks
 /// better would make the load oscillate.
 const SHARE_PER_GAIN: f64 = 3.0;
--- a/crates/zinniahatch_route/src/replica_health.rs
+++ b/crates/zinniahatch_route/src/replica_health.rs
@@ -1,8 +1,8 @@
-//! Health of a replica, derived from the answers to requests (passive health checks).
+//! Health of a replica, derived from the responses to requests (passive health checks).
 //!
 //! Active health checks can pass while requests fail, and a replica can go silent without closing
-//! its connections. The record is therefore kept from answers alone: failures decay within seconds,
-//! and silence counts while requests are in flight.
+//! its connections. The record is therefore kept from responses alone: failures decay within
+//! seconds, and silence counts while requests are in flight.
 
 use zinniahatch_base::prelude::*;
 
@@ -51,7 +51,7 @@
         self.updated = now;
     }
 
-    /// Records a successful answer.
+    /// Records a successful response.
     pub fn note_success(&mut self, now: Instant) {
         self.decay(now);
         self.successes += 1.0;
@@ -59,7 +59,8 @@
         self.suspect_until = None;
     }
 
-    /// Records a failure of the replica: a broken connection, an error status or a corrupt answer.
+    /// Records a failure of the replica: a broken connection, an error status or a corrupt
+    /// response.
     pub fn note_failure(&mut self, now: Instant) {
         self.decay(now);
         self.failures += 1.0;
--- a/crates/zinniahatch_route/src/replica_notice.rs
+++ b/crates/zinniahatch_route/src/replica_notice.rs
@@ -1,14 +1,14 @@
-//! Notices of a replica about itself in the headers of one answer.
+//! Notices of a replica about itself in the headers of one response.
 //!
 //! All of them are decoded together and applied in one place, so that none is left unread.
 
 use crate::RateLimitNotice;
 use zinniahatch_base::prelude::*;
 
-/// Whether a replica states in an answer that it is leaving.
+/// Whether a replica states in a response that it is leaving.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum DrainNotice {
-    /// The answer states nothing.
+    /// The response states nothing.
     #[default]
     Absent,
     /// The replica is leaving and will not take work again in this incarnation.
@@ -20,7 +20,7 @@
 /// Time for which a replica asks this node to send it nothing (Retry-After).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum BackoffNotice {
-    /// The answer states none.
+    /// The response states none.
     #[default]
     Absent,
     /// The replica asks for a backoff of this duration.
@@ -39,7 +39,7 @@
     }
 }
 
-/// Notices of a replica about itself in one answer.
+/// Notices of a replica about itself in one response.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ReplicaNotice {
     /// Whether it is leaving.
--- a/crates/zinniahatch_route/src/replica_state.rs
+++ b/crates/zinniahatch_route/src/replica_state.rs
@@ -56,7 +56,7 @@
     pub reported_load: Option<(u32, u32, Instant)>,
     /// Prompt parts that it probably caches.
     pub prefix_cache: KeptParts,
-    /// Health derived from its answers.
+    /// Health derived from its responses.
     pub health: ReplicaHealth,
     /// Gaps between the events of its streams.
     pub gaps: GapMeter,
@@ -142,7 +142,7 @@
         sum
     }
 
-    /// Updates the slowness from an answer's time and the time that the model expected.
+    /// Updates the slowness from a response's time and the time that the model expected.
     pub fn note_latency(&mut self, expected: Duration, took: Duration) {
         let expected = expected.as_secs_f64().max(1e-3);
         let ratio = (took.as_secs_f64() / expected).clamp(SLOWNESS.0, SLOWNESS.1);
--- a/crates/zinniahatch_route/src/replica_table.rs
+++ b/crates/zinniahatch_route/src/replica_table.rs
@@ -27,7 +27,7 @@
 /// Time after the store was restored from an older backup in which operators write again what the
 /// backup lacks. Until then, no evacuation ends merely because the backup does not contain it.
 pub const RESTORE_HOLD: Duration = Duration::from_secs(6);
-/// Prior base of the first-event model of a service, in ms, until answers were observed.
+/// Prior base of the first-event model of a service, in ms, until responses were observed.
 const PRIOR_BASE_MS: f64 = 40.0;
 
 /// Time for which an incarnation that announced its leaving is remembered after removal: its entry
@@ -84,7 +84,7 @@
     /// The state of a replica changed.
     Updated,
     /// The replica restarted under the same id. Open connections to the address are dead, and
-    /// requests sent on them are lost without an answer.
+    /// requests sent on them are lost without a response.
     Restarted(SocketAddrV4),
 }
 
@@ -104,7 +104,7 @@
     pub limits: RateLimitTable,
     /// Backoffs that replicas asked of this node.
     pub backoffs: BackoffTable,
-    /// Incarnations that announced in an answer that they are leaving, by tag.
+    /// Incarnations that announced in a response that they are leaving, by tag.
     pub(crate) announced_leaving: BTreeMap<ShortTag, ReplicaIncarnation>,
     /// Ended incarnations by replica id.
     pub(crate) ended: BTreeMap<ReplicaId, EndedIncarnation>,
@@ -401,8 +401,8 @@
     /// Returns a digest of the store's entries for a region's replicas: ids, incarnations, and
     /// which are leaving.
     ///
-    /// What answers state about them is left out, so that nodes that read the same entries have the
-    /// same digest.
+    /// What responses state about them is left out, so that nodes that read the same entries have
+    /// the same digest.
     pub fn entries_digest(
         &self,
         regions: &BTreeMap<DataCentreId, RegionId>,
@@ -456,8 +456,8 @@
         self.streams.get(service)
     }
 
-    /// Records bytes of an answer, and the gap before them if they are events of an engine; returns
-    /// whether the incarnation that took the request is still current.
+    /// Records bytes of a response, and the gap before them if they are events of an engine;
+    /// returns whether the incarnation that took the request is still current.
     pub fn note_bytes(
         &mut self,
         id: &str,
@@ -490,7 +490,7 @@
     /// Records the length of a complete stream.
     pub fn note_length(&mut self, service: &ServiceId, size: &PromptSize, events: u32) {
         if let Some(model) = self.streams.get_mut(service) {
-            model.note_length(size.answer_tokens(), events);
+            model.note_length(size.output_tokens(), events);
         }
     }
 
--- a/crates/zinniahatch_route/src/replica_work.rs
+++ b/crates/zinniahatch_route/src/replica_work.rs
@@ -121,7 +121,7 @@
         }
     }
 
-    /// Records the first event of an answer: its prompt is prefilled.
+    /// Records the first event of a response: its prompt is prefilled.
     pub fn note_first_event(&mut self, id: &str, ticket: u64, work: InFlightWork) {
         if let Some(state) = self.replica_for_ticket(id, ticket) {
             state.local_work.subtract_tokens(work);
--- a/crates/zinniahatch_route/src/stream_gaps.rs
+++ b/crates/zinniahatch_route/src/stream_gaps.rs
@@ -1,4 +1,4 @@
-//! Decoding speed of replicas: the gap between the events of a stream, and the events per answer.
+//! Decoding speed of replicas: the gap between the events of a stream, and the events per response.
 //!
 //! Load pattern: at a region's peak its replicas prefill so many prompts between decoding steps
 //! that a stream lasts three times as long as on an idle replica, while regions off their peak are
@@ -17,7 +17,7 @@
 /// Bounds of an observed gap, in ms: events that arrive together carry no information, and a
 /// stalled stream says nothing about decoding speed.
 const GAP_MS_BOUNDS: (f64, f64) = (1.0, 2_000.0);
-/// Weight of an answer in the average length; about the last fifty answers count.
+/// Weight of a response in the average length; about the last fifty responses count.
 const LENGTH_GAIN: f64 = 0.02;
 
 /// Decaying average of the gaps between events.
@@ -66,7 +66,7 @@
     idle: Option<f64>,
     /// Gaps on all replicas of the region.
     region: GapMeter,
-    /// Events per token that a caller expects; `None` until a full answer was observed.
+    /// Events per token that a caller expects; `None` until a complete response was observed.
     events_each: Option<f64>,
 }
 
@@ -97,7 +97,7 @@
         replica.note(gap, now);
     }
 
-    /// Records how many events a full answer had, and how many tokens the caller asked for.
+    /// Records how many events a complete response had, and how many tokens the caller asked for.
     pub fn note_length(&mut self, asked: u32, events: u32) {
         if asked == 0 || events == 0 {
             return;
@@ -107,7 +107,7 @@
         *known += LENGTH_GAIN * (seen - *known);
     }
 
-    /// Returns the expected number of events of an answer; 0 if unknown.
+    /// Returns the expected number of events of a response; 0 if unknown.
     pub fn events(&self, asked: u32) -> f64 {
         self.events_each.map_or(0.0, |each| each * f64::from(asked))
     }
--- a/crates/zinniahatch_route/src/suspects.rs
+++ b/crates/zinniahatch_route/src/suspects.rs
@@ -6,16 +6,16 @@
 //!
 //! Guard: retries share the digest of their content. Each node records the contents that it had in
 //! flight on a replica that crashed, and all nodes share these records. A content under which three
-//! replicas crashed, without a full answer in between, is quarantined: every node refuses it at
-//! once until the quarantine expires.
+//! replicas crashed, without a complete response in between, is quarantined: every node refuses it
+//! at once until the quarantine expires.
 //!
-//! Innocent requests that ran beside it are spared in three ways. A full answer clears a content
-//! and keeps it clear for a while. The crash of a replica counts only against the contents with
-//! most crashes that were on it, among equals against the one that had run for the shortest time,
-//! since these explain it. Nothing but crashes counts: broken connections, silence and power loss
-//! do not.
+//! Innocent requests that ran beside it are spared in three ways. A complete response clears a
+//! content and keeps it clear for a while. The crash of a replica counts only against the contents
+//! with most crashes that were on it, among equals against the one that had run for the shortest
+//! time, since these explain it. Nothing but crashes counts: broken connections, silence and power
+//! loss do not.
 
-use crate::recent_answers::RecentAnswers;
+use crate::recent_responses::RecentResponses;
 use std::cmp::Reverse;
 use zinniahatch_base::prelude::*;
 
@@ -73,7 +73,7 @@
 struct SuspectRow {
     /// Last crashes under it, oldest first.
     crashes: Vec<ReplicaCrash>,
-    /// Time of its last full answer; crashes up to then do not count.
+    /// Time of its last complete response; crashes up to then do not count.
     cleared: Option<Instant>,
     /// Whether this node observed one of the crashes.
     local: bool,
@@ -104,7 +104,7 @@
         true
     }
 
-    /// Records a full answer; returns whether it cleared any crashes.
+    /// Records a complete response; returns whether it cleared any crashes.
     fn clear(&mut self, at: Instant) -> bool {
         if self.cleared.is_some_and(|cleared| at <= cleared) {
             return false;
@@ -167,7 +167,7 @@
         pub content: ContentDigest,
         /// Crashes of replicas that ran it.
         pub crashes: Vec<ReportedCrash>,
-        /// Time since its last full answer, in ms.
+        /// Time since its last complete response, in ms.
         pub cleared: Option<u32>,
     }
 }
@@ -219,8 +219,8 @@
     quarantined: BTreeSet<ContentDigest>,
     /// Contents with pending updates, and how many times each is still to be sent.
     pending: BTreeMap<ContentDigest, u8>,
-    /// Recent full answers, which clear their contents.
-    recent_answers: RecentAnswers,
+    /// Recent complete responses, which clear their contents.
+    recent_responses: RecentResponses,
 }
 
 impl SuspectTable {
@@ -233,7 +233,7 @@
         ran: Duration,
         now: Instant,
     ) -> bool {
-        if self.recent_answers.contains(content, now) {
+        if self.recent_responses.contains(content, now) {
             return false;
         }
         let row = self.rows.entry(content).or_default();
@@ -252,9 +252,9 @@
         counts
     }
 
-    /// Records a full answer; returns whether it cleared the content of suspicion.
+    /// Records a complete response; returns whether it cleared the content of suspicion.
     pub fn note_answered(&mut self, content: ContentDigest, now: Instant) -> bool {
-        self.recent_answers.note(content, now);
+        self.recent_responses.note(content, now);
         let row = self.rows.get_mut(&content);
         let cleared = row.is_some_and(|row| row.clear(now));
         if cleared {
@@ -297,12 +297,12 @@
         }
     }
 
-    /// Returns a content with enough crashes and no recent full answer, and the time of its last
-    /// crash.
+    /// Returns a content with enough crashes and no recent complete response, and the time of its
+    /// last crash.
     fn accused_row(&self, content: ContentDigest, now: Instant) -> Option<(&SuspectRow, Instant)> {
         let row = self.rows.get(&content).filter(|row| row.is_accused())?;
         let last = row.crashes.last()?.at;
-        (!self.recent_answers.contains(content, now)).then_some((row, last))
+        (!self.recent_responses.contains(content, now)).then_some((row, last))
     }
 
     /// Returns the time until it can be decided whether a content is quarantined; `None` if it can
@@ -471,7 +471,7 @@
         self.rows.retain(|_, row| row.is_current(now));
         let rows = &self.rows;
         self.pending.retain(|content, _| rows.contains_key(content));
-        self.recent_answers.evict(now);
+        self.recent_responses.evict(now);
     }
 
     fn add_pending(&mut self, content: ContentDigest) {
--- a/crates/zinniahatch_route/tests/limit_fleet/mod.rs
+++ b/crates/zinniahatch_route/tests/limit_fleet/mod.rs
@@ -55,7 +55,7 @@
     type News = RateLimitUpdate;
 
     fn note_answer(&mut self, named: RateLimitNotice, sent: Instant, now: Instant) {
-        self.note_answer(REPLICA, named, sent, now);
+        self.note_response(REPLICA, named, sent, now);
     }
 
     fn hear(&mut self, news: &RateLimitUpdate, now: Instant) {
--- a/crates/zinniahatch_route/tests/limit_fleet/shared_bucket.rs
+++ b/crates/zinniahatch_route/tests/limit_fleet/shared_bucket.rs
@@ -45,7 +45,7 @@
 
     fn note_answer(&mut self, named: RateLimitNotice, sent: Instant, now: Instant) {
         self.advance(now);
-        self.limits.note_answer(REPLICA, named, sent, now);
+        self.limits.note_response(REPLICA, named, sent, now);
     }
 
     fn hear(&mut self, news: &BucketNews, now: Instant) {
--- a/crates/zinniahatch_route/tests/rate_limits.rs
+++ b/crates/zinniahatch_route/tests/rate_limits.rs
@@ -103,19 +103,19 @@
     let now = Instant::now();
     let at = |millis| now + Duration::from_millis(millis);
     let (mut one, mut other) = (RateLimitTable::default(), RateLimitTable::default());
-    one.note_answer(REPLICA, RateLimitNotice::PerSecond(1.0), at(0), at(10));
+    one.note_response(REPLICA, RateLimitNotice::PerSecond(1.0), at(0), at(10));
     let begun = one.take_updates(1);
     other.apply_update(&begun[0], at(20));
     // Sent before the limit was known here.
     assert_eq!(
-        other.note_answer(REPLICA, RateLimitNotice::Absent, at(15), at(30)),
+        other.note_response(REPLICA, RateLimitNotice::Absent, at(15), at(30)),
         None
     );
     let raised = RateLimitNotice::PerSecond(4.0);
-    assert_eq!(other.note_answer(REPLICA, raised, at(15), at(30)), None);
+    assert_eq!(other.note_response(REPLICA, raised, at(15), at(30)), None);
     assert!(
         other
-            .note_answer(REPLICA, RateLimitNotice::Absent, at(25), at(40))
+            .note_response(REPLICA, RateLimitNotice::Absent, at(25), at(40))
             .is_some()
     );
     assert_eq!(
@@ -138,7 +138,7 @@
     let now = Instant::now();
     let mut book = RateLimitTable::default();
     book.set_sharers(Some(1), [2].into(), now);
-    book.note_answer(REPLICA, RateLimitNotice::PerSecond(0.0), now, now);
+    book.note_response(REPLICA, RateLimitNotice::PerSecond(0.0), now, now);
     let wait = book.wait(REPLICA, now);
     assert!(
         !book.take(REPLICA, now) && wait <= Duration::from_secs(30),
@@ -154,7 +154,7 @@
     let now = Instant::now();
     let mut book = RateLimitTable::default();
     book.set_sharers(None, [2].into(), now);
-    book.note_answer(REPLICA, RateLimitNotice::PerSecond(50.0), now, now);
+    book.note_response(REPLICA, RateLimitNotice::PerSecond(50.0), now, now);
     assert!(!book.take(REPLICA, now + Duration::from_secs(5)));
 }
 
