--- a/crates/zinniahatch_entry/src/core.rs
+++ b/crates/zinniahatch_entry/src/core.rs
@@ -302,9 +302,9 @@
     }
 
     /// Records that a store call of this node failed.
-    pub(crate) fn note_store_trouble(&self) {
+    pub(crate) fn note_store_failure(&self) {
         let mut replicas = self.replicas.borrow_mut();
-        replicas.note_store_trouble(Instant::now());
+        replicas.note_store_failure(Instant::now());
     }
 
     /// Puts a preset in force unless it was switched on before the current one.
--- a/crates/zinniahatch_entry/src/nodes/broadcast.rs
+++ b/crates/zinniahatch_entry/src/nodes/broadcast.rs
@@ -9,9 +9,9 @@
 use std::net::SocketAddrV4;
 use tokio::net::UdpSocket;
 use zinniahatch_base::prelude::*;
-use zinniahatch_route::LimitNews;
 use zinniahatch_route::MemberInfo;
-use zinniahatch_route::ReplicaLife;
+use zinniahatch_route::RateLimitUpdate;
+use zinniahatch_route::ReplicaIncarnation;
 
 /// Maximum replica updates per datagram: about 60 bytes each, so that they fit in one packet.
 const MAX_REPLICA_UPDATES: usize = 16;
@@ -42,28 +42,38 @@
     let batch = core
         .suspects
         .borrow_mut()
-        .take_news(again, MAX_SUSPECTS, now);
-    if !batch.wide.is_empty() {
-        send_to_matching(core, socket, &GossipMessage::Suspects(batch.wide), |_| true).await;
+        .take_updates(again, MAX_SUSPECTS, now);
+    if !batch.broadcast.is_empty() {
+        send_to_matching(
+            core,
+            socket,
+            &GossipMessage::Suspects(batch.broadcast),
+            |_| true,
+        )
+        .await;
     }
-    if !batch.own.is_empty() {
+    if !batch.local.is_empty() {
         let relays = core
             .members
             .borrow()
             .one_per_region(&core.settings.name, now);
         let filter =
             |member: &MemberInfo| in_own_region(core, member) || relays.contains(&member.peer);
-        send_to_matching(core, socket, &GossipMessage::Suspects(batch.own), filter).await;
+        send_to_matching(core, socket, &GossipMessage::Suspects(batch.local), filter).await;
     }
-    if !batch.passed.is_empty() {
-        broadcast(core, socket, &GossipMessage::Suspects(batch.passed)).await;
+    if !batch.relayed.is_empty() {
+        broadcast(core, socket, &GossipMessage::Suspects(batch.relayed)).await;
     }
 }
 
 /// Broadcasts pending rate limit updates to the region.
 pub(crate) async fn broadcast_rate_limits(core: &EntryCore, socket: &UdpSocket) {
     loop {
-        let updates = core.replicas.borrow_mut().limits.take_news(MAX_RATE_LIMITS);
+        let updates = core
+            .replicas
+            .borrow_mut()
+            .limits
+            .take_updates(MAX_RATE_LIMITS);
         if updates.is_empty() {
             return;
         }
@@ -73,7 +83,7 @@
 
 /// Sends all known rate limits and leaving replicas to a node of the region whose digest differs.
 pub(crate) async fn send_known_notices(core: &EntryCore, socket: &UdpSocket, to: SocketAddrV4) {
-    let leaving: Vec<ReplicaLife> = core
+    let leaving: Vec<ReplicaIncarnation> = core
         .replicas
         .borrow()
         .announced_leaving()
@@ -86,7 +96,7 @@
         };
         send_message(socket, &GossipMessage::Replicas(updates), to).await;
     }
-    let known: Vec<LimitNews> = core.replicas.borrow().limits.known_news().collect();
+    let known: Vec<RateLimitUpdate> = core.replicas.borrow().limits.active_limits().collect();
     for part in known.chunks(MAX_RATE_LIMITS) {
         send_message(socket, &GossipMessage::RateLimits(part.to_vec()), to).await;
     }
@@ -106,7 +116,10 @@
 pub(crate) async fn send_known_suspects(core: &EntryCore, socket: &UdpSocket, to: SocketAddrV4) {
     let now = Instant::now();
     let draw = rand::random();
-    let updates = core.suspects.borrow().known_news(draw, MAX_SUSPECTS, now);
+    let updates = core
+        .suspects
+        .borrow()
+        .accused_updates(draw, MAX_SUSPECTS, now);
     if updates.is_empty() {
         return;
     }
--- a/crates/zinniahatch_entry/src/nodes/catch_up.rs
+++ b/crates/zinniahatch_entry/src/nodes/catch_up.rs
@@ -29,7 +29,7 @@
     loop {
         sleep(CHECK_INTERVAL).await;
         let now = Instant::now();
-        let store_reachable = !core.replicas.borrow().in_trouble(now);
+        let store_reachable = !core.replicas.borrow().store_failed_recently(now);
         let own = SyncState {
             region: &core.settings.region,
             version: core.version(),
--- a/crates/zinniahatch_entry/src/nodes/gossip.rs
+++ b/crates/zinniahatch_entry/src/nodes/gossip.rs
@@ -27,7 +27,7 @@
 use tokio::time::sleep_until;
 use zinniahatch_base::prelude::*;
 use zinniahatch_route::FreshnessProof;
-use zinniahatch_route::LimitNews;
+use zinniahatch_route::RateLimitUpdate;
 use zinniahatch_route::RegionUsage;
 
 /// Interval between heartbeats; a node counts as silent after three lost ones.
@@ -108,7 +108,7 @@
         echo: None,
         wants_reply: false,
         peers: sample_peers(core),
-        suspects: core.suspects.borrow().known_digest(),
+        suspects: core.suspects.borrow().accused_digest(),
         notices: notices_digest(core),
     };
     for (address, wants_reply) in heartbeat_receivers(core, now) {
@@ -198,7 +198,7 @@
         Ok(GossipMessage::Heartbeat(heartbeat)) => {
             let same_region = heartbeat.member.region == core.settings.region;
             let diff = StateDiff {
-                suspects: heartbeat.suspects != core.suspects.borrow().known_digest(),
+                suspects: heartbeat.suspects != core.suspects.borrow().accused_digest(),
                 notices: same_region && heartbeat.notices != notices_digest(core),
             };
             handle_heartbeat(core, echoes, heartbeat);
@@ -217,7 +217,7 @@
     DatagramEffect::Handled
 }
 
-fn handle_rate_limits(core: &EntryCore, updates: &[LimitNews], from: SocketAddrV4) {
+fn handle_rate_limits(core: &EntryCore, updates: &[RateLimitUpdate], from: SocketAddrV4) {
     if is_from_own_region(core, from) {
         apply_rate_limit_updates(core, updates);
     }
--- a/crates/zinniahatch_entry/src/nodes/gossip_message.rs
+++ b/crates/zinniahatch_entry/src/nodes/gossip_message.rs
@@ -5,10 +5,10 @@
 use serde::Serialize;
 use std::net::SocketAddrV4;
 use zinniahatch_base::prelude::*;
-use zinniahatch_route::LimitNews;
 use zinniahatch_route::MemberInfo;
+use zinniahatch_route::RateLimitUpdate;
 use zinniahatch_route::RegionUsage;
-use zinniahatch_route::SuspectNews;
+use zinniahatch_route::SuspectUpdate;
 use zinniahatch_route::WorkUpdate;
 
 /// A datagram between nodes.
@@ -21,9 +21,9 @@
     /// Replica changes learned by a node of the region.
     Replicas(ReplicaUpdates),
     /// Suspect requests: those during which replicas crashed.
-    Suspects(Vec<SuspectNews>),
+    Suspects(Vec<SuspectUpdate>),
     /// Rate limits of the region's replicas.
-    RateLimits(Vec<LimitNews>),
+    RateLimits(Vec<RateLimitUpdate>),
     /// Account usage in another region, to be passed on within this one.
     AccountUsage(RegionUsage),
 }
--- a/crates/zinniahatch_entry/src/nodes/own_info.rs
+++ b/crates/zinniahatch_entry/src/nodes/own_info.rs
@@ -14,7 +14,7 @@
 
 /// Returns whether this node is an active store reader for its region.
 fn is_store_reader(core: &EntryCore, now: Instant) -> bool {
-    let served = !core.replicas.borrow().in_trouble(now);
+    let served = !core.replicas.borrow().store_failed_recently(now);
     served && core.is_initialized() && holds_role(core, STORE_READER_ROLE, STORE_READERS)
 }
 
@@ -23,7 +23,7 @@
     let settings = &core.settings;
     StoreDigest {
         replicas: replicas.entries_digest(&settings.regions, &settings.region),
-        rules: replicas.rules_digest(core.version()),
+        rules: replicas.config_digest(core.version()),
     }
 }
 
@@ -75,7 +75,7 @@
         stage: core.stage(),
         version: core.version(),
         preset: core.preset.borrow().revision,
-        store_reachable: !replicas.in_trouble(now),
+        store_reachable: !replicas.store_failed_recently(now),
         store_digest: is_store_reader(core, now).then(|| store_digest(core)),
         // Set when the heartbeat is sent, since the proof ages until then.
         proof: None,
--- a/crates/zinniahatch_entry/src/nodes/replica_updates.rs
+++ b/crates/zinniahatch_entry/src/nodes/replica_updates.rs
@@ -4,7 +4,7 @@
 use serde::Serialize;
 use zinniahatch_base::prelude::*;
 use zinniahatch_route::ReplicaEntry;
-use zinniahatch_route::ReplicaLife;
+use zinniahatch_route::ReplicaIncarnation;
 
 /// Replica updates for the nodes of a region.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
@@ -17,7 +17,7 @@
     /// change.
     pub(crate) evacuations: Vec<(DataCentreId, bool, StoreRevision)>,
     /// Replica incarnations that announced in an answer that they are leaving.
-    pub(crate) leaving: Vec<ReplicaLife>,
+    pub(crate) leaving: Vec<ReplicaIncarnation>,
 }
 
 impl ReplicaUpdates {
--- a/crates/zinniahatch_entry/src/nodes/work_reporter.rs
+++ b/crates/zinniahatch_entry/src/nodes/work_reporter.rs
@@ -13,9 +13,9 @@
 use tokio::net::UdpSocket;
 use zinniahatch_base::prelude::*;
 use zinniahatch_route::CollectorSelector;
-use zinniahatch_route::OpenWork;
-use zinniahatch_route::REFRESH_TIME;
+use zinniahatch_route::InFlightWork;
 use zinniahatch_route::RegionUsage;
+use zinniahatch_route::WORK_REFRESH_INTERVAL;
 use zinniahatch_route::WorkBatch;
 use zinniahatch_route::WorkPath;
 use zinniahatch_route::WorkUpdate;
@@ -93,7 +93,10 @@
         let now = Instant::now();
         self.collectors.drop_unresponsive(now);
         self.choose_path(core, now);
-        let work = core.replicas.borrow_mut().take_unchanged(REFRESH_TIME, now);
+        let work = core
+            .replicas
+            .borrow_mut()
+            .take_stale_work(WORK_REFRESH_INTERVAL, now);
         self.send_part(core, socket, work, now).await;
     }
 
@@ -115,14 +118,14 @@
     }
 
     async fn send_changes(&mut self, core: &EntryCore, socket: &UdpSocket, now: Instant) {
-        let mut work = core.replicas.borrow_mut().take_changes(now);
+        let mut work = core.replicas.borrow_mut().take_changed_work(now);
         if self.collectors.drop_unresponsive(now) {
             // The last reports to the collector that went silent may have reached no other node.
             self.choose_path(core, now);
             let unchanged = core
                 .replicas
                 .borrow_mut()
-                .take_unchanged(Duration::ZERO, now);
+                .take_stale_work(Duration::ZERO, now);
             work.extend(unchanged);
         }
         self.send_part(core, socket, work, now).await;
@@ -132,10 +135,10 @@
         &mut self,
         core: &EntryCore,
         socket: &UdpSocket,
-        work: Vec<(ShortTag, OpenWork)>,
+        work: Vec<(ShortTag, InFlightWork)>,
         now: Instant,
     ) {
-        let reads = core.replicas.borrow_mut().take_reads();
+        let reads = core.replicas.borrow_mut().take_cached_prefixes();
         let usage = core.quotas.borrow_mut().take_local_usage();
         let part = (!work.is_empty() || !reads.is_empty()).then(|| {
             self.number += 1;
@@ -263,8 +266,8 @@
             if part.origin == self.origin {
                 continue;
             }
-            replicas.note_work(part.origin, part.number, &part.work, now);
-            replicas.note_reads(&part.reads, |service| {
+            replicas.apply_peer_work(part.origin, part.number, &part.work, now);
+            replicas.apply_cached_prefixes(&part.reads, |service| {
                 core.service(service).map_or(0, |spec| spec.kv_tokens)
             });
             if report.relay {
--- a/crates/zinniahatch_entry/src/replicas/notice.rs
+++ b/crates/zinniahatch_entry/src/replicas/notice.rs
@@ -10,11 +10,11 @@
 use http::StatusCode;
 use zinniahatch_base::prelude::*;
 use zinniahatch_platform::ResponseHeaders;
+use zinniahatch_route::BackoffChange;
 use zinniahatch_route::NoticeEffect;
 use zinniahatch_route::ReceivedNotice;
-use zinniahatch_route::ReplicaLife;
+use zinniahatch_route::ReplicaIncarnation;
 use zinniahatch_route::ResponseAuth;
-use zinniahatch_route::RestChange;
 
 /// Applies the notice in the response to a request.
 pub(crate) fn apply_response_notice(
@@ -49,7 +49,7 @@
 /// answered.
 pub(crate) fn apply_probe_notice(
     core: &EntryCore,
-    incarnation: &ReplicaLife,
+    incarnation: &ReplicaIncarnation,
     head: &ResponseHead,
     sent: Instant,
 ) {
@@ -119,7 +119,7 @@
         let replica_state = id.and_then(|id| replicas.get(id));
         (
             effect,
-            replica_state.map(|replica_state| replica_state.entry.life()),
+            replica_state.map(|replica_state| replica_state.entry.incarnation()),
         )
     };
     let replica = incarnation.as_ref().map(|incarnation| &incarnation.id);
@@ -153,7 +153,7 @@
 }
 
 /// Merges another node's updates on replicas that announced that they are leaving.
-pub(crate) fn apply_leaving_updates(core: &EntryCore, incarnations: &[ReplicaLife]) {
+pub(crate) fn apply_leaving_updates(core: &EntryCore, incarnations: &[ReplicaIncarnation]) {
     for incarnation in incarnations {
         let new = core.replicas.borrow_mut().mark_leaving(incarnation);
         if new {
@@ -166,7 +166,7 @@
 pub(crate) fn update_notice_gauges(core: &EntryCore) {
     let replicas = core.replicas.borrow();
     let leaving = replicas.announced_leaving().count();
-    let in_backoff = replicas.rests.count();
+    let in_backoff = replicas.backoffs.count();
     core.metrics.notices.set_counts(leaving, in_backoff);
 }
 
@@ -178,9 +178,9 @@
     request: Option<&RequestId>,
 ) {
     let (event, time) = match effect.backoff {
-        Some(RestChange::Began(time)) => ("rest_began", Some(time)),
-        Some(RestChange::Lengthened(time)) => ("rest_lengthened", Some(time)),
-        Some(RestChange::Covered) => {
+        Some(BackoffChange::Began(time)) => ("rest_began", Some(time)),
+        Some(BackoffChange::Lengthened(time)) => ("rest_lengthened", Some(time)),
+        Some(BackoffChange::Covered) => {
             core.metrics.notices.note("rest_covered");
             return;
         }
--- a/crates/zinniahatch_entry/src/replicas/probe.rs
+++ b/crates/zinniahatch_entry/src/replicas/probe.rs
@@ -12,8 +12,8 @@
 use tokio::time::sleep;
 use tokio::time::timeout;
 use zinniahatch_base::prelude::*;
-use zinniahatch_route::ReplicaLife;
-use zinniahatch_route::SendClaim;
+use zinniahatch_route::ReplicaIncarnation;
+use zinniahatch_route::SendReservation;
 
 /// Interval between probes of a replica.
 const PROBE_INTERVAL: Duration = Duration::from_millis(600);
@@ -35,7 +35,7 @@
     }
 }
 
-fn suspected_replicas(core: &EntryCore) -> Vec<(ReplicaLife, Box<str>)> {
+fn suspected_replicas(core: &EntryCore) -> Vec<(ReplicaIncarnation, Box<str>)> {
     let now = Instant::now();
     let replicas = core.replicas.borrow();
     replicas
@@ -49,15 +49,15 @@
                 .service(&state.entry.service)
                 .map(|service| service.health_path)
                 .unwrap_or_default();
-            (state.entry.life(), path)
+            (state.entry.incarnation(), path)
         })
         .collect()
 }
 
 async fn probe(
     core: Rc<EntryCore>,
-    incarnation: ReplicaLife,
-    reservation: SendClaim,
+    incarnation: ReplicaIncarnation,
+    reservation: SendReservation,
     path: Box<str>,
 ) {
     let sent = Instant::now();
@@ -73,12 +73,16 @@
     drop(replicas);
     core.log.write(
         "probe",
-        serde_json::json!({"replica": incarnation.id, "born_ms": incarnation.born, "sound": alive}),
+        serde_json::json!({"replica": incarnation.id, "born_ms": incarnation.started_ms, "sound": alive})
     );
 }
 
 /// Sends a probe to a replica and returns the head of the response, or `None` if there was none.
-async fn send_probe(core: &EntryCore, reservation: SendClaim, path: &str) -> Option<ResponseHead> {
+async fn send_probe(
+    core: &EntryCore,
+    reservation: SendReservation,
+    path: &str,
+) -> Option<ResponseHead> {
     let address = reservation.address();
     let mut channel = BackendConnection::connect(address, PROBE_TIMEOUT)
         .await
--- a/crates/zinniahatch_entry/src/replicas/quarantine.rs
+++ b/crates/zinniahatch_entry/src/replicas/quarantine.rs
@@ -5,9 +5,9 @@
 use crate::request::received::content_text;
 use tokio::time::sleep;
 use zinniahatch_base::prelude::*;
-use zinniahatch_route::NewsEffect;
 use zinniahatch_route::QuarantineChange;
-use zinniahatch_route::SuspectNews;
+use zinniahatch_route::SuspectUpdate;
+use zinniahatch_route::SuspectUpdateEffect;
 
 /// Where an update on a suspect request comes from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -42,7 +42,7 @@
     let counted = core
         .suspects
         .borrow_mut()
-        .note_end(call.content, tag, ran, now);
+        .note_crash(call.content, tag, ran, now);
     core.metrics
         .note_suspect(if counted { "noted" } else { "uncounted" });
     core.log.write(
@@ -73,17 +73,20 @@
 }
 
 /// Merges updates on suspect requests.
-pub(crate) fn apply_suspects(core: &EntryCore, updates: &[SuspectNews], source: UpdateSource) {
+pub(crate) fn apply_suspects(core: &EntryCore, updates: &[SuspectUpdate], source: UpdateSource) {
     let now = Instant::now();
     let forward = source == UpdateSource::OtherRegion;
     let mut pending = false;
     for update in updates {
-        let effect = core.suspects.borrow_mut().hear(update, forward, now);
-        if effect == NewsEffect::Known {
+        let effect = core
+            .suspects
+            .borrow_mut()
+            .apply_update(update, forward, now);
+        if effect == SuspectUpdateEffect::Known {
             continue;
         }
-        pending |= forward || effect == NewsEffect::Outdated;
-        let outcome = if effect == NewsEffect::Learned {
+        pending |= forward || effect == SuspectUpdateEffect::Outdated;
+        let outcome = if effect == SuspectUpdateEffect::Learned {
             "heard"
         } else {
             "outdated"
@@ -91,8 +94,8 @@
         core.metrics.note_suspect(outcome);
         core.log.write(
             "suspect-heard",
-            serde_json::json!({"content": content_text(update.content), "ends": update.ends.len(),
-                "age_ms": update.ends.iter().map(|end| end.age_ms).min(), "cleared_ms": update.cleared,
+            serde_json::json!({"content": content_text(update.content), "ends": update.crashes.len(),
+                "age_ms": update.crashes.iter().map(|end| end.age_ms).min(), "cleared_ms": update.cleared,
                 "source": source.as_str(), "outcome": outcome})
         );
     }
@@ -110,12 +113,13 @@
         return;
     }
     for change in &changes {
-        if change.kept {
+        if change.persisted {
             core.released_requests.borrow_mut().push(change.content);
         }
         log_quarantine_change(core, change);
     }
-    core.metrics.set_quarantined(core.suspects.borrow().held());
+    core.metrics
+        .set_quarantined(core.suspects.borrow().quarantined_count());
     core.quarantine_changed.send_replace(());
 }
 
@@ -126,7 +130,7 @@
         } else {
             "released"
         },
-        serde_json::json!({"content": content_text(change.content), "ends": change.ends,
+        serde_json::json!({"content": content_text(change.content), "ends": change.crashes,
             "for_ms": change.left.map(|left| left.as_millis() as u64)}),
     );
 }
@@ -134,7 +138,7 @@
 /// Returns how much longer a request is quarantined, or `None` if it may run.
 pub(crate) fn quarantine_left(core: &EntryCore, call: &ReceivedRequest) -> Option<Duration> {
     let suspects = core.suspects.borrow();
-    suspects.hold_left(call.content, Instant::now())
+    suspects.quarantine_left(call.content, Instant::now())
 }
 
 /// Waits until it can be decided whether a request is quarantined.
@@ -143,7 +147,7 @@
         let due = core
             .suspects
             .borrow()
-            .verdict_due(call.content, Instant::now());
+            .decision_delay(call.content, Instant::now());
         let Some(due) = due else {
             return;
         };
--- a/crates/zinniahatch_entry/src/replicas/send_admission.rs
+++ b/crates/zinniahatch_entry/src/replicas/send_admission.rs
@@ -4,33 +4,33 @@
 use zinniahatch_base::prelude::*;
 use zinniahatch_route::ColdLimiter;
 use zinniahatch_route::ReplicaPermit;
-use zinniahatch_route::SendClaim;
-use zinniahatch_route::Withheld;
+use zinniahatch_route::SendRefusal;
+use zinniahatch_route::SendReservation;
 
 /// Reserves a slot for one request to a replica.
 pub(crate) fn reserve_send(
     core: &EntryCore,
     replica: &str,
     now: Instant,
-) -> Result<SendClaim, Withheld> {
+) -> Result<SendReservation, SendRefusal> {
     let share = cold_share(core, replica, now);
     let mut replicas = core.replicas.borrow_mut();
-    let reserved = replicas.claim(&mut core.cold_limiter.borrow_mut(), replica, share, now);
+    let reserved = replicas.reserve(&mut core.cold_limiter.borrow_mut(), replica, share, now);
     reserved.inspect_err(|refusal| note_refusal(core, *refusal))
 }
 
 /// Grants permission to write the request that a slot was reserved for.
 pub(crate) fn permit_send(
     core: &EntryCore,
-    reservation: SendClaim,
-) -> Result<ReplicaPermit, Withheld> {
+    reservation: SendReservation,
+) -> Result<ReplicaPermit, SendRefusal> {
     let permit = core.replicas.borrow().permit(reservation, Instant::now());
     permit.inspect_err(|refusal| note_refusal(core, *refusal))
 }
 
-fn note_refusal(core: &EntryCore, refusal: Withheld) {
+fn note_refusal(core: &EntryCore, refusal: SendRefusal) {
     core.metrics.notices.note_withheld(refusal.name());
-    if refusal == Withheld::Limited {
+    if refusal == SendRefusal::Limited {
         core.metrics.limits.note("withheld");
     }
 }
--- a/crates/zinniahatch_entry/src/request/in_flight.rs
+++ b/crates/zinniahatch_entry/src/request/in_flight.rs
@@ -10,9 +10,9 @@
 use std::net::SocketAddrV4;
 use std::rc::Rc;
 use zinniahatch_base::prelude::*;
+use zinniahatch_route::InFlightWork;
 use zinniahatch_route::ModelSample;
-use zinniahatch_route::OpenWork;
-use zinniahatch_route::ReplicaBelief;
+use zinniahatch_route::ReplicaState;
 use zinniahatch_route::SendPermit;
 
 /// Work that a request puts on a replica, and the estimates made when it was assigned.
@@ -22,7 +22,7 @@
     /// Number of the request, unique in this process.
     pub(crate) ticket: u64,
     /// Requests and prompt tokens that the request adds to the replica.
-    pub(crate) work: OpenWork,
+    pub(crate) work: InFlightWork,
     /// Prompt tokens that the replica reads before those of this request.
     pub(crate) ahead: u32,
     /// Expected wait for a free slot.
@@ -111,7 +111,7 @@
         let pause = previous
             .filter(|_| assigned.work.tokens > 0)
             .map(|previous| now.saturating_duration_since(previous));
-        let lives = replicas.note_heard(&assigned.replica, assigned.ticket, pause, now);
+        let lives = replicas.note_bytes(&assigned.replica, assigned.ticket, pause, now);
         if !lives || assigned.response_began {
             return;
         }
@@ -122,19 +122,20 @@
             return;
         }
         let took = now.saturating_duration_since(self.sent_at);
-        let (tokens, ahead) = (assigned.work.tokens, assigned.ahead);
+        let (tokens, tokens_ahead) = (assigned.work.tokens, assigned.ahead);
         let model = replicas.model(&self.service);
-        let expected =
-            model.expect(tokens) + model.waiting(ahead, assigned.urgent) + assigned.queue;
+        let expected = model.expected_time(tokens)
+            + model.queue_time(tokens_ahead, assigned.urgent)
+            + assigned.queue;
         model.learn(ModelSample {
             tokens,
-            ahead,
+            tokens_ahead,
             queue: assigned.queue,
             urgent: assigned.urgent,
             took,
         });
         if let Some(belief) = replicas.get_mut(&assigned.replica) {
-            belief.note_pace(expected, took);
+            belief.note_latency(expected, took);
         }
     }
 
@@ -164,26 +165,26 @@
         };
         let now = Instant::now();
         let mut replicas = self.core.replicas.borrow_mut();
-        let Some(belief) = replicas.working_on(&assigned.replica, assigned.ticket) else {
+        let Some(belief) = replicas.replica_for_ticket(&assigned.replica, assigned.ticket) else {
             return;
         };
         if !healthy {
-            belief.health.note_bad(now);
+            belief.health.note_failure(now);
             return;
         }
-        belief.health.note_good(now);
+        belief.health.note_success(now);
         let duration = now.saturating_duration_since(self.sent_at);
-        replicas.model(&self.service).learn_hold(duration);
+        replicas.model(&self.service).learn_slot_time(duration);
     }
 
     /// Calls `change` with the belief about the replica, if it is still the same incarnation that
     /// works on the request.
-    pub(crate) fn update_replica(&self, change: impl FnOnce(&mut ReplicaBelief)) {
+    pub(crate) fn update_replica(&self, change: impl FnOnce(&mut ReplicaState)) {
         let Some(assigned) = &self.assigned else {
             return;
         };
         let mut replicas = self.core.replicas.borrow_mut();
-        if let Some(belief) = replicas.working_on(&assigned.replica, assigned.ticket) {
+        if let Some(belief) = replicas.replica_for_ticket(&assigned.replica, assigned.ticket) {
             change(belief);
         }
     }
@@ -196,7 +197,7 @@
         };
         let mut replicas = self.core.replicas.borrow_mut();
         replicas
-            .working_on(&assigned.replica, assigned.ticket)
+            .replica_for_ticket(&assigned.replica, assigned.ticket)
             .is_none_or(|belief| belief.health.is_suspect(Instant::now()))
     }
 
@@ -218,7 +219,9 @@
         };
         let own = {
             let replicas = self.core.replicas.borrow();
-            replicas.get(&assigned.replica).map(|belief| belief.own)
+            replicas
+                .get(&assigned.replica)
+                .map(|belief| belief.local_work)
         };
         self.core.log.write(
             "channel-broke",
--- a/crates/zinniahatch_entry/src/request/placement.rs
+++ b/crates/zinniahatch_entry/src/request/placement.rs
@@ -12,19 +12,19 @@
 use crate::request::send::send_local;
 use std::rc::Rc;
 use zinniahatch_base::prelude::*;
+use zinniahatch_route::Admission;
 use zinniahatch_route::AdmissionRule;
-use zinniahatch_route::AwayChoice;
 use zinniahatch_route::EarliestRetry;
-use zinniahatch_route::LocalChoice;
-use zinniahatch_route::PlaceAsk;
+use zinniahatch_route::LocalPlacement;
+use zinniahatch_route::PlacementQuery;
+use zinniahatch_route::RemotePlacement;
+use zinniahatch_route::SendRefusal;
 use zinniahatch_route::ServingPreset;
-use zinniahatch_route::Verdict;
-use zinniahatch_route::Withheld;
 use zinniahatch_route::all_leaving;
-use zinniahatch_route::away_share;
-use zinniahatch_route::choose_away;
 use zinniahatch_route::choose_local;
+use zinniahatch_route::choose_remote;
 use zinniahatch_route::earliest_retry;
+use zinniahatch_route::remote_share;
 
 /// Retry time given to callers when no replica is usable.
 pub(crate) const NO_BACKEND_RETRY: Duration = Duration::from_millis(700);
@@ -33,9 +33,9 @@
 #[derive(Debug)]
 pub(crate) enum Placement {
     /// To a replica of this region.
-    Local(LocalChoice),
+    Local(LocalPlacement),
     /// To a node of another region.
-    Remote(AwayChoice),
+    Remote(RemotePlacement),
     /// Nowhere. Carries the result code and the retry time.
     Refuse(ResultCode, Duration),
 }
@@ -79,11 +79,11 @@
     };
     let verdict = local
         .as_ref()
-        .map(|choice| rule.judge(choice.expected, Duration::ZERO, choice.wait));
+        .map(|choice| rule.decide(choice.expected, Duration::ZERO, choice.wait));
     let exceeds_goal = local
         .as_ref()
-        .is_some_and(|choice| choice.expected + rule.spent > plan.route.goal);
-    let admitted = !check_admission || verdict == Some(Verdict::Admit);
+        .is_some_and(|choice| choice.expected + rule.elapsed > plan.route.goal);
+    let admitted = !check_admission || verdict == Some(Admission::Admit);
     if let Some(choice) = &local
         && admitted
         && !exceeds_goal
@@ -92,7 +92,7 @@
             .is_direct()
             .then(|| find_faster_region(core, plan, progress, &ask, choice, preset.away_gain, now))
             .flatten()
-            .filter(|remote| rule.is_in_time(remote.expected, remote.trip));
+            .filter(|remote| rule.is_in_time(remote.expected, remote.round_trip));
         return faster_region.map_or_else(|| Placement::Local(choice.clone()), Placement::Remote);
     }
     let mut slow_remote = None;
@@ -105,9 +105,9 @@
             !admitted || remote.expected < choice.expected.mul_f64(preset.away_gain)
         });
         match judge_remote(&rule, &remote) {
-            Verdict::Admit if better => return Placement::Remote(remote),
-            Verdict::Admit => {}
-            Verdict::Refuse(after) => slow_remote = Some(after),
+            Admission::Admit if better => return Placement::Remote(remote),
+            Admission::Admit => {}
+            Admission::Refuse(after) => slow_remote = Some(after),
         }
     }
     if let Some(choice) = local.clone()
@@ -117,7 +117,7 @@
     }
     log_rejected_options(core, request, &rule, local.as_ref(), remote.as_ref());
     match (local, verdict) {
-        (_, Some(Verdict::Refuse(after))) => Placement::Refuse(ResultCode::WaitTooLong, after),
+        (_, Some(Admission::Refuse(after))) => Placement::Refuse(ResultCode::WaitTooLong, after),
         _ if slow_remote.is_some() => {
             Placement::Refuse(ResultCode::WaitTooLong, slow_remote.unwrap_or_default())
         }
@@ -130,7 +130,7 @@
 fn refuse_without_replica(
     core: &EntryCore,
     plan: &RequestPlan,
-    ask: &PlaceAsk<'_>,
+    ask: &PlacementQuery<'_>,
     now: Instant,
 ) -> Placement {
     if !plan.allows(&core.settings.region) {
@@ -148,9 +148,9 @@
     Placement::Refuse(code, NO_BACKEND_RETRY)
 }
 
-fn unavailable_code(reason: Withheld) -> ResultCode {
+fn unavailable_code(reason: SendRefusal) -> ResultCode {
     match reason {
-        Withheld::Limited => ResultCode::ReplicasLimited,
+        SendRefusal::Limited => ResultCode::ReplicasLimited,
         _ => ResultCode::ReplicasResting,
     }
 }
@@ -161,12 +161,12 @@
 /// such a time before.
 fn retry_after_unavailable(
     core: &EntryCore,
-    ask: &PlaceAsk<'_>,
+    ask: &PlacementQuery<'_>,
     now: Instant,
 ) -> Option<EarliestRetry> {
     let replicas = core.replicas.borrow();
     let first = earliest_retry(&replicas, &core.settings.regions, ask, now)?;
-    let hold = replicas.model_of(ask.service).hold();
+    let hold = replicas.model_of(ask.service).slot_time();
     let nodes = ask.peers.len() as u32 + 1;
     let step = hold * nodes / first.slots.max(1);
     let mut queues = core.retry_queues.borrow_mut();
@@ -196,8 +196,8 @@
     tried: &'a BTreeSet<ReplicaId>,
     peers: &'a BTreeSet<NodeId>,
     now: Instant,
-) -> PlaceAsk<'a> {
-    PlaceAsk {
+) -> PlacementQuery<'a> {
+    PlacementQuery {
         service: &plan.service,
         region: &core.settings.region,
         size: &request.size,
@@ -218,25 +218,25 @@
     core: &EntryCore,
     request: &ReceivedRequest,
     rule: &AdmissionRule,
-    here: Option<&LocalChoice>,
-    remote: Option<&AwayChoice>,
+    here: Option<&LocalPlacement>,
+    remote: Option<&RemotePlacement>,
 ) {
     let millis = |time: Duration| time.as_millis() as u64;
     core.log.write(
         "weighed",
         serde_json::json!({"request": request.attempt, "goal_ms": millis(rule.goal),
-            "spent_ms": millis(rule.spent), "tokens_in": request.size.tokens_in,
+            "spent_ms": millis(rule.elapsed), "tokens_in": request.size.tokens_in,
             "here_ms": here.map(|choice| millis(choice.expected)),
             "here_wait_ms": here.map(|choice| millis(choice.wait)),
             "away": remote.map(|choice| &choice.region),
             "away_ms": remote.map(|choice| millis(choice.expected)),
             "away_wait_ms": remote.map(|choice| millis(choice.wait)),
-            "trip_ms": remote.map(|choice| millis(choice.trip))}),
+            "trip_ms": remote.map(|choice| millis(choice.round_trip))}),
     );
 }
 
-fn judge_remote(rule: &AdmissionRule, remote: &AwayChoice) -> Verdict {
-    rule.judge(remote.expected, remote.trip, remote.wait)
+fn judge_remote(rule: &AdmissionRule, remote: &RemotePlacement) -> Admission {
+    rule.decide(remote.expected, remote.round_trip, remote.wait)
 }
 
 /// Finds a region that generates the response faster, for the share of the streams that should go
@@ -245,16 +245,16 @@
     core: &EntryCore,
     plan: &RequestPlan,
     progress: &RequestProgress,
-    ask: &PlaceAsk<'_>,
-    here: &LocalChoice,
+    ask: &PlacementQuery<'_>,
+    here: &LocalPlacement,
     gain: f64,
     now: Instant,
-) -> Option<AwayChoice> {
-    if here.answer.is_zero() {
+) -> Option<RemotePlacement> {
+    if here.decode_time.is_zero() {
         return None;
     }
     let remote = find_remote(core, plan, progress, ask, now)?;
-    let share = away_share(here.callers_time(), remote.callers_time(), gain);
+    let share = remote_share(here.total_caller_time(), remote.total_caller_time(), gain);
     rand::random_bool(share).then_some(remote)
 }
 
@@ -262,16 +262,16 @@
     core: &EntryCore,
     plan: &RequestPlan,
     progress: &RequestProgress,
-    ask: &PlaceAsk<'_>,
+    ask: &PlacementQuery<'_>,
     now: Instant,
-) -> Option<AwayChoice> {
+) -> Option<RemotePlacement> {
     let members = core.members.borrow();
     let replicas = core.replicas.borrow();
     let mut tried = progress.away.clone();
     tried
         .regions
         .extend(core.region_paths.borrow().unreachable(now));
-    choose_away(
+    choose_remote(
         &members,
         &replicas,
         ask,
@@ -290,15 +290,16 @@
 ) -> AdmissionRule {
     AdmissionRule {
         goal: plan.route.goal,
-        spent: now.saturating_duration_since(request.arrived) + request.spent_before(),
-        left: plan.deadline.saturating_duration_since(request.arrived) + request.spent_before(),
-        favour: if plan.urgent {
+        elapsed: now.saturating_duration_since(request.arrived) + request.spent_before(),
+        remaining: plan.deadline.saturating_duration_since(request.arrived)
+            + request.spent_before(),
+        goal_factor: if plan.urgent {
             preset.urgent_favour
         } else {
             1.0
         },
         goal_margin: preset.goal_margin,
-        least_wait: preset.least_wait,
+        min_wait: preset.least_wait,
     }
 }
 
@@ -346,7 +347,7 @@
                     "tokens_in": request.size.tokens_in,
                     "service": plan.service, "replica": choice.replica, "version": plan.version,
                     "expected_ms": choice.expected.as_millis() as u64,
-                    "answer_ms": choice.answer.as_millis() as u64,
+                    "answer_ms": choice.decode_time.as_millis() as u64,
                     "wait_ms": choice.wait.as_millis() as u64, "costs_ms": choice.cost.named_ms(),
                     "tokens": choice.tokens, "copy_from": choice.copy_from,
                     "cold": choice.cold, "limit_per_second": limit, "sends": progress.sends}),
@@ -362,7 +363,7 @@
                     "tokens_in": request.size.tokens_in,
                     "service": plan.service, "to": choice.node, "region": choice.region,
                     "expected_ms": choice.expected.as_millis() as u64,
-                    "answer_ms": choice.answer.as_millis() as u64,
+                    "answer_ms": choice.decode_time.as_millis() as u64,
                     "version": plan.version, "sends": progress.sends}),
             );
         }
--- a/crates/zinniahatch_entry/src/request/plan.rs
+++ b/crates/zinniahatch_entry/src/request/plan.rs
@@ -11,9 +11,9 @@
 use std::borrow::Cow;
 use std::rc::Rc;
 use zinniahatch_base::prelude::*;
-use zinniahatch_route::AwayTried;
 use zinniahatch_route::DesiredRoute;
 use zinniahatch_route::DesiredService;
+use zinniahatch_route::RemoteAttempts;
 use zinniahatch_route::RepeatKind;
 use zinniahatch_route::common_homes;
 use zinniahatch_route::engine_rank;
@@ -60,7 +60,7 @@
     /// Replicas already tried.
     pub(crate) tried: BTreeSet<ReplicaId>,
     /// Nodes and regions already tried.
-    pub(crate) away: AwayTried,
+    pub(crate) away: RemoteAttempts,
     /// Number of sends to replicas.
     pub(crate) sends: u32,
     /// Number of tries that did not reach the intended replica, and of failed tries to resume a
--- a/crates/zinniahatch_entry/src/request/send.rs
+++ b/crates/zinniahatch_entry/src/request/send.rs
@@ -23,12 +23,12 @@
 use zinniahatch_platform::ReplicaRequestHeaders;
 use zinniahatch_platform::write_forwarded_request;
 use zinniahatch_platform::write_replica_request;
-use zinniahatch_route::AwayChoice;
+use zinniahatch_route::InFlightWork;
 use zinniahatch_route::LeaveReason;
-use zinniahatch_route::LocalChoice;
-use zinniahatch_route::OpenWork;
+use zinniahatch_route::LocalPlacement;
+use zinniahatch_route::RemotePlacement;
 use zinniahatch_route::SendPermit;
-use zinniahatch_route::Withheld;
+use zinniahatch_route::SendRefusal;
 
 /// Header of a forwarded request: version of the desired state by which the sending node chose.
 pub(crate) const HOP_VERSION: &str = "zinnia-version";
@@ -100,7 +100,7 @@
     core: &Rc<EntryCore>,
     request: &ReceivedRequest,
     plan: &RequestPlan,
-    choice: &LocalChoice,
+    choice: &LocalPlacement,
     last_event: Option<&str>,
 ) -> Result<(ResponseHead, InFlightRequest), SendFailure> {
     let now = Instant::now();
@@ -173,7 +173,7 @@
     }
 }
 
-fn not_sent(withheld: Withheld) -> SendFailure {
+fn not_sent(withheld: SendRefusal) -> SendFailure {
     SendFailure::NotSent(format!("withheld: {}", withheld.name()).into())
 }
 
@@ -181,15 +181,15 @@
     core: &Rc<EntryCore>,
     request: &ReceivedRequest,
     plan: &RequestPlan,
-    choice: &LocalChoice,
+    choice: &LocalPlacement,
     now: Instant,
 ) -> AssignedWork {
     let ticket = core.next_ticket();
     let mut replicas = core.replicas.borrow_mut();
     let ahead = replicas
         .get(&choice.replica)
-        .map_or(0, |belief| belief.all_work(now).ahead(plan.urgent));
-    let work = OpenWork {
+        .map_or(0, |belief| belief.total_work(now).tokens_ahead(plan.urgent));
+    let work = InFlightWork {
         requests: 1,
         tokens: choice.tokens,
         urgent_requests: u32::from(plan.urgent),
@@ -239,7 +239,7 @@
 fn classify_response(
     core: &Rc<EntryCore>,
     request: &ReceivedRequest,
-    choice: &LocalChoice,
+    choice: &LocalPlacement,
     head: ResponseHead,
     in_flight: InFlightRequest,
 ) -> Result<(ResponseHead, InFlightRequest), SendFailure> {
@@ -253,7 +253,7 @@
         );
         return Err(SendFailure::WrongReplica);
     }
-    in_flight.update_replica(|belief| belief.health.note_heard(now));
+    in_flight.update_replica(|belief| belief.health.note_bytes(now));
     if head.parsed_headers.not_run {
         // The `Retry-After` of a 503 concerns this replica only. Others may be free.
         let refused = head.status == StatusCode::SERVICE_UNAVAILABLE;
@@ -271,7 +271,7 @@
     core: &Rc<EntryCore>,
     request: &ReceivedRequest,
     plan: &RequestPlan,
-    choice: &AwayChoice,
+    choice: &RemotePlacement,
     last_event: Option<&str>,
 ) -> Result<(ResponseHead, InFlightRequest), SendFailure> {
     let now = Instant::now();
--- a/crates/zinniahatch_entry/src/store/quarantine_keys.rs
+++ b/crates/zinniahatch_entry/src/store/quarantine_keys.rs
@@ -21,8 +21,8 @@
 use zinniahatch_platform::CommitOutcome;
 use zinniahatch_platform::KvError;
 use zinniahatch_platform::StoreTransaction;
-use zinniahatch_route::SuspectNews;
-use zinniahatch_route::ToldEnd;
+use zinniahatch_route::ReportedCrash;
+use zinniahatch_route::SuspectUpdate;
 
 /// Prefix of the keys.
 const KEY_PREFIX: &str = "zinniahatch/quarantine/";
@@ -119,7 +119,7 @@
                 .retain(|other| *other != content);
             continue;
         }
-        let unsaved = core.suspects.borrow().unkept(Instant::now());
+        let unsaved = core.suspects.borrow().unpersisted(Instant::now());
         let Some((update, left)) = unsaved else {
             return Ok(());
         };
@@ -129,7 +129,7 @@
 
 async fn store_suspect(
     core: &EntryCore,
-    update: &SuspectNews,
+    update: &SuspectUpdate,
     left: Duration,
 ) -> Result<(), KvError> {
     let time = left.min(MAX_LEASE).max(core.settings.min_lease);
@@ -141,7 +141,7 @@
         return Err(KvError::NotExecuted("the lease has expired".into()));
     }
     core.metrics.note_store("quarantine", "kept");
-    core.suspects.borrow_mut().note_kept(update.content);
+    core.suspects.borrow_mut().note_persisted(update.content);
     core.log.write(
         "quarantine-kept",
         serde_json::json!({"content": content_text(update.content),
@@ -151,8 +151,8 @@
 }
 
 impl StoredSuspect {
-    fn from_update(update: &SuspectNews, now: u64) -> Self {
-        let ends = update.ends.iter().map(|end| StoredCrash {
+    fn from_update(update: &SuspectUpdate, now: u64) -> Self {
+        let ends = update.crashes.iter().map(|end| StoredCrash {
             replica: end.replica,
             at_ms: now.saturating_sub(u64::from(end.age_ms)),
             ran_ms: end.ran_ms,
@@ -165,15 +165,15 @@
 
     /// Converts to an update. If the system clock stepped back in the meantime, the crashes count
     /// as of now.
-    fn to_update(&self, now: u64) -> SuspectNews {
-        let ends = self.ends.iter().map(|end| ToldEnd {
+    fn to_update(&self, now: u64) -> SuspectUpdate {
+        let ends = self.ends.iter().map(|end| ReportedCrash {
             replica: end.replica,
             age_ms: u32::try_from(now.saturating_sub(end.at_ms)).unwrap_or(u32::MAX),
             ran_ms: end.ran_ms,
         });
-        SuspectNews {
+        SuspectUpdate {
             content: self.content,
-            ends: ends.collect(),
+            crashes: ends.collect(),
             cleared: None,
         }
     }
--- a/crates/zinniahatch_entry/src/store/restore_recovery.rs
+++ b/crates/zinniahatch_entry/src/store/restore_recovery.rs
@@ -26,7 +26,7 @@
 use zinniahatch_platform::CommitOutcome;
 use zinniahatch_platform::KvError;
 use zinniahatch_platform::StoreTransaction;
-use zinniahatch_route::RETURN_HOLD;
+use zinniahatch_route::RESTORE_HOLD;
 use zinniahatch_route::ServingPreset;
 
 /// Time limit of a listing.
@@ -57,7 +57,7 @@
     let now = Instant::now();
     core.metrics.note_store_restore();
     let sheets = core.counts.book.borrow_mut().reopen(now);
-    let suspects = core.suspects.borrow_mut().forget_kept();
+    let suspects = core.suspects.borrow_mut().forget_persisted();
     core.log.write(
         "store-returned",
         serde_json::json!({"era_before": before, "era": after, "sheets": sheets,
@@ -65,8 +65,8 @@
             "version": core.version()}),
     );
     // Entries missing from the backup will be rewritten soon; until then no replica counts as gone.
-    core.note_store_trouble();
-    core.replicas.borrow_mut().note_return(now);
+    core.note_store_failure();
+    core.replicas.borrow_mut().note_store_restored(now);
     core.operator_revision.set(None);
     sleep(SPREAD_PERIOD.mul_f64(rand::rng().random())).await;
     core.quarantine_changed.send_replace(());
@@ -75,7 +75,7 @@
         "store-rewritten",
         serde_json::json!({"era": after, "took_ms": now.elapsed().as_millis() as u64}),
     );
-    sleep(RETURN_HOLD.saturating_sub(now.elapsed())).await;
+    sleep(RESTORE_HOLD.saturating_sub(now.elapsed())).await;
     if holds_role(core, STORE_READER_ROLE, STORE_READERS) {
         relist_operator_keys(core).await;
     }
--- a/crates/zinniahatch_entry/tests/connection.rs
+++ b/crates/zinniahatch_entry/tests/connection.rs
@@ -50,7 +50,7 @@
     let mut table = ReplicaTable::default();
     let entry = ReplicaEntry {
         id: "i-1".into(),
-        born: 1,
+        started_ms: 1,
         service: "s".into(),
         address,
         data_centre: "a".into(),
@@ -61,7 +61,7 @@
         revision: StoreRevision::from(1),
     };
     table.upsert(entry, now);
-    let claim = table.claim(&mut ColdLimiter::default(), "i-1", 0, now);
+    let claim = table.reserve(&mut ColdLimiter::default(), "i-1", 0, now);
     table.permit(claim.unwrap(), now).unwrap()
 }
 
--- a/crates/zinniahatch_route/src/earliest_retry.rs
+++ b/crates/zinniahatch_route/src/earliest_retry.rs
@@ -1,16 +1,16 @@
 //! Computes when a request that no replica can take now may be retried.
 
-use crate::PlaceAsk;
+use crate::PlacementQuery;
 use crate::ReplicaTable;
-use crate::Withheld;
-use crate::placement::takes_work;
+use crate::SendRefusal;
+use crate::placement::is_eligible;
 use zinniahatch_base::prelude::*;
 
 /// When the first of a region's replicas takes work again, if none does now.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EarliestRetry {
     /// Why it does not take work now.
-    pub reason: Withheld,
+    pub reason: SendRefusal,
     /// The time until it does.
     pub after: Duration,
     /// Requests that these replicas process concurrently, in total.
@@ -24,16 +24,16 @@
 pub fn earliest_retry(
     table: &ReplicaTable,
     regions: &BTreeMap<DataCentreId, RegionId>,
-    ask: &PlaceAsk<'_>,
+    ask: &PlacementQuery<'_>,
     now: Instant,
 ) -> Option<EarliestRetry> {
-    let mut first: Option<(Duration, Withheld)> = None;
+    let mut first: Option<(Duration, SendRefusal)> = None;
     let mut slots = 0;
     for belief in table.rows() {
-        if !takes_work(table, regions, ask.service, ask.region, belief, now) {
+        if !is_eligible(table, regions, ask.service, ask.region, belief, now) {
             continue;
         }
-        let rest = table.rests.wait(belief.tag, now);
+        let rest = table.backoffs.wait(belief.tag, now);
         let limit = if table.limits.allows(belief.tag, now) {
             Duration::ZERO
         } else {
@@ -45,9 +45,9 @@
         }
         slots += belief.entry.slots;
         let reason = if rest >= limit {
-            Withheld::Resting
+            SendRefusal::Resting
         } else {
-            Withheld::Limited
+            SendRefusal::Limited
         };
         if first.is_none_or(|(least, _)| after < least) {
             first = Some((after, reason));
@@ -65,7 +65,7 @@
 pub fn all_leaving(
     table: &ReplicaTable,
     regions: &BTreeMap<DataCentreId, RegionId>,
-    ask: &PlaceAsk<'_>,
+    ask: &PlacementQuery<'_>,
 ) -> bool {
     let mut here = table.rows().filter(|belief| {
         let region = regions.get(&belief.entry.data_centre);
--- a/crates/zinniahatch_route/src/members.rs
+++ b/crates/zinniahatch_route/src/members.rs
@@ -369,6 +369,6 @@
         region: &str,
         now: Instant,
     ) -> Self {
-        crate::placement::digest_of(table, regions, service, region, now)
+        crate::placement::service_capacity(table, regions, service, region, now)
     }
 }
--- a/crates/zinniahatch_route/src/notice_handling.rs
+++ b/crates/zinniahatch_route/src/notice_handling.rs
@@ -1,17 +1,17 @@
 //! Applies what a replica reports about itself in a response, regardless of the path by which the
 //! response came.
 
+use crate::BackoffChange;
+use crate::BackoffNotice;
+use crate::DrainNotice;
 use crate::LeaveReason;
-use crate::LimitChange;
-use crate::NamedLeaving;
-use crate::NamedLimit;
-use crate::NamedRest;
-use crate::ReplicaBelief;
-use crate::ReplicaLife;
+use crate::RateLimitChange;
+use crate::RateLimitNotice;
+use crate::ReplicaIncarnation;
 use crate::ReplicaNotice;
+use crate::ReplicaState;
 use crate::ReplicaTable;
-use crate::RestChange;
-use crate::prompt::session_rank;
+use crate::prompt::rendezvous_score;
 use zinniahatch_base::prelude::*;
 
 /// Longest time for which a replica is skipped because of a response that cannot be attributed to
@@ -52,11 +52,11 @@
     /// Whether it is new that the replica is leaving.
     pub leaving: bool,
     /// The effect of the backoff that it requests.
-    pub backoff: Option<RestChange>,
+    pub backoff: Option<BackoffChange>,
     /// Whether it served a request that was sent to try it after a backoff.
     pub recovered: bool,
     /// How its rate limit changed.
-    pub limit: Option<LimitChange>,
+    pub limit: Option<RateLimitChange>,
     /// Names of the values that cannot be used.
     pub rejected: Vec<&'static str>,
     /// Names of the values from a sender that is not identified; they apply for a limited time and
@@ -78,18 +78,19 @@
         apply_load(belief, received, now);
         let mut backoff = None;
         match received.notice.leaving {
-            NamedLeaving::Absent => {}
-            NamedLeaving::Malformed => effect.rejected.push("leaving"),
-            NamedLeaving::Leaving if received.auth == ResponseAuth::Unverified => {
+            DrainNotice::Absent => {}
+            DrainNotice::Malformed => effect.rejected.push("leaving"),
+            DrainNotice::Leaving if received.auth == ResponseAuth::Unverified => {
                 effect.unproven.push("leaving");
                 backoff = Some(MAX_UNVERIFIED_BACKOFF);
             }
-            NamedLeaving::Leaving => {
-                self.said_leaving.insert(belief.tag, belief.entry.life());
+            DrainNotice::Leaving => {
+                self.announced_leaving
+                    .insert(belief.tag, belief.entry.incarnation());
                 effect.leaving = set_leaving(belief);
             }
         }
-        let in_flight = belief.own.requests;
+        let in_flight = belief.local_work.requests;
         backoff = backoff.max(accepted_backoff(received, &mut effect));
         self.apply_backoff(received, backoff, in_flight, &mut effect, now);
         effect.limit = self.apply_rate_limit(received, &mut effect.rejected, now);
@@ -97,11 +98,11 @@
     }
 
     fn apply_to_ended(&mut self, received: &ReceivedNotice<'_>) {
-        let leaves = received.notice.leaving == NamedLeaving::Leaving;
+        let leaves = received.notice.leaving == DrainNotice::Leaving;
         if !leaves || received.auth == ResponseAuth::Unverified {
             return;
         }
-        let mut ended = self.gone.values_mut();
+        let mut ended = self.ended.values_mut();
         if let Some(ended) = ended.find(|ended| ended.tag == received.replica) {
             ended.leaving = true;
         }
@@ -118,13 +119,17 @@
     ) {
         if received.auth >= ResponseAuth::Identified {
             effect.recovered =
-                self.rests
-                    .note_answer(received.replica, received.taken, received.sent);
+                self.backoffs
+                    .note_response(received.replica, received.taken, received.sent);
         }
         if let Some(backoff) = backoff {
-            effect.backoff =
-                self.rests
-                    .note_asked(received.replica, backoff, in_flight, received.draw, now);
+            effect.backoff = self.backoffs.note_requested(
+                received.replica,
+                backoff,
+                in_flight,
+                received.draw,
+                now,
+            );
         }
     }
 
@@ -133,69 +138,69 @@
         received: &ReceivedNotice<'_>,
         rejected: &mut Vec<&'static str>,
         now: Instant,
-    ) -> Option<LimitChange> {
+    ) -> Option<RateLimitChange> {
         let named = received.notice.rate_limit;
         match named {
-            NamedLimit::Malformed => {
+            RateLimitNotice::Malformed => {
                 rejected.push("rate limit");
                 return None;
             }
             // A limit stays in force until an authenticated response omits it.
-            NamedLimit::Absent if received.auth < ResponseAuth::Authenticated => return None,
-            NamedLimit::Absent | NamedLimit::PerSecond(_) => {}
+            RateLimitNotice::Absent if received.auth < ResponseAuth::Authenticated => return None,
+            RateLimitNotice::Absent | RateLimitNotice::PerSecond(_) => {}
         }
         self.limits
-            .note_answer(received.replica, named, received.sent, now)
+            .note_response(received.replica, named, received.sent, now)
     }
 
     /// Applies another node's report that a replica announced its leaving; returns whether that is
     /// new.
-    pub fn mark_leaving(&mut self, life: &ReplicaLife) -> bool {
-        if let Some(ended) = self.gone.get_mut(&life.id)
-            && ended.born == life.born
+    pub fn mark_leaving(&mut self, life: &ReplicaIncarnation) -> bool {
+        if let Some(ended) = self.ended.get_mut(&life.id)
+            && ended.started_ms == life.started_ms
         {
             ended.leaving = true;
         }
         let row = self.rows.get_mut(&life.id);
-        let Some(belief) = row.filter(|belief| belief.entry.born == life.born) else {
+        let Some(belief) = row.filter(|belief| belief.entry.started_ms == life.started_ms) else {
             return false;
         };
-        self.said_leaving.insert(belief.tag, life.clone());
+        self.announced_leaving.insert(belief.tag, life.clone());
         set_leaving(belief)
     }
 
     /// Returns the incarnations that announced to some node that they are leaving, to inform nodes
     /// that know of others.
-    pub fn announced_leaving(&self) -> impl Iterator<Item = &ReplicaLife> {
-        self.said_leaving.values()
+    pub fn announced_leaving(&self) -> impl Iterator<Item = &ReplicaIncarnation> {
+        self.announced_leaving.values()
     }
 
     /// Returns a digest of these incarnations; it is equal on nodes that know the same ones.
     pub fn leaving_digest(&self) -> u64 {
-        let tags = self.said_leaving.keys();
-        tags.fold(0, |digest, tag| digest ^ session_rank(1, *tag))
+        let tags = self.announced_leaving.keys();
+        tags.fold(0, |digest, tag| digest ^ rendezvous_score(1, *tag))
     }
 }
 
 /// Returns the backoff that a response requests, as far as it is accepted.
 fn accepted_backoff(received: &ReceivedNotice<'_>, effect: &mut NoticeEffect) -> Option<Duration> {
     match received.notice.rest {
-        NamedRest::Absent => None,
-        NamedRest::Malformed => {
+        BackoffNotice::Absent => None,
+        BackoffNotice::Malformed => {
             effect.rejected.push("rest");
             None
         }
-        NamedRest::For(backoff) if received.auth == ResponseAuth::Unverified => {
+        BackoffNotice::For(backoff) if received.auth == ResponseAuth::Unverified => {
             effect.unproven.push("rest");
             Some(backoff.min(MAX_UNVERIFIED_BACKOFF))
         }
-        NamedRest::For(backoff) => Some(backoff),
+        BackoffNotice::For(backoff) => Some(backoff),
     }
 }
 
-fn apply_load(belief: &mut ReplicaBelief, received: &ReceivedNotice<'_>, now: Instant) {
+fn apply_load(belief: &mut ReplicaState, received: &ReceivedNotice<'_>, now: Instant) {
     if let Some((running, waiting, _)) = received.notice.load {
-        belief.reported = Some((running, waiting, now));
+        belief.reported_load = Some((running, waiting, now));
     }
     let left = received.notice.cold_for.filter(|left| !left.is_zero());
     if let Some(left) = left.filter(|_| received.auth >= ResponseAuth::Identified) {
@@ -204,7 +209,7 @@
 }
 
 /// Marks a replica as leaving for the rest of this incarnation; returns whether that is new.
-fn set_leaving(belief: &mut ReplicaBelief) -> bool {
+fn set_leaving(belief: &mut ReplicaState) -> bool {
     let known = matches!(
         belief.leaving,
         Some(LeaveReason::Draining | LeaveReason::Replaced)
--- a/crates/zinniahatch_route/src/work_sync.rs
+++ b/crates/zinniahatch_route/src/work_sync.rs
@@ -5,9 +5,9 @@
 //! at 1,100 requests/s, each of which takes a replica 60 to 190 ms of prefill, and all nodes
 //! choose the replica that was idle.
 
-use crate::OpenWork;
+use crate::CachedPrefix;
+use crate::InFlightWork;
 use crate::PromptPart;
-use crate::PromptRead;
 use crate::RegionUsage;
 use zinniahatch_base::prelude::*;
 
@@ -35,9 +35,9 @@
         /// Sequence number, increasing with each update.
         pub number: u32,
         /// In-flight work that changed, by replica tag.
-        pub work: Vec<(ShortTag, OpenWork)>,
+        pub work: Vec<(ShortTag, InFlightWork)>,
         /// Shared prompt parts that replicas read.
-        pub reads: Vec<PromptRead>,
+        pub reads: Vec<CachedPrefix>
     }
 }
 
@@ -68,7 +68,7 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct WorkSync {
     changed: BTreeSet<ShortTag>,
-    reads: Vec<PromptRead>,
+    reads: Vec<CachedPrefix>,
     /// When a read was last announced, by replica and by the tag of the last part.
     announced_at: BTreeMap<(ShortTag, u64), Instant>,
     /// Last sequence number of each process, and when it was received.
@@ -94,13 +94,13 @@
             return;
         }
         self.announced_at.insert((replica, last.tag), now);
-        self.reads.push(PromptRead {
+        self.reads.push(CachedPrefix {
             replica,
             parts: shared.to_vec(),
         });
     }
 
-    pub(crate) fn take_reads(&mut self) -> Vec<PromptRead> {
+    pub(crate) fn take_reads(&mut self) -> Vec<CachedPrefix> {
         std::mem::take(&mut self.reads)
     }
 
--- a/crates/zinniahatch_route/tests/hearing.rs
+++ b/crates/zinniahatch_route/tests/hearing.rs
@@ -5,30 +5,30 @@
 use common::entry;
 use test_case::test_case;
 use zinniahatch_base::prelude::*;
+use zinniahatch_route::BackoffChange;
+use zinniahatch_route::BackoffNotice;
 use zinniahatch_route::ColdLimiter;
-use zinniahatch_route::NamedLeaving;
-use zinniahatch_route::NamedLimit;
-use zinniahatch_route::NamedRest;
+use zinniahatch_route::DrainNotice;
 use zinniahatch_route::NoticeEffect;
+use zinniahatch_route::RateLimitNotice;
 use zinniahatch_route::ReceivedNotice;
 use zinniahatch_route::ReplicaEntry;
 use zinniahatch_route::ReplicaNotice;
 use zinniahatch_route::ReplicaTable;
 use zinniahatch_route::ResponseAuth;
-use zinniahatch_route::RestChange;
-use zinniahatch_route::Withheld;
+use zinniahatch_route::SendRefusal;
 
 const LEAVING: ReplicaNotice = ReplicaNotice {
-    leaving: NamedLeaving::Leaving,
-    rest: NamedRest::Absent,
-    rate_limit: NamedLimit::Absent,
+    leaving: DrainNotice::Leaving,
+    rest: BackoffNotice::Absent,
+    rate_limit: RateLimitNotice::Absent,
     load: None,
     cold_for: None,
 };
 
-fn life(born: u64, revision: Revision) -> ReplicaEntry {
+fn life(started_ms: u64, revision: Revision) -> ReplicaEntry {
     ReplicaEntry {
-        born,
+        started_ms,
         revision: revision.into(),
         ..entry("r", "a")
     }
@@ -41,7 +41,7 @@
     now: Instant,
 ) -> NoticeEffect {
     let heard = ReceivedNotice {
-        replica: life(1, 0).life().tag(),
+        replica: life(1, 0).incarnation().tag(),
         notice,
         auth,
         taken: false,
@@ -51,8 +51,8 @@
     table.apply_notice(&heard, now)
 }
 
-fn withheld(table: &mut ReplicaTable, now: Instant) -> Option<Withheld> {
-    let claim = table.claim(&mut ColdLimiter::default(), "r", 0, now);
+fn withheld(table: &mut ReplicaTable, now: Instant) -> Option<SendRefusal> {
+    let claim = table.reserve(&mut ColdLimiter::default(), "r", 0, now);
     claim.and_then(|claim| table.permit(claim, now)).err()
 }
 
@@ -83,13 +83,13 @@
             table.upsert(life(1, 11), now);
         }
         LaterWord::Lapsed => {
-            table.vanish("r", 11.into(), now);
+            table.remove_entry("r", 11.into(), now);
             table.tick(now);
             assert_eq!(table.rows().count(), 0);
             table.upsert(life(1, 12), now);
         }
         LaterWord::Listed => {
-            table.relist(vec![life(1, 10)], 12.into(), now);
+            table.apply_listing(vec![life(1, 10)], 12.into(), now);
         }
         LaterWord::OlderEra => {
             let revision = StoreRevision { era: 1, number: 3 };
@@ -102,11 +102,11 @@
             );
         }
         LaterWord::Neighbour => {
-            table.note_store_trouble(now);
-            table.learn(vec![life(1, 10)], &[], now);
+            table.note_store_failure(now);
+            table.merge_peer_snapshot(vec![life(1, 10)], &[], now);
         }
     }
-    assert_eq!(withheld(&mut table, now), Some(Withheld::Leaving));
+    assert_eq!(withheld(&mut table, now), Some(SendRefusal::Leaving));
 }
 
 /// Guards against a new life that is left alone for what the one before it said.
@@ -121,7 +121,7 @@
     // An answer of the life before that was late.
     let effect = hear(&mut table, &LEAVING, ResponseAuth::Authenticated, now);
     assert_eq!(effect, NoticeEffect::default());
-    assert!(!table.mark_leaving(&life(1, 0).life()));
+    assert!(!table.mark_leaving(&life(1, 0).incarnation()));
     assert_eq!(withheld(&mut table, now), None);
 }
 
@@ -132,10 +132,10 @@
     let mut table = ReplicaTable::default();
     table.upsert(life(1, 10), now);
     let claim = table
-        .claim(&mut ColdLimiter::default(), "r", 0, now)
+        .reserve(&mut ColdLimiter::default(), "r", 0, now)
         .unwrap();
     hear(&mut table, &LEAVING, ResponseAuth::Identified, now);
-    assert_eq!(table.permit(claim, now).unwrap_err(), Withheld::Leaving);
+    assert_eq!(table.permit(claim, now).unwrap_err(), SendRefusal::Leaving);
 }
 
 /// Guards against nodes that go on sending to a replica which told another one that it leaves.
@@ -152,13 +152,13 @@
         assert!(other.mark_leaving(life));
     }
     assert_eq!(told.leaving_digest(), other.leaving_digest());
-    assert_eq!(withheld(&mut other, now), Some(Withheld::Leaving));
+    assert_eq!(withheld(&mut other, now), Some(SendRefusal::Leaving));
 }
 
 /// Gives what a replica says that turns a request away for a while.
 fn rest(seconds: f64) -> ReplicaNotice {
     ReplicaNotice {
-        rest: NamedRest::For(Duration::from_secs_f64(seconds)),
+        rest: BackoffNotice::For(Duration::from_secs_f64(seconds)),
         ..ReplicaNotice::default()
     }
 }
@@ -170,7 +170,7 @@
 /// Takes an answer to a request that the replica took.
 fn hear_taken(table: &mut ReplicaTable, sent: Instant, now: Instant) -> NoticeEffect {
     let heard = ReceivedNotice {
-        replica: life(1, 0).life().tag(),
+        replica: life(1, 0).incarnation().tag(),
         notice: &ReplicaNotice::default(),
         auth: ResponseAuth::Authenticated,
         taken: true,
@@ -187,20 +187,23 @@
     let mut table = ReplicaTable::default();
     table.upsert(life(1, 10), now);
     let effect = hear(&mut table, &rest(3.0), ResponseAuth::Identified, now);
-    assert_eq!(effect.backoff, Some(RestChange::Began(seconds(3.0))));
+    assert_eq!(effect.backoff, Some(BackoffChange::Began(seconds(3.0))));
     let later = now + seconds(1.0);
     let effect = hear(&mut table, &rest(0.5), ResponseAuth::Identified, later);
-    assert_eq!(effect.backoff, Some(RestChange::Covered));
+    assert_eq!(effect.backoff, Some(BackoffChange::Covered));
     assert!(!hear_taken(&mut table, now, later).recovered);
     assert_eq!(
         withheld(&mut table, now + seconds(2.9)),
-        Some(Withheld::Resting)
+        Some(SendRefusal::Resting)
     );
     let effect = hear(&mut table, &rest(3.0), ResponseAuth::Identified, later);
-    assert_eq!(effect.backoff, Some(RestChange::Lengthened(seconds(3.0))));
+    assert_eq!(
+        effect.backoff,
+        Some(BackoffChange::Lengthened(seconds(3.0)))
+    );
     assert_eq!(
         withheld(&mut table, now + seconds(3.9)),
-        Some(Withheld::Resting)
+        Some(SendRefusal::Resting)
     );
     assert_eq!(withheld(&mut table, now + seconds(4.0)), None);
 }
@@ -214,10 +217,10 @@
     hear(&mut table, &rest(1.0), ResponseAuth::Identified, now);
     let end = now + seconds(1.0);
     assert_eq!(withheld(&mut table, end), None);
-    assert_eq!(withheld(&mut table, end), Some(Withheld::Resting));
+    assert_eq!(withheld(&mut table, end), Some(SendRefusal::Resting));
     assert_eq!(
         withheld(&mut table, end + seconds(0.9)),
-        Some(Withheld::Resting)
+        Some(SendRefusal::Resting)
     );
     assert_eq!(withheld(&mut table, end + seconds(1.0)), None);
     // Each request that it takes lets one more follow.
@@ -242,19 +245,19 @@
     let mut table = ReplicaTable::default();
     table.upsert(life(1, 10), now);
     let claim = table
-        .claim(&mut ColdLimiter::default(), "r", 0, now)
+        .reserve(&mut ColdLimiter::default(), "r", 0, now)
         .unwrap();
     hear(&mut table, &rest(1.0), ResponseAuth::Identified, now);
-    assert_eq!(table.permit(claim, now).unwrap_err(), Withheld::Resting);
+    assert_eq!(table.permit(claim, now).unwrap_err(), SendRefusal::Resting);
 }
 
 /// Guards against values that keep a replica out for ever, or that are heeded though they say nothing.
-#[test_case(NamedRest::For(Duration::ZERO), ResponseAuth::Authenticated, 0.0; "zero")]
-#[test_case(NamedRest::Malformed, ResponseAuth::Authenticated, 0.0; "malformed")]
-#[test_case(NamedRest::For(Duration::from_millis(250)), ResponseAuth::Identified, 0.25; "fraction")]
-#[test_case(NamedRest::For(Duration::from_secs(36_000)), ResponseAuth::Authenticated, 600.0; "hours")]
-#[test_case(NamedRest::For(Duration::from_secs(36_000)), ResponseAuth::Unverified, 30.0; "unproven")]
-fn rest_is_bounded(named: NamedRest, auth: ResponseAuth, expected: f64) {
+#[test_case(BackoffNotice::For(Duration::ZERO), ResponseAuth::Authenticated, 0.0; "zero")]
+#[test_case(BackoffNotice::Malformed, ResponseAuth::Authenticated, 0.0; "malformed")]
+#[test_case(BackoffNotice::For(Duration::from_millis(250)), ResponseAuth::Identified, 0.25; "fraction")]
+#[test_case(BackoffNotice::For(Duration::from_secs(36_000)), ResponseAuth::Authenticated, 600.0; "hours")]
+#[test_case(BackoffNotice::For(Duration::from_secs(36_000)), ResponseAuth::Unverified, 30.0; "unproven")]
+fn rest_is_bounded(named: BackoffNotice, auth: ResponseAuth, expected: f64) {
     let now = Instant::now();
     let mut table = ReplicaTable::default();
     table.upsert(life(1, 10), now);
@@ -263,10 +266,13 @@
         ..ReplicaNotice::default()
     };
     let effect = hear(&mut table, &notice, auth, now);
-    assert_eq!(effect.rejected.is_empty(), named != NamedRest::Malformed);
+    assert_eq!(
+        effect.rejected.is_empty(),
+        named != BackoffNotice::Malformed
+    );
     assert_eq!(effect.unproven.is_empty(), auth != ResponseAuth::Unverified);
-    let tag = life(1, 0).life().tag();
-    assert_eq!(table.rests.wait(tag, now), seconds(expected));
+    let tag = life(1, 0).incarnation().tag();
+    assert_eq!(table.backoffs.wait(tag, now), seconds(expected));
 }
 
 /// Guards against an answer of somebody else that takes a replica out of use for good.
@@ -280,7 +286,7 @@
     assert_eq!(table.announced_leaving().count(), 0);
     assert_eq!(
         withheld(&mut table, now + seconds(29.0)),
-        Some(Withheld::Resting)
+        Some(SendRefusal::Resting)
     );
     assert_eq!(withheld(&mut table, now + seconds(30.0)), None);
 }
@@ -297,9 +303,9 @@
 }
 
 /// Guards against the usual load for a replica that says that it is cold again.
-#[test_case(ResponseAuth::Identified, Some(Withheld::Cold); "its_own")]
+#[test_case(ResponseAuth::Identified, Some(SendRefusal::Cold); "its_own")]
 #[test_case(ResponseAuth::Unverified, None; "of_somebody")]
-fn cold_replica_is_believed(auth: ResponseAuth, expected: Option<Withheld>) {
+fn cold_replica_is_believed(auth: ResponseAuth, expected: Option<SendRefusal>) {
     let now = Instant::now();
     let mut table = ReplicaTable::default();
     table.upsert(life(1, 10), now);
@@ -318,11 +324,11 @@
     let now = Instant::now();
     let mut table = ReplicaTable::default();
     table.upsert(life(1, 10), now);
-    table.vanish("r", 11.into(), now);
+    table.remove_entry("r", 11.into(), now);
     table.tick(now);
     hear(&mut table, &LEAVING, ResponseAuth::Identified, now);
     table.upsert(life(1, 12), now);
-    assert_eq!(withheld(&mut table, now), Some(Withheld::Leaving));
+    assert_eq!(withheld(&mut table, now), Some(SendRefusal::Leaving));
 }
 
 /// Guards against a rest that is forgotten where the entry of the replica vanishes and comes back.
@@ -332,13 +338,13 @@
     let mut table = ReplicaTable::default();
     table.upsert(life(1, 10), now);
     hear(&mut table, &rest(3.0), ResponseAuth::Identified, now);
-    table.vanish("r", 11.into(), now);
+    table.remove_entry("r", 11.into(), now);
     table.tick(now);
     table.upsert(life(1, 12), now);
     table.tick(now);
     assert_eq!(
         withheld(&mut table, now + seconds(2.9)),
-        Some(Withheld::Resting)
+        Some(SendRefusal::Resting)
     );
 }
 
@@ -349,18 +355,18 @@
     let mut table = ReplicaTable::default();
     table.upsert(life(1, 10), now);
     let notice = ReplicaNotice {
-        rate_limit: NamedLimit::PerSecond(1.0),
+        rate_limit: RateLimitNotice::PerSecond(1.0),
         ..ReplicaNotice::default()
     };
     hear(&mut table, &notice, ResponseAuth::Authenticated, now);
-    table.vanish("r", 11.into(), now);
+    table.remove_entry("r", 11.into(), now);
     table.tick(now);
     let later = now + seconds(20.0);
     table.upsert(life(1, 12), later);
     table.tick(later);
-    let tag = life(1, 0).life().tag();
+    let tag = life(1, 0).incarnation().tag();
     assert_eq!(table.limits.rate(tag), Some(1.0));
-    table.vanish("r", 13.into(), later);
+    table.remove_entry("r", 13.into(), later);
     table.tick(later + seconds(31.0));
     assert_eq!(table.limits.rate(tag), None);
 }
