--- a/crates/zinniahatch_ctl/src/explain.rs
+++ b/crates/zinniahatch_ctl/src/explain.rs
@@ -8,7 +8,7 @@
 
 /// Time before and after a request, in ms, within which state changes of its nodes are shown.
 const CONTEXT_MS: u64 = 3_000;
-/// Kinds of lines that record a change of a node's state and not of a request.
+/// Kinds of lines that record a state change of a node and not a step of a request.
 const STATE_KINDS: [&str; 20] = [
     "version",
     "preset",
--- a/crates/zinniahatch_ctl/src/losses.rs
+++ b/crates/zinniahatch_ctl/src/losses.rs
@@ -26,8 +26,9 @@
 /// What the logs record of one request.
 #[derive(Clone, Debug, Default)]
 struct LoggedRequest {
-    /// Time of the first line that the caller's node logged.
+    /// Time of the first line of the node to which the caller sent the request.
     began: Option<u64>,
+    /// The node to which the caller sent the request.
     node: String,
     route: Option<String>,
     /// Prompt tokens.
--- a/crates/zinniahatch_daemon/src/transport.rs
+++ b/crates/zinniahatch_daemon/src/transport.rs
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Opens a new connection to a peer that has not been heard.
+    /// Opens a new connection to a peer from which nothing was received for some time.
     pub(crate) fn redial(&mut self, core: &GatewayCore, peer: &str) {
         core.counters.redials.inc();
         self.enqueue(core.reach(peer), PeerCommand::Redial);
--- a/crates/zinniahatch_report/tests/counts.rs
+++ b/crates/zinniahatch_report/tests/counts.rs
@@ -131,14 +131,17 @@
         },
     );
     buffer.seal(60);
-    let again = Duration::from_secs(60);
-    assert_eq!(buffer.take_due(now, again, |_| Some("m1".into())).len(), 1);
+    let timeout = Duration::from_secs(60);
     assert_eq!(
-        buffer.take_due(now, again, |_| Some("m1".into())).len(),
+        buffer.take_due(now, timeout, |_| Some("m1".into())).len(),
+        1
+    );
+    assert_eq!(
+        buffer.take_due(now, timeout, |_| Some("m1".into())).len(),
         0,
         "the merger already has the batch"
     );
-    let due = buffer.take_due(now, again, |_| Some("m2".into()));
+    let due = buffer.take_due(now, timeout, |_| Some("m2".into()));
     assert_eq!(due.len(), 1, "a new merger receives the batch");
     buffer.note_merged(due[0].0, &[due[0].2.number], now);
     assert!(buffer.is_flushed());
@@ -179,7 +182,7 @@
 fn buffer_requeues_what_a_restore_may_have_lost() {
     let now = Instant::now();
     let mut buffer = CountBuffer::with_shards(1);
-    let again = Duration::from_secs(90);
+    let timeout = Duration::from_secs(90);
     for minute in 0..2 {
         let row = CountRow {
             requests: 1,
@@ -188,19 +191,22 @@
         buffer.add(key("a", "r", ResultCode::Answered), &row);
         buffer.seal(minute);
         let at = now + Duration::from_secs(90) * minute as u32;
-        let due = buffer.take_due(at, again, |_| Some("m".into()));
+        let due = buffer.take_due(at, timeout, |_| Some("m".into()));
         buffer.note_merged(0, &[due[0].2.number], at);
     }
     let later = now + Duration::from_secs(100);
     assert!(buffer.is_flushed());
     assert!(
         buffer
-            .take_due(later, again, |_| Some("m".into()))
+            .take_due(later, timeout, |_| Some("m".into()))
             .is_empty()
     );
     assert_eq!(buffer.requeue_after_restore(later), 1);
     assert!(!buffer.is_flushed());
-    assert_eq!(buffer.take_due(later, again, |_| Some("m".into())).len(), 1);
+    assert_eq!(
+        buffer.take_due(later, timeout, |_| Some("m".into())).len(),
+        1
+    );
 }
 
 /// Guards against a report that looks complete although a node failed with counts that it had not
