--- a/crates/zinniahatch_entry/src/counts/pending_counts.rs
+++ b/crates/zinniahatch_entry/src/counts/pending_counts.rs
@@ -2,16 +2,16 @@
 
 use std::cell::RefCell;
 use zinniahatch_base::prelude::*;
-use zinniahatch_report::CountBook;
-use zinniahatch_report::MergeDesk;
+use zinniahatch_report::CountBuffer;
+use zinniahatch_report::MergeQueue;
 
 /// Usage counts of this node and, while it is the merger of its region, of other nodes.
 #[derive(Debug)]
 pub(crate) struct PendingCounts {
     /// Counts recorded by this node.
-    pub(crate) book: RefCell<CountBook>,
+    pub(crate) book: RefCell<CountBuffer>,
     /// Counts received for merging into the store.
-    pub(crate) merging: RefCell<MergeDesk>,
+    pub(crate) merging: RefCell<MergeQueue>,
     /// Numbers of merged sheets that have not been reported back yet, by the node that sent them.
     pub(crate) unacknowledged: RefCell<BTreeMap<(NodeId, Incarnation), Vec<u64>>>,
 }
@@ -19,7 +19,7 @@
 impl Default for PendingCounts {
     fn default() -> Self {
         Self {
-            book: RefCell::new(CountBook::with_shards(1)),
+            book: RefCell::new(CountBuffer::with_shards(1)),
             merging: RefCell::default(),
             unacknowledged: RefCell::default(),
         }
--- a/crates/zinniahatch_entry/src/store/restore_recovery.rs
+++ b/crates/zinniahatch_entry/src/store/restore_recovery.rs
@@ -56,7 +56,7 @@
 async fn recover_from_restore(core: &Rc<EntryCore>, before: u64, after: u64) {
     let now = Instant::now();
     core.metrics.note_store_restore();
-    let sheets = core.counts.book.borrow_mut().reopen(now);
+    let sheets = core.counts.book.borrow_mut().requeue_after_restore(now);
     let suspects = core.suspects.borrow_mut().forget_persisted();
     core.log.write(
         "store-returned",
