--- a/crates/zinniahatch_route/tests/accounts.rs
+++ b/crates/zinniahatch_route/tests/accounts.rs
@@ -1,9 +1,10 @@
-//! Client accounts: whose key it is, which regions may serve, what a request uses, and for how long keys are trusted.
+//! Client accounts: the owner of a key, the regions that may serve, the units that a request uses,
+//! and for how long keys are trusted.
 
 mod common;
 
+use common::desired_state;
 use common::route;
-use common::state;
 use std::collections::BTreeSet;
 use std::time::Duration;
 use test_case::test_case;
@@ -32,18 +33,18 @@
 }
 
 fn table(version: u64, accounts: Vec<DesiredAccount>, before: &AccountTable) -> AccountTable {
-    let mut desired = state(version, Vec::new());
+    let mut desired = desired_state(version, Vec::new());
     desired.accounts = accounts;
     AccountTable::new(&desired, before)
 }
 
-/// A key is taken away, and is given to another account in a later version. Each version decides for itself, and one
-/// that was taken away is told from one that nobody ever had.
+/// A key that is revoked, and assigned to another account in a later version, is resolved by each
+/// version on its own. A revoked key is distinguished from one that never existed.
 #[test]
-fn keys_follow_their_version() {
-    let none = AccountTable::default();
-    assert!(!none.requires_key());
-    let first = table(1, vec![account("a", &["k", "l"], &[])], &none);
+fn find_key_by_version() {
+    let empty = AccountTable::default();
+    assert!(!empty.requires_key());
+    let first = table(1, vec![account("a", &["k", "l"], &[])], &empty);
     assert!(first.requires_key() && first.holds(&digest("k"), "a"));
     assert_eq!(first.find(&digest("m")), KeyVerdict::Unknown);
     let second = table(2, vec![account("a", &["l"], &[])], &first);
@@ -54,9 +55,10 @@
     assert_eq!(third.find(&digest("l")), KeyVerdict::Revoked);
 }
 
-/// Guards against a key that is taken away after thousands of others and runs on, taken for one that never was.
+/// Guards against a key that is revoked after thousands of others, while requests with it are in
+/// progress, and is taken for one that never existed.
 #[test]
-fn key_taken_away_last_is_remembered() {
+fn find_key_revoked_last() {
     const EARLIER: usize = 10_000;
     let names: Vec<String> = (0..EARLIER).map(|number| format!("k{number}")).collect();
     let names: Vec<&str> = names.iter().map(String::as_str).collect();
@@ -70,9 +72,10 @@
     assert_eq!(third.find(&digest("zzz")), KeyVerdict::Revoked);
 }
 
-/// Guards against a forwarded request whose key this node never knew, and that runs on after the key was taken away.
+/// Guards against a forwarded request whose key this node never knew, and which continues after the
+/// key was revoked.
 #[test]
-fn key_never_known_here_is_judged_once_the_node_is_as_new() {
+fn still_holds_unknown_key_until_caught_up() {
     let fourth = table(4, vec![account("a", &["l"], &[])], &AccountTable::default());
     assert!(fourth.still_holds(&digest("k"), "a", 5, 4));
     let sixth = table(6, vec![account("a", &["l"], &[])], &fourth);
@@ -82,20 +85,25 @@
 }
 
 #[test]
-fn key_digests_show_nothing() {
+fn key_digest_debug_hides_value() {
     assert_eq!(format!("{:?}", digest("k")), "KeyDigest");
     assert_eq!(KeyDigest::parse(&digest("k").hex()), Some(digest("k")));
     assert_eq!(KeyDigest::parse("zz"), None);
 }
 
-/// The homes of route and account both bind; where they have none in common, nobody may serve the request.
+/// The homes of route and account both apply; if they have none in common, no region may serve the
+/// request.
 #[test_case(&[], None, Some(&[]); "neither")]
 #[test_case(&["n", "s"], None, Some(&["n", "s"]); "route")]
 #[test_case(&[], Some(&["n"]), Some(&["n"]); "account")]
 #[test_case(&["n", "s"], Some(&["n", "w"]), Some(&["n"]); "both")]
 #[test_case(&["n", "s"], Some(&["w"]), None; "nothing_in_common")]
 #[test_case(&["n"], Some(&[]), Some(&["n"]); "account_without")]
-fn homes_of_both_bind(of_route: &[&str], of_account: Option<&[&str]>, expected: Option<&[&str]>) {
+fn common_homes_of_route_and_account(
+    of_route: &[&str],
+    of_account: Option<&[&str]>,
+    expected: Option<&[&str]>,
+) {
     let set = |homes: &[&str]| -> BTreeSet<Box<str>> {
         homes.iter().map(|home| (*home).into()).collect()
     };
@@ -130,42 +138,43 @@
     Duration::from_millis(100_000 + millis)
 }
 
-/// A node is cut off from the store and from all others. A key that is taken away meanwhile must run nowhere 5 s
-/// later; the node stops in time by itself.
+/// Guards against a revoked key that a node accepts while it is cut off from the store and from all
+/// other nodes: 5 s after a revocation the key must not be accepted anywhere, so the node stops in
+/// time on its own.
 #[test]
-fn proof_lapses_before_the_bound() {
-    let mut book = KeyFreshness::default();
-    assert!(!book.is_fresh(BOUND, at(0)));
-    book.record(3, at(0), 3);
-    assert!(book.is_fresh(BOUND, at(4_400)));
-    assert!(!book.is_fresh(BOUND, at(4_600)));
-    // An answer that was asked for earlier and comes late proves no more.
-    book.record(3, at(0), 3);
-    assert!(!book.is_fresh(BOUND, at(4_600)));
+fn proof_expires_before_the_bound() {
+    let mut freshness = KeyFreshness::default();
+    assert!(!freshness.is_fresh(BOUND, at(0)));
+    freshness.record(3, at(0), 3);
+    assert!(freshness.is_fresh(BOUND, at(4_400)));
+    assert!(!freshness.is_fresh(BOUND, at(4_600)));
+    // A response to an earlier call that arrives late does not extend the proof.
+    freshness.record(3, at(0), 3);
+    assert!(!freshness.is_fresh(BOUND, at(4_600)));
 }
 
-/// A peer says that a version this node does not know yet is the newest. That is no proof of the keys that the node
-/// knows; once it follows the version, it is.
+/// A peer reports as the newest a version that this node does not know yet. That proves nothing
+/// about the keys that the node knows until it uses that version.
 #[test]
-fn proof_of_a_newer_version_waits_for_it() {
-    let mut book = KeyFreshness::default();
-    book.record(3, at(0), 3);
-    book.record(4, at(4_000), 3);
-    assert!(!book.is_fresh(BOUND, at(4_600)));
-    book.set_version(4);
-    assert!(book.is_fresh(BOUND, at(8_000)));
+fn proof_of_newer_version_waits_for_update() {
+    let mut freshness = KeyFreshness::default();
+    freshness.record(3, at(0), 3);
+    freshness.record(4, at(4_000), 3);
+    assert!(!freshness.is_fresh(BOUND, at(4_600)));
+    freshness.set_version(4);
+    assert!(freshness.is_fresh(BOUND, at(8_000)));
 }
 
-/// A proof goes from node to node. Each counts its age from when it had itself asked the other, so that time on the
-/// way, or in a queue, makes it older and never younger.
+/// Guards against a proof that becomes younger as nodes pass it on: each node dates it back from
+/// when it sent its own request, so that network delay and queueing make it older, never younger.
 #[test]
-fn proof_ages_on_its_way() {
+fn proof_ages_in_transit() {
     let (mut first, mut second) = (KeyFreshness::default(), KeyFreshness::default());
     first.record(3, at(0), 3);
-    let told = first.to_share(at(1_000)).expect("there is one");
-    assert_eq!(told.age_ms, 1_000);
-    // Asked at 900, answered at 1,000, heard at 9,000.
-    second.merge(told, at(900), 3);
+    let shared = first.to_share(at(1_000)).expect("a proof was recorded");
+    assert_eq!(shared.age_ms, 1_000);
+    // Requested at 900, answered at 1,000, received at 9,000.
+    second.merge(shared, at(900), 3);
     assert_eq!(second.age(at(9_000)), Some(Duration::from_millis(9_100)));
     assert!(!second.is_fresh(BOUND, at(9_000)));
     assert!(second.is_fresh(BOUND, at(2_000)));
--- a/crates/zinniahatch_route/tests/common/mod.rs
+++ b/crates/zinniahatch_route/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Small makers for tests of the pure decisions.
+//! Builders of values that several tests use.
 
 #![allow(dead_code)]
 
@@ -45,7 +45,7 @@
     }
 }
 
-pub(crate) fn state(version: u64, routes: Vec<DesiredRoute>) -> DesiredState {
+pub(crate) fn desired_state(version: u64, routes: Vec<DesiredRoute>) -> DesiredState {
     let service = DesiredService {
         health_path: "/health".into(),
         max_channels: 100,
@@ -63,13 +63,13 @@
     }
 }
 
-pub(crate) fn entry(id: &str, place: &str) -> ReplicaEntry {
+pub(crate) fn entry(id: &str, data_centre: &str) -> ReplicaEntry {
     ReplicaEntry {
         id: id.into(),
         started_ms: 1,
         service: "s".into(),
         address: address(1),
-        data_centre: place.into(),
+        data_centre: data_centre.into(),
         slots: 8,
         leaving: false,
         gone_in: None,
@@ -90,8 +90,9 @@
     [("a".into(), "north".into()), ("b".into(), "south".into())].into()
 }
 
-/// A prompt of one part for all, one for the session and one of its own.
-pub(crate) fn prompt(session: u64, own: u64) -> PromptSize {
+/// Builds a prompt with a part that all requests share, one shared within its session, and one of
+/// its own.
+pub(crate) fn prompt(session: u64, request: u64) -> PromptSize {
     PromptSize {
         tokens_in: 2_000 + 4_000 + 3_000,
         tokens_out: 50,
@@ -106,14 +107,14 @@
                 tokens: 4_000,
             },
             PromptPart {
-                tag: 1_000_000 + own,
+                tag: 1_000_000 + request,
                 tokens: 3_000,
             },
         ],
     }
 }
 
-pub(crate) struct AskParts {
+pub(crate) struct QueryParts {
     pub(crate) service: ServiceId,
     pub(crate) tried: BTreeSet<ReplicaId>,
     pub(crate) peers: BTreeSet<NodeId>,
@@ -121,7 +122,7 @@
     pub(crate) copy_token: Duration,
 }
 
-impl AskParts {
+impl QueryParts {
     pub(crate) fn new(size: PromptSize) -> Self {
         Self {
             service: "s".into(),
@@ -132,7 +133,7 @@
         }
     }
 
-    pub(crate) fn ask(&self) -> PlacementQuery<'_> {
+    pub(crate) fn query(&self) -> PlacementQuery<'_> {
         PlacementQuery {
             service: &self.service,
             region: "north",
@@ -149,7 +150,7 @@
     }
 }
 
-pub(crate) fn card(node: &str, region: &str, wait_ms: u32, healthy: u16) -> MemberInfo {
+pub(crate) fn member_info(node: &str, region: &str, wait_ms: u32, healthy: u16) -> MemberInfo {
     MemberInfo {
         node: node.into(),
         incarnation: 1,
--- a/crates/zinniahatch_route/tests/directory.rs
+++ b/crates/zinniahatch_route/tests/directory.rs
@@ -1,9 +1,9 @@
-//! Which entry VMs callers are told to use while nodes come and go.
+//! Entry VMs that the directory gives to callers while nodes come and go.
 
 mod common;
 
 use common::address;
-use common::card;
+use common::member_info;
 use std::net::SocketAddrV4;
 use test_case::test_case;
 use zinniahatch_base::prelude::*;
@@ -19,19 +19,19 @@
 fn members(nodes: NodeRows<'_>, now: Instant) -> MemberTable {
     let mut members = MemberTable::default();
     for (name, region, stage, last) in nodes {
-        let mut card = card(name, region, 0, 1);
-        card.stage = *stage;
-        card.front = address(*last);
-        card.peer = address(100 + *last);
-        members.update(card, false, now);
+        let mut member_info = member_info(name, region, 0, 1);
+        member_info.stage = *stage;
+        member_info.front = address(*last);
+        member_info.peer = address(100 + *last);
+        members.update(member_info, false, now);
     }
     members
 }
 
-fn named(nodes: NodeRows<'_>, region: &str, homes: Option<&[&str]>) -> Vec<SocketAddrV4> {
+fn selected(nodes: NodeRows<'_>, region: &str, homes: Option<&[&str]>) -> Vec<SocketAddrV4> {
     let now = Instant::now();
     let own_region: RegionId = "west".into();
-    let ask = DirectoryQuery {
+    let query = DirectoryQuery {
         region,
         homes: homes.map(|homes| homes.iter().map(|home| (*home).into()).collect()),
         max_proof_age: None,
@@ -40,67 +40,74 @@
         own_front: address(50),
         own_stage: MemberStage::Ready,
     };
-    select_nodes(&members(nodes, now), &ask, now).addresses()
+    select_nodes(&members(nodes, now), &query, now).addresses()
 }
 
-/// Surveyors of the north had a bound query read by a node in the west: the nodes of both homes were stopped
-/// one after the other, each took seconds to end its streams, and the directory named the only region
-/// that had a ready node. Cause: it preferred homes, but fell back to any region.
+/// Guards against requests of a bound host that are served outside its homes. The nodes of both
+/// homes were stopped one after the other, each took seconds to end its streams, and the directory,
+/// which preferred homes but fell back to any region, returned the only region with a ready node.
 #[test]
-fn name_nodes_both_homes_are_stopping() {
+fn select_nodes_both_homes_are_stopping() {
     let nodes: NodeRows<'_> = &[
         ("n1", "north", MemberStage::Closing, 1),
         ("n2", "north", MemberStage::Leaving, 2),
         ("s1", "south", MemberStage::Closing, 3),
     ];
     let homes: &[&str] = &["north", "south"];
-    assert_eq!(named(nodes, "north", Some(homes)), [address(2)]);
-    assert_eq!(named(nodes, "south", Some(homes)), []);
+    assert_eq!(selected(nodes, "north", Some(homes)), [address(2)]);
+    assert_eq!(selected(nodes, "south", Some(homes)), []);
 }
 
-/// While the last node of a region takes only what ends soon, streams are served elsewhere; where there is
-/// no home elsewhere, it is all that is left.
+/// While the last node of a region accepts only requests that end soon, streams are served in
+/// another home; if there is none, this node is still returned.
 #[test_case(MemberStage::Ready, &[3]; "another_home")]
 #[test_case(MemberStage::Closing, &[1]; "no_other_home")]
-fn name_nodes_last_of_a_region(south: MemberStage, expected: &[u8]) {
+fn select_nodes_last_node_of_a_region(south: MemberStage, expected: &[u8]) {
     let nodes: NodeRows<'_> = &[
         ("n1", "north", MemberStage::PlainOnly, 1),
         ("s1", "south", south, 3),
     ];
     let expected: Vec<SocketAddrV4> = expected.iter().map(|last| address(*last)).collect();
-    assert_eq!(named(nodes, "north", Some(&["north", "south"])), expected);
+    assert_eq!(
+        selected(nodes, "north", Some(&["north", "south"])),
+        expected
+    );
 }
 
 #[test_case(&[("n1", "north", MemberStage::Ready, 1), ("n2", "north", MemberStage::Leaving, 2)], &[1]; "ready_before_leaving")]
 #[test_case(&[("n1", "north", MemberStage::Leaving, 1), ("s1", "south", MemberStage::Ready, 3)], &[1]; "leaving_before_elsewhere")]
 #[test_case(&[("n1", "north", MemberStage::Closing, 1), ("s1", "south", MemberStage::Ready, 3)], &[3]; "home_elsewhere")]
 #[test_case(&[("n1", "north", MemberStage::Starting, 1)], &[]; "nobody_rather_than_no_home")]
-fn name_nodes_bound_host(nodes: NodeRows<'_>, expected: &[u8]) {
+fn select_nodes_bound_host(nodes: NodeRows<'_>, expected: &[u8]) {
     let expected: Vec<SocketAddrV4> = expected.iter().map(|last| address(*last)).collect();
-    assert_eq!(named(nodes, "north", Some(&["north", "south"])), expected);
+    assert_eq!(
+        selected(nodes, "north", Some(&["north", "south"])),
+        expected
+    );
 }
 
 #[test]
-fn name_nodes_unbound_host_any_region() {
+fn select_nodes_unbound_host_any_region() {
     let nodes: NodeRows<'_> = &[("s1", "south", MemberStage::Ready, 3)];
-    let mut found = named(nodes, "north", Some(&[]));
+    let mut found = selected(nodes, "north", Some(&[]));
     found.sort_unstable();
     assert_eq!(found, [address(3), address(50)]);
 }
 
-/// A node that has just started knows no routes and so no homes: it must not send anybody elsewhere.
+/// A node that has just started knows no routes and therefore no homes; it must not direct callers
+/// to another region.
 #[test]
-fn name_nodes_unknown_state_stays_near() {
+fn select_nodes_unknown_state_stays_in_region() {
     let nodes: NodeRows<'_> = &[("s1", "south", MemberStage::Ready, 3)];
-    assert_eq!(named(nodes, "north", None), []);
-    assert_eq!(named(nodes, "south", None), [address(3)]);
+    assert_eq!(selected(nodes, "north", None), []);
+    assert_eq!(selected(nodes, "south", None), [address(3)]);
 }
 
 #[test]
-fn name_nodes_own_region_names_itself() {
+fn select_nodes_own_region_returns_itself() {
     let now = Instant::now();
     let own_region: RegionId = "west".into();
-    let ask = DirectoryQuery {
+    let query = DirectoryQuery {
         region: "west",
         homes: Some(BTreeSet::new()),
         max_proof_age: None,
@@ -109,6 +116,6 @@
         own_front: address(50),
         own_stage: MemberStage::Leaving,
     };
-    let named = select_nodes(&MemberTable::default(), &ask, now);
-    assert_eq!(named, DirectoryAnswer::Local(vec![address(50)]));
+    let selected = select_nodes(&MemberTable::default(), &query, now);
+    assert_eq!(selected, DirectoryAnswer::Local(vec![address(50)]));
 }
--- a/crates/zinniahatch_route/tests/placement.rs
+++ b/crates/zinniahatch_route/tests/placement.rs
@@ -1,10 +1,11 @@
-//! Where requests go: sessions stay, load spreads, sick and leaving replicas get nothing.
+//! Placement of requests: sessions keep their replica, load spreads, and unhealthy or leaving
+//! replicas get no requests.
 
 mod common;
 
-use common::AskParts;
-use common::card;
+use common::QueryParts;
 use common::entry;
+use common::member_info;
 use common::prompt;
 use common::regions;
 use common::table;
@@ -21,12 +22,12 @@
 use zinniahatch_route::choose_local;
 use zinniahatch_route::choose_remote;
 
-fn choose(table: &ReplicaTable, parts: &AskParts, now: Instant) -> Option<LocalPlacement> {
+fn choose(table: &ReplicaTable, parts: &QueryParts, now: Instant) -> Option<LocalPlacement> {
     choose_local(
         table,
         &ColdLimiter::default(),
         &regions(),
-        &parts.ask(),
+        &parts.query(),
         now,
     )
 }
@@ -37,46 +38,46 @@
     let table = table(&["r1", "r2", "r3", "r4"], now);
     let mut used = BTreeSet::new();
     for session in 0..40 {
-        let first = choose(&table, &AskParts::new(prompt(session, 1)), now).unwrap();
-        let again = choose(&table, &AskParts::new(prompt(session, 2)), now).unwrap();
+        let first = choose(&table, &QueryParts::new(prompt(session, 1)), now).unwrap();
+        let again = choose(&table, &QueryParts::new(prompt(session, 2)), now).unwrap();
         assert_eq!(first.replica, again.replica, "session {session} moved");
         used.insert(first.replica);
     }
     assert_eq!(used.len(), 4, "sessions spread over all replicas");
 }
 
-/// A replica of four left and every session moved, so that all prompts were read again at once.
-/// Only the sessions of the one that left may move.
+/// Guards against moving all sessions when one of four replicas leaves, which makes all prompts be
+/// prefilled again at once. Only the sessions of the leaving replica may move.
 #[test]
-fn choose_local_moves_only_what_left() {
+fn choose_local_moves_only_sessions_of_leaving_replica() {
     let now = Instant::now();
     let mut table = table(&["r1", "r2", "r3", "r4"], now);
     let before: Vec<ReplicaId> = (0..40)
         .map(|session| {
-            choose(&table, &AskParts::new(prompt(session, 1)), now)
+            choose(&table, &QueryParts::new(prompt(session, 1)), now)
                 .unwrap()
                 .replica
         })
         .collect();
     table.get_mut("r2").unwrap().leaving = Some(LeaveReason::Draining);
     for (session, old) in before.iter().enumerate() {
-        let parts = AskParts::new(prompt(session as u64, 1));
+        let parts = QueryParts::new(prompt(session as u64, 1));
         let new = choose(&table, &parts, now).unwrap().replica;
         if &**old == "r2" {
             assert_ne!(new, *old);
         } else {
-            assert_eq!(new, *old, "session {session} moved without need");
+            assert_eq!(new, *old, "session {session} moved needlessly");
         }
     }
 }
 
-/// A burst of one session's requests queued up behind its own replica while the others idled, and
-/// its callers waited seconds. Beyond a bounded load a session goes elsewhere.
+/// Guards against a burst of one session's requests that queues at the session's replica while the
+/// others are idle, so that callers wait for seconds. Beyond a bounded load a session moves.
 #[test]
-fn choose_local_leaves_a_busy_first_choice() {
+fn choose_local_avoids_busy_first_choice() {
     let now = Instant::now();
     let mut table = table(&["r1", "r2"], now);
-    let parts = AskParts::new(prompt(7, 1));
+    let parts = QueryParts::new(prompt(7, 1));
     let first = choose(&table, &parts, now).unwrap().replica;
     table.get_mut(&first).unwrap().local_work = InFlightWork {
         requests: 5,
@@ -89,22 +90,23 @@
     assert_eq!(second.wait, Duration::ZERO);
 }
 
-/// All slots of a region were held by long answers. Urgent requests were expected to wait half a second
-/// for one and went to other regions, though engines put the common ones off and began after 100 ms.
+/// Guards against urgent requests that seem to wait for slots: with all slots of a region held by
+/// long responses they were expected to wait half a second and went to other regions, although
+/// engines preempt other requests for them and they began after 100 ms.
 #[test]
-fn choose_local_urgent_does_not_wait_for_common_slots() {
+fn choose_local_urgent_does_not_wait_for_other_requests() {
     let now = Instant::now();
     let mut table = table(&["r1"], now);
-    let parts = AskParts::new(prompt(7, 1));
+    let parts = QueryParts::new(prompt(7, 1));
     let mut full = InFlightWork {
         requests: 20,
         ..InFlightWork::default()
     };
     let mut expect = |full: InFlightWork, urgent: bool| {
         table.get_mut("r1").unwrap().local_work = full;
-        let mut ask = parts.ask();
-        ask.urgent = urgent;
-        choose_local(&table, &ColdLimiter::default(), &regions(), &ask, now).unwrap()
+        let mut query = parts.query();
+        query.urgent = urgent;
+        choose_local(&table, &ColdLimiter::default(), &regions(), &query, now).unwrap()
     };
     assert!(expect(full, false).queue > Duration::ZERO);
     assert_eq!(expect(full, true).queue, Duration::ZERO);
@@ -112,13 +114,14 @@
     assert!(expect(full, true).queue > Duration::ZERO);
 }
 
-/// A session's shared parts were read again by each replica that the load pushed it to, a third of
-/// all reading. A replica that lacks them names the one that keeps them, and copies.
+/// Guards against repeated prefill of shared parts: each replica to which load moved a session
+/// prefilled them again, a third of all prefill. A replica without them is told which replica has
+/// them in its cache, and copies them.
 #[test]
-fn choose_local_copies_from_the_keeper() {
+fn choose_local_copies_from_caching_replica() {
     let now = Instant::now();
     let mut table = table(&["r1", "r2"], now);
-    let mut parts = AskParts::new(prompt(7, 1));
+    let mut parts = QueryParts::new(prompt(7, 1));
     parts.copy_token = Duration::from_micros(2);
     let first = choose(&table, &parts, now).unwrap().replica;
     let read = CachedPrefix {
@@ -126,19 +129,22 @@
         parts: parts.size.parts[..2].to_vec(),
     };
     table.apply_cached_prefixes(&[read], |_| 100_000);
-    let at_home = choose(&table, &parts, now).unwrap();
-    assert_eq!((at_home.tokens, at_home.copy_from), (3_000, None));
+    let at_first = choose(&table, &parts, now).unwrap();
+    assert_eq!((at_first.tokens, at_first.copy_from), (3_000, None));
     table.get_mut(&first).unwrap().local_work.tokens = 60_000;
     let elsewhere = choose(&table, &parts, now).unwrap();
     assert_ne!(elsewhere.replica, first);
-    assert_eq!(elsewhere.tokens, 3_000, "only its own part is read");
+    assert_eq!(
+        elsewhere.tokens, 3_000,
+        "only the request's own part is prefilled"
+    );
     assert_eq!(elsewhere.copy_from, Some(first));
 }
 
 #[test]
-fn choose_local_without_replicas_for_new_work() {
+fn choose_local_without_eligible_replicas() {
     let now = Instant::now();
-    let parts = AskParts::new(PromptSize::default());
+    let parts = QueryParts::new(PromptSize::default());
     assert!(choose(&table(&[], now), &parts, now).is_none());
 
     let mut leaving = table(&["r1"], now);
@@ -149,52 +155,53 @@
     evacuated.set_evacuated(&["a".into()].into(), 1.into(), now);
     assert!(choose(&evacuated, &parts, now).is_none());
 
-    let mut unreached = table(&["r1"], now);
-    unreached
+    let mut unreachable = table(&["r1"], now);
+    unreachable
         .get_mut("r1")
         .unwrap()
         .health
         .note_unreachable(now);
-    assert!(choose(&unreached, &parts, now).is_none());
+    assert!(choose(&unreachable, &parts, now).is_none());
 
-    let mut far = ReplicaTable::default();
-    far.upsert(entry("r1", "b"), now);
+    let mut remote = ReplicaTable::default();
+    remote.upsert(entry("r1", "b"), now);
     assert!(
-        choose(&far, &parts, now).is_none(),
+        choose(&remote, &parts, now).is_none(),
         "another region's replica"
     );
 }
 
-/// A replica was taken away with two seconds' notice and cut off every answer that was longer.
-/// It gets only what ends before.
+/// Guards against responses that are cut off: a replica was terminated with two seconds' notice
+/// while longer responses ran on it. It gets only requests that end before.
 #[test]
-fn choose_local_with_short_notice() {
+fn choose_local_replica_terminating_soon() {
     let now = Instant::now();
     let mut table = table(&["r1"], now);
     table.get_mut("r1").unwrap().terminates_at = Some(now + Duration::from_secs(2));
-    let parts = AskParts::new(PromptSize::default());
+    let parts = QueryParts::new(PromptSize::default());
     assert!(
         choose(&table, &parts, now).is_none(),
         "the deadline is in five seconds"
     );
 }
 
-/// A region's nodes sent their whole load to a replica that had just started; it crashed. Over any
-/// second and over all nodes a cold replica gets no more than its bound.
+/// Guards against overload of a replica that has just started: the nodes of a region sent their
+/// whole load to it, and it crashed. In any one-second span, all nodes together send a cold replica
+/// at most its bound.
 #[test]
-fn choose_local_bounds_a_cold_replica() {
+fn cold_limiter_bounds_rate_over_all_nodes() {
     let start = Instant::now();
     let names = ["n1", "n2", "n3", "n4", "n5"];
     let peers: BTreeSet<NodeId> = names.iter().map(|name| (*name).into()).collect();
     let bound = 6.3;
     let mut sent: Vec<Instant> = Vec::new();
-    let mut gates: Vec<ColdLimiter> = names.iter().map(|_| ColdLimiter::default()).collect();
+    let mut limiters: Vec<ColdLimiter> = names.iter().map(|_| ColdLimiter::default()).collect();
     for step in 0..400_u64 {
         let now = start + Duration::from_millis(step * 10);
-        for (name, gate) in names.iter().zip(&mut gates) {
+        for (name, limiter) in names.iter().zip(&mut limiters) {
             let share = ColdLimiter::share(bound, "r1", name, &peers);
-            if gate.allows("r1", share, now) {
-                gate.note(&"r1".into(), now);
+            if limiter.allows("r1", share, now) {
+                limiter.note(&"r1".into(), now);
                 sent.push(now);
             }
         }
@@ -209,10 +216,10 @@
     assert!(sent.len() >= 12, "the bound is also used: {}", sent.len());
 }
 
-/// A node started anew, knew nobody, and took the whole bound of a cold replica for itself while the
-/// others used their parts: eight requests in a second where six are allowed.
+/// Guards against a restarted node that knows no peers and takes the whole bound of a cold replica
+/// beside the shares of the others: eight requests in a second where six are allowed.
 #[test]
-fn share_of_a_node_that_knows_nobody() {
+fn share_of_node_without_known_peers() {
     let bound = 6.3;
     let names = ["n1", "n2"];
     let known: BTreeSet<NodeId> = names.iter().map(|name| (*name).into()).collect();
@@ -223,82 +230,89 @@
 }
 
 #[test]
-fn choose_away_takes_the_sooner_region() {
+fn choose_remote_prefers_faster_region() {
     let now = Instant::now();
     let mut members = MemberTable::default();
-    members.update(card("s1", "south", 400, 2), true, now);
-    members.update(card("w1", "west", 50, 2), true, now);
-    members.update(card("w2", "west", 60, 2), true, now);
-    members.update(card("e1", "east", 0, 0), true, now);
+    members.update(member_info("s1", "south", 400, 2), true, now);
+    members.update(member_info("w1", "west", 50, 2), true, now);
+    members.update(member_info("w2", "west", 60, 2), true, now);
+    members.update(member_info("e1", "east", 0, 0), true, now);
     let table = ReplicaTable::default();
-    let parts = AskParts::new(PromptSize::default());
+    let parts = QueryParts::new(PromptSize::default());
     let names =
         |list: &[&str]| -> BTreeSet<Box<str>> { list.iter().map(|name| (*name).into()).collect() };
-    let away = |allowed: &[&str], regions: &[&str], nodes: &[&str]| {
+    let remote = |allowed: &[&str], regions: &[&str], nodes: &[&str]| {
         let allowed = names(allowed);
         let tried = RemoteAttempts {
             regions: names(regions),
             nodes: names(nodes),
         };
-        choose_remote(&members, &table, &parts.ask(), &allowed, &tried, 0, now)
+        choose_remote(&members, &table, &parts.query(), &allowed, &tried, 0, now)
             .map(|choice| choice.node)
     };
-    assert_eq!(away(&[], &[], &[]).as_deref(), Some("w1"));
+    assert_eq!(remote(&[], &[], &[]).as_deref(), Some("w1"));
     assert_eq!(
-        away(&["south"], &[], &[]).as_deref(),
+        remote(&["south"], &[], &[]).as_deref(),
         Some("s1"),
         "homes bind"
     );
-    assert_eq!(away(&[], &["west"], &[]).as_deref(), Some("s1"));
-    assert_eq!(away(&["east"], &[], &[]), None, "no sound replica there");
-    let other = away(&[], &[], &["w1"]);
+    assert_eq!(remote(&[], &["west"], &[]).as_deref(), Some("s1"));
+    assert_eq!(
+        remote(&["east"], &[], &[]),
+        None,
+        "no healthy replica there"
+    );
+    let other = remote(&[], &[], &["w1"]);
     assert_eq!(other.as_deref(), Some("w2"), "another node of the region");
     let later = now + Duration::from_secs(3);
     assert!(
         choose_remote(
             &members,
             &table,
-            &parts.ask(),
+            &parts.query(),
             &BTreeSet::new(),
             &RemoteAttempts::default(),
             0,
             later
         )
         .is_none(),
-        "silent nodes get nothing"
+        "silent nodes get no requests"
     );
 }
 
-/// Thirty nodes heard in one datagram that one of forty replicas was idle, and all sent there before
-/// they heard of each other: five long prompts lay ahead of each other while others idled.
+/// Guards against simultaneous placement: thirty nodes learned by one datagram that one of forty
+/// replicas was idle, and all chose it before they learned of each other's requests. Five long
+/// prompts queued there while other replicas were idle.
 #[test]
-fn choose_local_spreads_before_news_arrives() {
+fn choose_local_spreads_before_updates_arrive() {
     let now = Instant::now();
     let ids: Vec<String> = (0..40).map(|number| format!("r{number:02}")).collect();
     let names: Vec<&str> = ids.iter().map(String::as_str).collect();
     let mut table = table(&names, now);
-    for (number, belief) in table.rows_mut().enumerate() {
-        belief.local_work.tokens = if number == 7 { 0 } else { 20_000 };
+    for (number, replica) in table.rows_mut().enumerate() {
+        replica.local_work.tokens = if number == 7 { 0 } else { 20_000 };
     }
     let mut counts: BTreeMap<ReplicaId, usize> = BTreeMap::new();
     for node in 0..30 {
-        let parts = AskParts::new(prompt(node, node));
-        let mut ask = parts.ask();
-        ask.draw = node.wrapping_mul(0x9e37_79b9_7f4a_7c15);
-        let choice = choose_local(&table, &ColdLimiter::default(), &regions(), &ask, now).unwrap();
+        let parts = QueryParts::new(prompt(node, node));
+        let mut query = parts.query();
+        query.draw = node.wrapping_mul(0x9e37_79b9_7f4a_7c15);
+        let choice =
+            choose_local(&table, &ColdLimiter::default(), &regions(), &query, now).unwrap();
         *counts.entry(choice.replica).or_default() += 1;
     }
     let most = counts.values().max().copied().unwrap_or(0);
     assert!(most <= 10, "{most} of 30 at one replica");
 }
 
-/// A replica turned five times slower and went on answering. Half of its session's prompts began late, since
-/// its queue was no longer than those of others. What its answers took sends new ones to another choice.
+/// Guards against a replica that became five times slower and kept responding: half of its
+/// session's prompts began late, since its queue was no longer than those of others. Its observed
+/// latency makes new requests avoid it.
 #[test]
-fn choose_local_leaves_a_replica_that_turned_slow() {
+fn choose_local_avoids_replica_that_became_slow() {
     let now = Instant::now();
     let mut table = table(&["r1", "r2", "r3", "r4"], now);
-    let parts = AskParts::new(prompt(7, 1));
+    let parts = QueryParts::new(prompt(7, 1));
     let first = choose(&table, &parts, now).unwrap();
     for _ in 0..10 {
         let slow = table.get_mut(&first.replica).unwrap();
@@ -306,10 +320,10 @@
     }
     let other = choose(&table, &parts, now).unwrap();
     assert_ne!(other.replica, first.replica);
-    // As fast as before, it has its session back.
+    // Once it is as fast as before, the session returns.
     for _ in 0..60 {
-        let healed = table.get_mut(&first.replica).unwrap();
-        healed.note_latency(first.expected, first.expected);
+        let recovered = table.get_mut(&first.replica).unwrap();
+        recovered.note_latency(first.expected, first.expected);
     }
     assert_eq!(choose(&table, &parts, now).unwrap().replica, first.replica);
 }
--- a/crates/zinniahatch_route/tests/reader_cover.rs
+++ b/crates/zinniahatch_route/tests/reader_coverage.rs
@@ -1,4 +1,4 @@
-//! Leaving the reading of replicas to a few nodes of the region.
+//! Reliance of a node on the store readers of its region.
 
 mod common;
 
@@ -15,18 +15,22 @@
 #[test_case(&[7], CoverageState::Current; "same")]
 #[test_case(&[3, 7], CoverageState::Current; "same_as_one")]
 #[test_case(&[3], CoverageState::Behind; "missed")]
-fn judge_after_a_while(told: &[u64], expected: CoverageState) {
+fn check_after_max_divergence(announced: &[u64], expected: CoverageState) {
     let start = Instant::now();
-    let mut cover = ReaderCoverage::default();
-    cover.check(7, told.iter().copied(), start);
+    let mut coverage = ReaderCoverage::default();
+    coverage.check(7, announced.iter().copied(), start);
     let later = start + Duration::from_millis(1_500);
-    assert_eq!(cover.check(7, told.iter().copied(), later), expected);
+    assert_eq!(
+        coverage.check(7, announced.iter().copied(), later),
+        expected
+    );
 }
 
-/// A replica said that it was leaving. The datagrams that told a node so were lost, its own watch rested,
-/// and it sent there until the replica was gone. The digest of the readers' cards shows that it missed something.
+/// Guards against lost datagrams from the readers: a node did not learn that a replica was leaving,
+/// its own watch was paused, and it sent requests there until the replica was gone. The digest in
+/// the readers' heartbeats shows that it missed an update.
 #[test]
-fn judge_lost_news_of_leaving() {
+fn check_lost_update_of_leaving_replica() {
     let now = Instant::now();
     let reader = {
         let mut reader = table(&["r1", "r2"], now);
@@ -41,27 +45,28 @@
         reader.entries_digest(&regions(), &"north".into())
     };
     let mut node = table(&["r1", "r2"], now);
-    let mut cover = ReaderCoverage::default();
+    let mut coverage = ReaderCoverage::default();
     let region: RegionId = "north".into();
-    cover.check(node.entries_digest(&regions(), &region), [reader], now);
+    coverage.check(node.entries_digest(&regions(), &region), [reader], now);
     let later = now + Duration::from_secs(2);
     let own = node.entries_digest(&regions(), &region);
-    assert_eq!(cover.check(own, [reader], later), CoverageState::Behind);
+    assert_eq!(coverage.check(own, [reader], later), CoverageState::Behind);
     node.remove_entry("r2", 5.into(), later);
     let own = node.entries_digest(&regions(), &region);
-    assert_eq!(cover.check(own, [reader], later), CoverageState::Behind);
+    assert_eq!(coverage.check(own, [reader], later), CoverageState::Behind);
 }
 
-/// Beliefs that answers taught, and replicas of other regions, must not make nodes disagree.
+/// State that a node learned from responses, and replicas of other regions, must not make the
+/// digests of nodes differ.
 #[test]
-fn entries_digest_store_facts_alone() {
+fn entries_digest_covers_only_store_state() {
     let now = Instant::now();
     let mut one = table(&["r1", "r2"], now);
     let mut two = table(&["r2", "r1"], now);
     two.upsert(entry("far", "b"), now);
-    if let Some(belief) = one.get_mut("r1") {
-        belief.health.note_unreachable(now);
-        belief.leaving = Some(zinniahatch_route::LeaveReason::Replaced);
+    if let Some(replica) = one.get_mut("r1") {
+        replica.health.note_unreachable(now);
+        replica.leaving = Some(zinniahatch_route::LeaveReason::Replaced);
     }
     let region: RegionId = "north".into();
     let digest = one.entries_digest(&regions(), &region);
--- a/crates/zinniahatch_route/tests/routes.rs
+++ b/crates/zinniahatch_route/tests/routes.rs
@@ -1,16 +1,16 @@
-//! Which route a request takes, and which regions the directory prefers for a host.
+//! Route of a request, and the regions that the directory prefers for a host.
 
 mod common;
 
+use common::desired_state;
 use common::route;
-use common::state;
 use test_case::test_case;
 use zinniahatch_base::prelude::*;
 use zinniahatch_route::RouteTable;
 use zinniahatch_route::WeightedTarget;
 
 fn table() -> RouteTable {
-    RouteTable::new(&state(
+    RouteTable::new(&desired_state(
         3,
         vec![
             route("short", "h.example", "/a/", "s"),
@@ -52,13 +52,13 @@
         })
         .count();
     assert!((800..1_200).contains(&to_t), "{to_t} of 10000");
-    // Every node picks the same for one request.
+    // Every node picks the same target for a request.
     assert_eq!(split.target("x"), split.target("x"));
 }
 
-/// While all nodes of a caller's region were being stopped in turn, callers of bound routes were
-/// led to a region that is no home. The host had routes with different homes, and their
-/// intersection was empty, which was taken for "any region will do".
+/// Guards against a host whose bound routes have different homes: their intersection was empty and
+/// was taken to allow any region, so callers were directed to a region that is no home while all
+/// nodes of their own region were being stopped in turn.
 #[test]
 fn homes_of_host_with_differing_homes() {
     let mut first = route("first", "h", "/a/", "s");
@@ -67,14 +67,14 @@
     second.homes = ["south".into()].into();
     let mut third = route("third", "h", "/c/", "s");
     third.homes = ["west".into()].into();
-    let table = RouteTable::new(&state(1, vec![first, second, third]));
+    let table = RouteTable::new(&desired_state(1, vec![first, second, third]));
     let expected: BTreeSet<RegionId> = ["south".into()].into();
     assert_eq!(table.homes_of("h"), expected);
     assert!(table.homes_of("unknown").is_empty());
 }
 
-/// An operator gave a route the last priority there is, and engines read its requests before all others: the
-/// rank was the sum of two small numbers, which began anew behind 255.
+/// Guards against an overflow of the engine rank: it was the sum of two small numbers and wrapped
+/// around after 255, so that engines processed requests of the lowest priority before all others.
 #[test_case(0, 3; "most_urgent")]
 #[test_case(1, 4; "next")]
 #[test_case(2, 5; "common")]
--- a/crates/zinniahatch_route/tests/suspects.rs
+++ b/crates/zinniahatch_route/tests/suspects.rs
@@ -1,4 +1,5 @@
-//! Requests under which replicas ended: who is held, who is not, and what nodes tell each other.
+//! Suspect requests: which contents are quarantined after replica crashes, and which updates nodes
+//! exchange.
 
 use proptest::prelude::*;
 use std::time::Duration;
@@ -9,358 +10,396 @@
 use zinniahatch_route::SuspectUpdateBatch;
 use zinniahatch_route::SuspectUpdateEffect;
 
-const FATAL: u64 = 7;
-const BESIDE: u64 = 8;
-const MOST: usize = 1_000;
-/// Time after which a content is judged.
-const SETTLED: Duration = Duration::from_millis(150);
-/// How long a fatal request is on a replica.
-const SHORT: Duration = Duration::from_millis(40);
+const CRASHING: u64 = 7;
+const INNOCENT: u64 = 8;
+const MAX_UPDATES: usize = 1_000;
+/// Time after a crash by which the quarantine decision is made.
+const DECISION_TIME: Duration = Duration::from_millis(150);
+/// How long the crashing request runs on a replica before it crashes.
+const RUN_TIME: Duration = Duration::from_millis(40);
 
-/// Gives whether a content is held once all nodes have told what they know.
-fn held(table: &SuspectTable, content: u64, now: Instant) -> bool {
-    hold(table, content, now).is_some()
+/// Returns whether a content is quarantined once all nodes have exchanged their records.
+fn is_quarantined(table: &SuspectTable, content: u64, now: Instant) -> bool {
+    quarantine_left(table, content, now).is_some()
 }
 
-fn hold(table: &SuspectTable, content: u64, now: Instant) -> Option<Duration> {
-    table.quarantine_left(content, now + SETTLED)
+fn quarantine_left(table: &SuspectTable, content: u64, now: Instant) -> Option<Duration> {
+    table.quarantine_left(content, now + DECISION_TIME)
 }
 
 fn seconds(count: u64) -> Duration {
     Duration::from_secs(count)
 }
 
-/// Makes a table in which replicas ended under a content, one a second.
-fn ended(content: u64, replicas: std::ops::Range<u32>, start: Instant) -> (SuspectTable, Instant) {
+/// Creates a table in which replicas crashed under a content, one per second.
+fn with_crashes(
+    content: u64,
+    replicas: std::ops::Range<u32>,
+    start: Instant,
+) -> (SuspectTable, Instant) {
     let mut table = SuspectTable::default();
     let mut now = start;
     for replica in replicas {
         now += seconds(1);
-        assert!(table.note_crash(content, replica, SHORT, now));
+        assert!(table.note_crash(content, replica, RUN_TIME, now));
     }
     (table, now)
 }
 
-/// Notes that a bystander was there for so long on each of the three replicas that ended under the fatal request.
-fn stand_beside(table: &mut SuspectTable, ran: Duration, start: Instant) {
+/// Records that the innocent request had run for a time on each of the three replicas that crashed
+/// under the crashing request.
+fn add_innocent_crashes(table: &mut SuspectTable, ran: Duration, start: Instant) {
     for replica in 0..3 {
         let at = start + seconds(1 + u64::from(replica));
-        table.note_crash(BESIDE, replica, ran, at);
+        table.note_crash(INNOCENT, replica, ran, at);
     }
 }
 
-/// Takes all news that are due, whoever they are for.
-fn take(table: &mut SuspectTable, again: bool, now: Instant) -> Vec<SuspectUpdate> {
+/// Takes all pending updates, whatever their recipients.
+fn take_all(table: &mut SuspectTable, repeat: bool, now: Instant) -> Vec<SuspectUpdate> {
     let SuspectUpdateBatch {
         broadcast,
         local,
         relayed,
-    } = table.take_updates(again, MOST, now);
+    } = table.take_updates(repeat, MAX_UPDATES, now);
     [broadcast, local, relayed].concat()
 }
 
-fn ids(news: &[SuspectUpdate]) -> Vec<u64> {
-    news.iter().map(|one| one.content).collect()
+fn contents(updates: &[SuspectUpdate]) -> Vec<u64> {
+    updates.iter().map(|update| update.content).collect()
 }
 
 #[test_case(0, false; "none")]
 #[test_case(2, false; "two_happen_to_bystanders")]
 #[test_case(3, true; "three")]
 #[test_case(9, true; "many")]
-fn hold_after(ends: u32, expected: bool) {
-    let (table, now) = ended(FATAL, 0..ends, Instant::now());
-    assert_eq!(held(&table, FATAL, now), expected);
-    assert!(!held(&table, BESIDE, now));
+fn quarantined_after_crashes(crashes: u32, expected: bool) {
+    let (table, now) = with_crashes(CRASHING, 0..crashes, Instant::now());
+    assert_eq!(is_quarantined(&table, CRASHING, now), expected);
+    assert!(!is_quarantined(&table, INNOCENT, now));
 }
 
-/// One node hears of the third end of a bystander before that of the request that ended the replicas, which
-/// another node had there. It waits for a moment, in which neither runs, and then holds the right one.
+/// Guards against a decision before all records arrived: one node learns of the third crash under
+/// an innocent request before it learns of the request that crashed the replicas, which another
+/// node had there. It waits for a moment, in which neither runs, and then quarantines the right
+/// one.
 #[test]
-fn verdict_waits_for_news_of_the_last_end() {
+fn decision_waits_for_records_of_last_crash() {
     let start = Instant::now();
-    let (fatal, now) = ended(FATAL, 0..3, start);
+    let (crashing, now) = with_crashes(CRASHING, 0..3, start);
     let mut table = SuspectTable::default();
-    stand_beside(&mut table, SHORT * 9, start);
-    assert_eq!(table.quarantine_left(BESIDE, now), None);
-    let wait = table.decision_delay(BESIDE, now).expect("it waits");
-    for news in fatal.accused_updates(0, MOST, now + SHORT) {
-        table.apply_update(&news, false, now + SHORT);
+    add_innocent_crashes(&mut table, RUN_TIME * 9, start);
+    assert_eq!(table.quarantine_left(INNOCENT, now), None);
+    let wait = table
+        .decision_delay(INNOCENT, now)
+        .expect("the decision is delayed");
+    for update in crashing.accused_updates(0, MAX_UPDATES, now + RUN_TIME) {
+        table.apply_update(&update, false, now + RUN_TIME);
     }
-    assert_eq!(table.decision_delay(BESIDE, now + wait), None);
-    assert_eq!(table.quarantine_left(BESIDE, now + wait), None);
-    assert!(held(&table, FATAL, now));
+    assert_eq!(table.decision_delay(INNOCENT, now + wait), None);
+    assert_eq!(table.quarantine_left(INNOCENT, now + wait), None);
+    assert!(is_quarantined(&table, CRASHING, now));
 }
 
-/// Seven nodes had a request each on the replica that ended, or one node had the same content there thrice.
-/// It is one end all the same, told by each of them.
+/// Reports of one crash count once: seven nodes each had a request on the replica, or one node had
+/// the same content there several times.
 #[test]
-fn hold_needs_different_ends() {
+fn quarantine_needs_distinct_crashes() {
     let start = Instant::now();
     let mut table = SuspectTable::default();
     for node in 0..7 {
-        table.note_crash(FATAL, 1, SHORT, start + Duration::from_millis(node * 20));
+        table.note_crash(
+            CRASHING,
+            1,
+            RUN_TIME,
+            start + Duration::from_millis(node * 20),
+        );
     }
-    assert!(!held(&table, FATAL, start + seconds(1)));
+    assert!(!is_quarantined(&table, CRASHING, start + seconds(1)));
 }
 
-/// A replica starts again under its id, some seconds later, and ends again under the same content.
+/// A replica that restarts under its id some seconds later and crashes again under the same content
+/// counts as another crash.
 #[test]
-fn hold_counts_ends_of_one_id() {
+fn quarantine_counts_crashes_under_one_id() {
     let start = Instant::now();
     let mut table = SuspectTable::default();
-    for life in 0..3 {
-        table.note_crash(FATAL, 1, SHORT, start + seconds(life * 4));
+    for incarnation in 0..3 {
+        table.note_crash(CRASHING, 1, RUN_TIME, start + seconds(incarnation * 4));
     }
-    assert!(held(&table, FATAL, start + seconds(8)));
+    assert!(is_quarantined(&table, CRASHING, start + seconds(8)));
 }
 
-/// Streams that ran beside the fatal request were resumed with it on the next replica and the one after, and
-/// stood on three crashes like itself. Nothing tells them apart yet, and neither is held. The fatal one ends one
-/// more, on which they were not: that explains the first three.
+/// Guards against quarantine of streams that ran beside the crashing request: they were resumed
+/// with it on the next two replicas and have three crashes as well. As long as nothing tells them
+/// apart, neither is quarantined. The crashing request then crashes a replica without them, which
+/// explains the first three.
 #[test]
-fn hold_spares_who_ran_beside() {
+fn quarantine_spares_concurrent_requests() {
     let start = Instant::now();
-    let (mut table, now) = ended(FATAL, 0..3, start);
-    stand_beside(&mut table, SHORT, start);
-    assert!(!held(&table, BESIDE, now));
-    table.note_crash(FATAL, 3, SHORT, now + seconds(1));
-    assert!(!held(&table, BESIDE, now + seconds(1)));
-    assert!(held(&table, FATAL, now + seconds(1)));
+    let (mut table, now) = with_crashes(CRASHING, 0..3, start);
+    add_innocent_crashes(&mut table, RUN_TIME, start);
+    assert!(!is_quarantined(&table, INNOCENT, now));
+    table.note_crash(CRASHING, 3, RUN_TIME, now + seconds(1));
+    assert!(!is_quarantined(&table, INNOCENT, now + seconds(1)));
+    assert!(is_quarantined(&table, CRASHING, now + seconds(1)));
 }
 
-/// What all callers ask stood on the three replicas of a region that a fatal request ended, and nobody had been
-/// answered yet. Its first request had been on each for longer than the fatal one.
+/// Guards against quarantine of a popular content that no replica has answered yet: it was on all
+/// three replicas of a region that the crashing request crashed. Its first request had run on each
+/// for longer than the crashing one.
 #[test]
-fn hold_is_of_who_ran_shortest() {
+fn quarantine_is_of_shortest_run() {
     let start = Instant::now();
-    let (mut table, now) = ended(FATAL, 0..3, start);
+    let (mut table, now) = with_crashes(CRASHING, 0..3, start);
     for replica in 0..3 {
         let at = start + seconds(1 + u64::from(replica));
-        table.note_crash(BESIDE, replica, SHORT * 7, at);
-        // Another request of it had just begun there, on this node or another.
-        table.note_crash(BESIDE, replica, SHORT / 4, at);
+        table.note_crash(INNOCENT, replica, RUN_TIME * 7, at);
+        // Another request with this content had just begun there, on this node or another.
+        table.note_crash(INNOCENT, replica, RUN_TIME / 4, at);
     }
-    assert!(held(&table, FATAL, now));
-    assert!(!held(&table, BESIDE, now));
+    assert!(is_quarantined(&table, CRASHING, now));
+    assert!(!is_quarantined(&table, INNOCENT, now));
     let mut other = SuspectTable::default();
-    for news in take(&mut table, true, now) {
-        other.apply_update(&news, false, now);
+    for update in take_all(&mut table, true, now) {
+        other.apply_update(&update, false, now);
     }
-    assert!(held(&other, FATAL, now));
-    assert!(!held(&other, BESIDE, now));
+    assert!(is_quarantined(&other, CRASHING, now));
+    assert!(!is_quarantined(&other, INNOCENT, now));
 }
 
-/// A request that all callers make began just after the fatal one on each of three replicas, and was on them for
-/// a little less. It was held in the place of the fatal one, and a caller was turned away, until that had ended
-/// a fourth. So little does not tell them apart: a fourth end is waited for, and holds the fatal one alone.
+/// Guards against quarantine of a popular request that began just after the crashing one on each of
+/// three replicas and ran there for slightly less time: it was quarantined in its place, and
+/// callers were refused until a fourth crash. So small a difference does not tell them apart; a
+/// fourth crash decides.
 #[test]
-fn hold_waits_for_a_fourth_where_three_are_alike() {
+fn quarantine_waits_for_fourth_crash_on_tie() {
     let start = Instant::now();
-    let (mut table, now) = ended(FATAL, 0..3, start);
-    stand_beside(&mut table, SHORT / 2, start);
-    assert!(!held(&table, BESIDE, now));
-    assert!(!held(&table, FATAL, now));
-    table.note_crash(FATAL, 3, SHORT, now);
-    assert!(!held(&table, BESIDE, now));
-    assert!(held(&table, FATAL, now));
+    let (mut table, now) = with_crashes(CRASHING, 0..3, start);
+    add_innocent_crashes(&mut table, RUN_TIME / 2, start);
+    assert!(!is_quarantined(&table, INNOCENT, now));
+    assert!(!is_quarantined(&table, CRASHING, now));
+    table.note_crash(CRASHING, 3, RUN_TIME, now);
+    assert!(!is_quarantined(&table, INNOCENT, now));
+    assert!(is_quarantined(&table, CRASHING, now));
 }
 
-/// A request was on three replicas that were killed one after the other, and was answered whole by the
-/// fourth. What is answered ends no replicas.
+/// A request ran on three replicas that were killed one after the other, and the fourth answered it
+/// completely. A content that was answered does not crash replicas.
 #[test]
-fn answer_clears() {
-    let (mut table, now) = ended(BESIDE, 0..3, Instant::now());
-    assert_eq!(table.review(now + SETTLED).len(), 1);
-    let (news, _) = table
-        .unpersisted(now + SETTLED)
-        .expect("this node saw the ends");
-    assert_eq!(news.content, BESIDE);
-    table.note_persisted(BESIDE);
-    assert!(table.unpersisted(now + SETTLED).is_none());
-    assert!(table.note_answered(BESIDE, now + seconds(1)));
-    assert!(!held(&table, BESIDE, now + seconds(1)));
+fn complete_response_clears() {
+    let (mut table, now) = with_crashes(INNOCENT, 0..3, Instant::now());
+    assert_eq!(table.review(now + DECISION_TIME).len(), 1);
+    let (update, _) = table
+        .unpersisted(now + DECISION_TIME)
+        .expect("this node saw the crashes");
+    assert_eq!(update.content, INNOCENT);
+    table.note_persisted(INNOCENT);
+    assert!(table.unpersisted(now + DECISION_TIME).is_none());
+    assert!(table.note_answered(INNOCENT, now + seconds(1)));
+    assert!(!is_quarantined(&table, INNOCENT, now + seconds(1)));
     let changes = table.review(now + seconds(1));
     assert_eq!(changes.len(), 1);
     assert_eq!(changes[0].left, None);
-    assert!(changes[0].persisted, "its key is to be removed");
+    assert!(
+        changes[0].persisted,
+        "its key has to be removed from the store"
+    );
     assert_eq!(table.quarantined_count(), 0);
 }
 
-/// A look-up that all callers make stood on every replica of a region when it lost power for a moment. It
-/// had been answered by each of them just before.
+/// Guards against quarantine of a lookup that all callers send, which ran on every replica of a
+/// region when it lost power briefly. Each replica had answered it just before.
 #[test]
-fn loss_of_all_replicas_holds_nobody() {
+fn loss_of_all_replicas_quarantines_nothing() {
     let start = Instant::now();
     let mut table = SuspectTable::default();
-    table.note_answered(BESIDE, start);
+    table.note_answered(INNOCENT, start);
     for replica in 0..40 {
-        assert!(!table.note_crash(BESIDE, replica, SHORT, start + seconds(1)));
+        assert!(!table.note_crash(INNOCENT, replica, RUN_TIME, start + seconds(1)));
         table.note_crash(
             1_000 + u64::from(replica),
             replica,
-            SHORT,
+            RUN_TIME,
             start + seconds(1),
         );
     }
     assert!(table.review(start + seconds(2)).is_empty());
-    assert!(!held(&table, BESIDE, start + seconds(1)));
+    assert!(!is_quarantined(&table, INNOCENT, start + seconds(1)));
 }
 
-/// Another node, which had just started, took the look-up for a suspect and told so. This one has seen
-/// it answered, serves it on, and with the next answer tells the other.
+/// Another node, which had just started, suspected the lookup and sent an update. This node has
+/// seen it answered, keeps serving it, and informs the other node after the next response.
 #[test]
-fn news_do_not_hold_what_was_answered() {
+fn updates_do_not_quarantine_answered_content() {
     let start = Instant::now();
-    let (mut other, now) = ended(BESIDE, 0..3, start);
+    let (mut other, now) = with_crashes(INNOCENT, 0..3, start);
     let mut table = SuspectTable::default();
-    table.note_answered(BESIDE, start);
-    for news in take(&mut other, false, now) {
+    table.note_answered(INNOCENT, start);
+    for update in take_all(&mut other, false, now) {
         assert_eq!(
-            table.apply_update(&news, false, now),
+            table.apply_update(&update, false, now),
             SuspectUpdateEffect::Learned
         );
     }
-    assert!(!held(&table, BESIDE, now));
-    assert!(table.note_answered(BESIDE, now));
-    for news in take(&mut table, false, now) {
-        other.apply_update(&news, false, now);
+    assert!(!is_quarantined(&table, INNOCENT, now));
+    assert!(table.note_answered(INNOCENT, now));
+    for update in take_all(&mut table, false, now) {
+        other.apply_update(&update, false, now);
     }
-    assert!(!held(&other, BESIDE, now));
+    assert!(!is_quarantined(&other, INNOCENT, now));
 }
 
-/// The news that a content was answered was lost on the way to a node, which tells what it still
-/// believes: it is put right.
+/// A node missed the update that a content was answered and announces its outdated record; it is
+/// corrected.
 #[test]
-fn outdated_news_are_answered() {
+fn outdated_updates_are_corrected() {
     let start = Instant::now();
-    let (other, now) = ended(BESIDE, 0..3, start);
-    let (mut table, _) = ended(BESIDE, 0..3, start);
-    table.note_answered(BESIDE, now + seconds(1));
-    while !take(&mut table, true, now).is_empty() {}
+    let (other, now) = with_crashes(INNOCENT, 0..3, start);
+    let (mut table, _) = with_crashes(INNOCENT, 0..3, start);
+    table.note_answered(INNOCENT, now + seconds(1));
+    while !take_all(&mut table, true, now).is_empty() {}
     let later = now + seconds(2);
-    let told = other.accused_updates(0, MOST, later);
-    assert_eq!(ids(&told), [BESIDE]);
+    let announced = other.accused_updates(0, MAX_UPDATES, later);
+    assert_eq!(contents(&announced), [INNOCENT]);
     assert_eq!(
-        table.apply_update(&told[0], false, later),
+        table.apply_update(&announced[0], false, later),
         SuspectUpdateEffect::Outdated
     );
     assert_eq!(
-        ids(&table.take_updates(false, MOST, later).broadcast),
-        [BESIDE]
+        contents(&table.take_updates(false, MAX_UPDATES, later).broadcast),
+        [INNOCENT]
     );
-    // A node that knew nothing else of it puts the teller right, too.
+    // A node that knows nothing else about the content also corrects the sender.
     let mut third = SuspectTable::default();
-    third.note_answered(BESIDE, start);
-    third.apply_update(&told[0], false, later);
-    third.note_answered(BESIDE, later + seconds(1));
+    third.note_answered(INNOCENT, start);
+    third.apply_update(&announced[0], false, later);
+    third.note_answered(INNOCENT, later + seconds(1));
     assert_eq!(
-        ids(&third.take_updates(false, MOST, later).broadcast),
-        [BESIDE]
+        contents(&third.take_updates(false, MAX_UPDATES, later).broadcast),
+        [INNOCENT]
     );
 }
 
-/// The caller of a fatal request comes for hours. Each time that the hold lapses one replica ends, no more,
-/// and the next hold is twice as long.
+/// The caller of a crashing request retries for hours. Each time the quarantine expires, only one
+/// more replica crashes, and the next quarantine is twice as long.
 #[test]
-fn hold_lapses_and_doubles() {
-    let (mut table, mut now) = ended(FATAL, 0..3, Instant::now());
+fn quarantine_expires_and_doubles() {
+    let (mut table, mut now) = with_crashes(CRASHING, 0..3, Instant::now());
     let mut before = Duration::ZERO;
     for replica in 10..13 {
-        let left = hold(&table, FATAL, now).expect("it is held");
+        let left = quarantine_left(&table, CRASHING, now).expect("the content is quarantined");
         assert!(left >= before * 2 && left <= seconds(4 * 3_600));
         before = left;
         table.tick(now + left / 2);
-        assert!(held(&table, FATAL, now + left / 2));
+        assert!(is_quarantined(&table, CRASHING, now + left / 2));
         now += left + seconds(1);
         table.tick(now);
-        assert!(!held(&table, FATAL, now));
-        table.note_crash(FATAL, replica, SHORT, now);
+        assert!(!is_quarantined(&table, CRASHING, now));
+        table.note_crash(CRASHING, replica, RUN_TIME, now);
     }
     table.tick(now + seconds(24 * 3_600));
     assert_eq!(table.accused_digest(), 0);
 }
 
-/// A region with 400 replicas is lost with 30 requests on each. What is remembered and told stays bounded, and
-/// the content that was known stays known.
+/// The loss of a region with 400 replicas and 30 requests on each leaves memory and pending updates
+/// bounded, and does not evict the content that was already quarantined.
 #[test]
 fn suspects_are_bounded() {
-    let (mut table, now) = ended(FATAL, 0..3, Instant::now());
+    let (mut table, now) = with_crashes(CRASHING, 0..3, Instant::now());
     for content in 0..12_000 {
-        table.note_crash(1_000 + content, 500 + (content / 30) as u32, SHORT, now);
+        table.note_crash(1_000 + content, 500 + (content / 30) as u32, RUN_TIME, now);
     }
-    assert!(held(&table, FATAL, now));
-    table.note_crash(FATAL, 9, SHORT, now + seconds(1));
+    assert!(is_quarantined(&table, CRASHING, now));
+    table.note_crash(CRASHING, 9, RUN_TIME, now + seconds(1));
     let first = table.take_updates(false, 24, now);
-    assert_eq!(ids(&first.broadcast), [FATAL]);
-    // What is remembered shows in no answer, and in the memory of a node alone.
+    assert_eq!(contents(&first.broadcast), [CRASHING]);
+    // The number of remembered contents is not exposed, so it is counted in the debug output.
     let rows = format!("{table:?}").matches("SuspectRow").count();
     assert!(rows <= 2_048, "{rows} contents are remembered");
-    let rest: usize = (0..MOST)
+    let rest: usize = (0..MAX_UPDATES)
         .map(|_| table.take_updates(false, 24, now).local.len())
         .sum();
-    let told = first.local.len() + rest;
-    assert!(told > 0 && told <= 256, "{told} contents are told");
+    let announced = first.local.len() + rest;
+    assert!(
+        announced > 0 && announced <= 256,
+        "{announced} contents are announced"
+    );
 }
 
-/// A request that stood on one replica is told once, to the own region and one node of each other, which
-/// passes it on there. From the second end on all nodes are told at once, and twice more.
+/// A content with one crash is announced once, to the own region and to one node of each other
+/// region, which relays it there. From the second crash on, updates are sent to all nodes at once
+/// and repeated twice.
 #[test]
-fn news_are_told_by_their_weight() {
-    let (mut table, now) = ended(FATAL, 0..1, Instant::now());
-    let batch = table.take_updates(false, MOST, now);
-    assert_eq!(ids(&batch.local), [FATAL]);
-    assert!(take(&mut table, true, now).is_empty());
+fn updates_are_sent_by_crash_count() {
+    let (mut table, now) = with_crashes(CRASHING, 0..1, Instant::now());
+    let batch = table.take_updates(false, MAX_UPDATES, now);
+    assert_eq!(contents(&batch.local), [CRASHING]);
+    assert!(take_all(&mut table, true, now).is_empty());
     let mut other = SuspectTable::default();
     other.apply_update(&batch.local[0], true, now);
-    assert_eq!(ids(&other.take_updates(false, MOST, now).relayed), [FATAL]);
-    table.note_crash(FATAL, 1, SHORT, now);
     assert_eq!(
-        ids(&table.take_updates(false, MOST, now).broadcast),
-        [FATAL]
+        contents(&other.take_updates(false, MAX_UPDATES, now).relayed),
+        [CRASHING]
+    );
+    table.note_crash(CRASHING, 1, RUN_TIME, now);
+    assert_eq!(
+        contents(&table.take_updates(false, MAX_UPDATES, now).broadcast),
+        [CRASHING]
     );
-    assert!(take(&mut table, false, now).is_empty());
-    assert_eq!(ids(&table.take_updates(true, MOST, now).broadcast), [FATAL]);
-    assert_eq!(ids(&table.take_updates(true, MOST, now).broadcast), [FATAL]);
-    assert!(take(&mut table, true, now).is_empty());
+    assert!(take_all(&mut table, false, now).is_empty());
+    assert_eq!(
+        contents(&table.take_updates(true, MAX_UPDATES, now).broadcast),
+        [CRASHING]
+    );
+    assert_eq!(
+        contents(&table.take_updates(true, MAX_UPDATES, now).broadcast),
+        [CRASHING]
+    );
+    assert!(take_all(&mut table, true, now).is_empty());
 }
 
-/// Two parts of the fleet were cut off from each other and saw two ends and one. Their digests differ until
-/// each has told the other what it knows; then both hold the content.
+/// Two parts of the fleet were partitioned and saw three crashes and one. Their digests differ
+/// until each has sent the other its records; then both quarantine the content for the same time.
 #[test]
-fn parts_of_the_fleet_agree_when_links_heal() {
+fn partitions_agree_after_healing() {
     let start = Instant::now();
-    let (mut one, now) = ended(FATAL, 0..3, start);
+    let (mut one, now) = with_crashes(CRASHING, 0..3, start);
     let mut two = SuspectTable::default();
-    two.note_crash(FATAL, 9, SHORT, now);
+    two.note_crash(CRASHING, 9, RUN_TIME, now);
     assert_ne!(one.accused_digest(), two.accused_digest());
-    for news in one.accused_updates(99, MOST, now) {
-        two.apply_update(&news, false, now);
+    for update in one.accused_updates(99, MAX_UPDATES, now) {
+        two.apply_update(&update, false, now);
     }
-    for news in two.accused_updates(99, MOST, now) {
-        one.apply_update(&news, false, now);
+    for update in two.accused_updates(99, MAX_UPDATES, now) {
+        one.apply_update(&update, false, now);
     }
     assert_eq!(one.accused_digest(), two.accused_digest());
-    assert_eq!(hold(&one, FATAL, now), hold(&two, FATAL, now));
+    assert_eq!(
+        quarantine_left(&one, CRASHING, now),
+        quarantine_left(&two, CRASHING, now)
+    );
 }
 
-/// One thing that a node learns.
+/// An observation of one node.
 #[derive(Clone, Debug)]
 enum Event {
-    End(u64, u32, u64),
-    Answer(u64),
+    Crash(u64, u32, u64),
+    Response(u64),
 }
 
 fn events() -> impl Strategy<Value = Vec<(Event, usize)>> {
     let event = prop_oneof![
-        4 => (0..4_u64, 0..8_u32, 1..50_u64).prop_map(|(content, replica, ran)| Event::End(content, replica, ran)),
-        1 => (0..4_u64).prop_map(Event::Answer),
+        4 => (0..4_u64, 0..8_u32, 1..50_u64).prop_map(|(content, replica, ran)| Event::Crash(content, replica, ran)),
+        1 => (0..4_u64).prop_map(Event::Response),
     ];
     prop::collection::vec((event, 0..3_usize), 0..24)
 }
 
 proptest! {
-    /// Three nodes see different things, tell each other in any order and more than once, and believe the same
-    /// in the end. What a node has seen answered itself it serves in any case.
+    /// Three nodes that observe different events and exchange updates in any order and repeatedly
+    /// reach the same decisions. A node serves a content that it has itself seen answered in any
+    /// case.
     #[test]
     fn nodes_agree_in_any_order(seen in events(), order in prop::collection::vec(0..3_usize, 6)) {
         let mut now = Instant::now();
@@ -368,23 +407,23 @@
         for (event, node) in seen {
             now += seconds(2);
             match event {
-                Event::End(content, replica, ran) => {
-                    nodes[node].note_crash(content, replica, SHORT * ran as u32, now);
+                Event::Crash(content, replica, ran) => {
+                    nodes[node].note_crash(content, replica, RUN_TIME * ran as u32, now);
                 }
-                Event::Answer(content) => {
+                Event::Response(content) => {
                     nodes[node].note_answered(content, now);
                 }
             }
-            // Everything is told at once, to nodes that may have it already.
-            for teller in order.iter().copied().chain([node]) {
-                for news in take(&mut nodes[teller], true, now) {
-                    for (_, hearer) in nodes.iter_mut().enumerate().filter(|(at, _)| *at != teller) {
-                        hearer.apply_update(&news, true, now);
+            // Everything is sent at once, also to nodes that have it already.
+            for sender in order.iter().copied().chain([node]) {
+                for update in take_all(&mut nodes[sender], true, now) {
+                    for (_, receiver) in nodes.iter_mut().enumerate().filter(|(at, _)| *at != sender) {
+                        receiver.apply_update(&update, true, now);
                     }
                 }
             }
         }
-        // Own answers have lapsed by then, the suspicions have not.
+        // By then the nodes' own responses have expired, but their records of crashes have not.
         now += seconds(40);
         for content in 0..4 {
             let left: Vec<_> = nodes.iter().map(|node| node.quarantine_left(content, now)).collect();
