--- a/crates/zinniahatch_route/tests/rate_limits.rs
+++ b/crates/zinniahatch_route/tests/rate_limits.rs
@@ -1,12 +1,14 @@
-//! Rate limits that all nodes of a region keep together: no window passes the bound, whatever happens to the nodes
-//! and their news, and most of what is allowed is used.
+//! Rate limits that the nodes of a region enforce together.
+//!
+//! No window exceeds the bound, whatever faults nodes have and whichever updates are lost, and most
+//! of the allowed requests are used.
 
-mod limit_fleet;
+mod rate_limit_simulation;
 
-use limit_fleet::FleetPlan;
-use limit_fleet::LimitFleet;
-use limit_fleet::LimitWay;
-use limit_fleet::SharedBucket;
+use rate_limit_simulation::LimitStrategy;
+use rate_limit_simulation::RateLimitSimulation;
+use rate_limit_simulation::SharedBucket;
+use rate_limit_simulation::SimulationConfig;
 use std::time::Duration;
 use std::time::Instant;
 use test_case::test_case;
@@ -18,160 +20,171 @@
 const REPLICA: u32 = 7;
 const TIME: Duration = Duration::from_secs(30);
 
-/// What came of many schedules.
+/// Results of simulations with many seeds.
 #[derive(Debug, Default)]
-struct PlayedSchedules {
-    /// Seeds in which a window passed the bound.
-    broken: Vec<u64>,
-    /// Requests that were sent while a limit was in force, of those that it allowed and callers asked for.
-    used: f64,
-    /// The longest time from the end of a limit until no node keeps to it any more.
-    ended: Duration,
-    /// The most requests in a window, as a part of what the rule allows.
+struct SimulationResults {
+    /// Seeds with a window above the bound.
+    violating_seeds: Vec<u64>,
+    /// Requests that arrived while a limit was in force, relative to those that the limits allowed.
+    utilization: f64,
+    /// Longest time from the end of a limit until no running, non-exempt node kept to it.
+    longest_end_delay: Duration,
+    /// Largest number of requests in a window, relative to the bound.
     worst: f64,
-    /// The same with the requests of nodes that a fault excuses.
-    worst_of_all: f64,
+    /// The same including requests of nodes that a fault exempts from the bound.
+    worst_with_exempt: f64,
 }
 
-fn play<W: LimitWay>(plan: FleetPlan, seeds: u64) -> PlayedSchedules {
-    let mut played = PlayedSchedules::default();
+fn simulate<S: LimitStrategy>(config: SimulationConfig, seeds: u64) -> SimulationResults {
+    let mut results = SimulationResults::default();
     let (mut sent, mut allowed) = (0.0, 0.0);
     for seed in 0..seeds {
-        let mut fleet = LimitFleet::<W>::new(seed, plan);
-        while fleet.time() < TIME {
-            fleet.step();
+        let mut simulation = RateLimitSimulation::<S>::new(seed, config);
+        while simulation.time() < TIME {
+            simulation.step();
         }
-        let worst = fleet.worst_window(false);
-        played.worst = played.worst.max(worst);
-        played.worst_of_all = played.worst_of_all.max(fleet.worst_window(true));
+        let worst = simulation.worst_window(false);
+        results.worst = results.worst.max(worst);
+        results.worst_with_exempt = results.worst_with_exempt.max(simulation.worst_window(true));
         if worst > 1.0 {
-            played.broken.push(seed);
+            results.violating_seeds.push(seed);
         }
-        sent += fleet.sent_under_limit();
-        allowed += fleet.usable();
-        played.ended = played.ended.max(fleet.longest_end());
+        sent += simulation.sent_under_limit();
+        allowed += simulation.usable();
+        results.longest_end_delay = results
+            .longest_end_delay
+            .max(simulation.longest_end_delay());
     }
-    played.used = sent / allowed;
-    played
+    results.utilization = sent / allowed;
+    results
 }
 
-const fn plan(nodes: usize, rate: f64, demand: f64) -> FleetPlan {
-    FleetPlan {
+const fn config(nodes: usize, rate: f64, demand: f64) -> SimulationConfig {
+    SimulationConfig {
         nodes,
         rate,
-        faults: 0.004,
+        fault_chance: 0.004,
         demand,
         skewed: false,
     }
 }
 
-/// Guards against a bound that holds only while all nodes live and hear each other.
-#[test_case(plan(1, 1.0, 20.0), 200; "one_node")]
-#[test_case(plan(2, 0.2, 2.0), 200; "two_nodes_low")]
-#[test_case(plan(2, 1.0, 20.0), 200; "two_nodes")]
-#[test_case(plan(3, 4.0, 20.0), 200; "three_nodes")]
-#[test_case(plan(7, 1.0, 20.0), 100; "seven_nodes")]
-#[test_case(plan(7, 12.0, 20.0), 100; "seven_nodes_high")]
-#[test_case(plan(37, 1.0, 20.0), 12; "many_nodes")]
-#[test_case(plan(37, 30.0, 20.0), 12; "many_nodes_high")]
-fn no_window_passes_the_bound(plan: FleetPlan, seeds: u64) {
-    let played = play::<RateLimitTable>(plan, seeds);
-    println!("{played:?}");
-    assert_eq!(played.broken, Vec::<u64>::new());
+/// Guards against a bound that holds only while all nodes run and reach each other.
+#[test_case(config(1, 1.0, 20.0), 200; "one_node")]
+#[test_case(config(2, 0.2, 2.0), 200; "two_nodes_low")]
+#[test_case(config(2, 1.0, 20.0), 200; "two_nodes")]
+#[test_case(config(3, 4.0, 20.0), 200; "three_nodes")]
+#[test_case(config(7, 1.0, 20.0), 100; "seven_nodes")]
+#[test_case(config(7, 12.0, 20.0), 100; "seven_nodes_high")]
+#[test_case(config(37, 1.0, 20.0), 12; "many_nodes")]
+#[test_case(config(37, 30.0, 20.0), 12; "many_nodes_high")]
+fn window_stays_within_bound(config: SimulationConfig, seeds: u64) {
+    let results = simulate::<RateLimitTable>(config, seeds);
+    println!("{results:?}");
+    assert_eq!(results.violating_seeds, Vec::<u64>::new());
 }
 
-/// Compares this way with a bucket that every node keeps whole, with news of what the others sent: that one uses
-/// more where callers are few or gather at one node, and passes the bound where many nodes see room at once.
+/// Compares the fixed shares with a token bucket that each node keeps for the whole rate and
+/// updates by what the others report as sent. That bucket uses more of the limit where callers are
+/// few or all use one node, and exceeds the bound where many nodes find tokens at the same time.
 #[ignore = "prints figures for the design note"]
-#[test_case(plan(2, 1.0, 20.0); "two_nodes")]
-#[test_case(plan(2, 1.0, 1.0); "two_nodes_few_callers")]
-#[test_case(FleetPlan { skewed: true, ..plan(2, 1.0, 4.0) }; "two_nodes_skewed")]
-#[test_case(plan(7, 4.0, 20.0); "seven_nodes")]
-#[test_case(plan(37, 1.0, 20.0); "many_nodes")]
-#[test_case(plan(37, 1.0, 0.2); "many_nodes_few_callers")]
-#[test_case(plan(37, 30.0, 20.0); "many_nodes_high")]
-#[test_case(plan(110, 6.0, 20.0); "most_nodes")]
-fn ways_compared(plan: FleetPlan) {
-    let seeds = if plan.nodes > 40 { 2 } else { 8 };
-    println!("parts: {:?}", play::<RateLimitTable>(plan, seeds));
-    println!("bucket: {:?}", play::<SharedBucket>(plan, seeds));
+#[test_case(config(2, 1.0, 20.0); "two_nodes")]
+#[test_case(config(2, 1.0, 1.0); "two_nodes_few_callers")]
+#[test_case(SimulationConfig { skewed: true, ..config(2, 1.0, 4.0) }; "two_nodes_skewed")]
+#[test_case(config(7, 4.0, 20.0); "seven_nodes")]
+#[test_case(config(37, 1.0, 20.0); "many_nodes")]
+#[test_case(config(37, 1.0, 0.2); "many_nodes_few_callers")]
+#[test_case(config(37, 30.0, 20.0); "many_nodes_high")]
+#[test_case(config(110, 6.0, 20.0); "most_nodes")]
+fn compare_strategies(config: SimulationConfig) {
+    let seeds = if config.nodes > 40 { 2 } else { 8 };
+    println!(
+        "fixed shares: {:?}",
+        simulate::<RateLimitTable>(config, seeds)
+    );
+    println!(
+        "shared bucket: {:?}",
+        simulate::<SharedBucket>(config, seeds)
+    );
 }
 
-/// Guards against an end that older answers or older news take back, and against a limit that older ones raise.
+/// Guards against an older response or update that restores an ended limit or raises a limit.
 #[test]
-fn hear_older_news_change_nothing() {
+fn apply_update_older_is_ignored() {
     let now = Instant::now();
     let at = |millis| now + Duration::from_millis(millis);
-    let (mut one, mut other) = (RateLimitTable::default(), RateLimitTable::default());
-    one.note_response(REPLICA, RateLimitNotice::PerSecond(1.0), at(0), at(10));
-    let begun = one.take_updates(1);
-    other.apply_update(&begun[0], at(20));
-    // Sent before the limit was known here.
+    let (mut first, mut second) = (RateLimitTable::default(), RateLimitTable::default());
+    first.note_response(REPLICA, RateLimitNotice::PerSecond(1.0), at(0), at(10));
+    let start = first.take_updates(1);
+    second.apply_update(&start[0], at(20));
+    // The request was sent before this node knew of the limit.
     assert_eq!(
-        other.note_response(REPLICA, RateLimitNotice::Absent, at(15), at(30)),
+        second.note_response(REPLICA, RateLimitNotice::Absent, at(15), at(30)),
         None
     );
     let raised = RateLimitNotice::PerSecond(4.0);
-    assert_eq!(other.note_response(REPLICA, raised, at(15), at(30)), None);
+    assert_eq!(second.note_response(REPLICA, raised, at(15), at(30)), None);
     assert!(
-        other
+        second
             .note_response(REPLICA, RateLimitNotice::Absent, at(25), at(40))
             .is_some()
     );
     assert_eq!(
-        other.apply_update(&begun[0], at(50)),
+        second.apply_update(&start[0], at(50)),
         RateLimitEffect::Outdated
     );
-    assert!(!other.is_limited(REPLICA));
-    let ended = other.take_updates(1);
+    assert!(!second.is_limited(REPLICA));
+    let end = second.take_updates(1);
     assert!(matches!(
-        one.apply_update(&ended[0], at(60)),
+        first.apply_update(&end[0], at(60)),
         RateLimitEffect::Learned(_)
     ));
-    assert!(!one.is_limited(REPLICA));
-    assert_eq!(one.digest(), other.digest());
+    assert!(!first.is_limited(REPLICA));
+    assert_eq!(first.digest(), second.digest());
 }
 
-/// Guards against a replica that names a limit of nothing and would never be asked again.
+/// Guards against a replica that states a limit of zero and is never sent a request again.
 #[test]
-fn take_replica_that_takes_nothing_is_asked_now_and_then() {
+fn take_zero_rate_is_probed_within_30_s() {
     let now = Instant::now();
-    let mut book = RateLimitTable::default();
-    book.set_sharers(Some(1), [2].into(), now);
-    book.note_response(REPLICA, RateLimitNotice::PerSecond(0.0), now, now);
-    let wait = book.wait(REPLICA, now);
+    let mut table = RateLimitTable::default();
+    table.set_sharers(Some(1), [2].into(), now);
+    table.note_response(REPLICA, RateLimitNotice::PerSecond(0.0), now, now);
+    let wait = table.wait(REPLICA, now);
     assert!(
-        !book.take(REPLICA, now) && wait <= Duration::from_secs(30),
+        !table.take(REPLICA, now) && wait <= Duration::from_secs(30),
         "{wait:?}"
     );
-    assert!(book.take(REPLICA, now + wait + Duration::from_millis(1)));
-    assert!(!book.take(REPLICA, now + wait + Duration::from_millis(2)));
+    assert!(table.take(REPLICA, now + wait + Duration::from_millis(1)));
+    assert!(!table.take(REPLICA, now + wait + Duration::from_millis(2)));
 }
 
-/// Guards against a process that has just started and takes the part of its predecessor once more.
+/// Guards against a node that has just restarted and uses the share of its predecessor a second
+/// time.
 #[test]
-fn take_fresh_node_sends_nothing() {
+fn take_restarted_node_is_refused() {
     let now = Instant::now();
-    let mut book = RateLimitTable::default();
-    book.set_sharers(None, [2].into(), now);
-    book.note_response(REPLICA, RateLimitNotice::PerSecond(50.0), now, now);
-    assert!(!book.take(REPLICA, now + Duration::from_secs(5)));
+    let mut table = RateLimitTable::default();
+    table.set_sharers(None, [2].into(), now);
+    table.note_response(REPLICA, RateLimitNotice::PerSecond(50.0), now, now);
+    assert!(!table.take(REPLICA, now + Duration::from_secs(5)));
 }
 
-/// Guards against different answers at two nodes at once that leave them with different limits.
+/// Guards against nodes that keep different limits after they got different responses at the same
+/// time.
 #[test]
-fn hear_same_number_lower_rate_counts() {
+fn apply_update_same_sequence_lower_rate_wins() {
     let now = Instant::now();
-    let news = |rate| RateLimitUpdate {
+    let update = |rate| RateLimitUpdate {
         replica: REPLICA,
         sequence: 1,
         rate,
     };
     for order in [[Some(1.0), Some(2.0), None], [None, Some(2.0), Some(1.0)]] {
-        let mut book = RateLimitTable::default();
+        let mut table = RateLimitTable::default();
         for rate in order {
-            book.apply_update(&news(rate), now);
+            table.apply_update(&update(rate), now);
         }
-        assert_eq!(book.rate(REPLICA), Some(1.0));
+        assert_eq!(table.rate(REPLICA), Some(1.0));
     }
 }
