--- a/crates/zinniahatch_route/tests/returns.rs
+++ b/crates/zinniahatch_route/tests/earliest_retry.rs
@@ -1,4 +1,4 @@
-//! When callers may come back whose request no replica can take now.
+//! Retry times of callers whose requests no replica can accept now.
 
 mod common;
 
@@ -18,24 +18,24 @@
 use zinniahatch_route::SendRefusal;
 use zinniahatch_route::earliest_retry;
 
-/// Makes a table of replicas, each with the rest that it asked for, in seconds.
-fn table(rests: &[Option<u64>], now: Instant) -> ReplicaTable {
+/// Returns a table of replicas, each with the backoff that it requested, in seconds.
+fn table(backoffs: &[Option<u64>], now: Instant) -> ReplicaTable {
     let mut table = ReplicaTable::default();
-    for (number, rest) in rests.iter().enumerate() {
+    for (number, backoff) in backoffs.iter().enumerate() {
         let entry = ReplicaEntry {
             id: format!("r{number}").into(),
             ..entry("r", "a")
         };
         let replica = entry.incarnation().tag();
         table.upsert(entry, now);
-        let Some(rest) = rest else {
+        let Some(backoff) = backoff else {
             continue;
         };
         let notice = ReplicaNotice {
-            rest: BackoffNotice::For(Duration::from_secs(*rest)),
+            rest: BackoffNotice::For(Duration::from_secs(*backoff)),
             ..ReplicaNotice::default()
         };
-        let heard = ReceivedNotice {
+        let received = ReceivedNotice {
             replica,
             notice: &notice,
             auth: ResponseAuth::Authenticated,
@@ -43,20 +43,21 @@
             sent: now,
             draw: 0,
         };
-        table.apply_notice(&heard, now);
+        table.apply_notice(&received, now);
     }
     table
 }
 
-/// Guards against callers who are told a constant, or to wait for a replica while another one would serve them.
+/// Guards against callers who are told a constant time, or to wait although a replica would serve
+/// them.
 #[test_case(&[Some(3), Some(2)], Some((SendRefusal::Resting, 2)); "the_first_that_is_back")]
 #[test_case(&[Some(3), None], None; "one_serves")]
 #[test_case(&[], None; "none_there")]
-fn earliest_return_of_region(rests: &[Option<u64>], expected: Option<(SendRefusal, u64)>) {
+fn earliest_retry_of_region(backoffs: &[Option<u64>], expected: Option<(SendRefusal, u64)>) {
     let now = Instant::now();
-    let table = table(rests, now);
+    let table = table(backoffs, now);
     let (size, tried, peers) = (prompt(1, 1), BTreeSet::new(), BTreeSet::new());
-    let ask = PlacementQuery {
+    let query = PlacementQuery {
         service: &"s".into(),
         region: "north",
         size: &size,
@@ -69,24 +70,24 @@
         node: "n",
         peers: &peers,
     };
-    let found = earliest_retry(&table, &regions(), &ask, now);
-    let found = found.map(|first| (first.reason, first.after.as_secs()));
+    let found = earliest_retry(&table, &regions(), &query, now);
+    let found = found.map(|earliest| (earliest.reason, earliest.after.as_secs()));
     assert_eq!(found, expected);
 }
 
-/// Guards against callers who are all told the same moment.
+/// Guards against callers who are all told to retry at the same time.
 #[test]
-fn callers_come_back_one_after_the_other() {
+fn next_delay_staggers_callers() {
     let now = Instant::now();
     let (after, step) = (Duration::from_secs(2), Duration::from_millis(100));
-    let mut line = RetryQueue::default();
+    let mut queue = RetryQueue::default();
     for number in 0..10 {
-        assert_eq!(line.next_delay(after, step, now), after + step * number);
+        assert_eq!(queue.next_delay(after, step, now), after + step * number);
     }
-    // Nobody is put off for ever, and the line is empty once its callers are back.
+    // The delay is bounded, and the queue is empty once its callers have retried.
     for _ in 0..100 {
-        assert!(line.next_delay(after, step, now) <= after * 2);
+        assert!(queue.next_delay(after, step, now) <= after * 2);
     }
     let later = now + Duration::from_secs(20);
-    assert_eq!(line.next_delay(after, step, later), after);
+    assert_eq!(queue.next_delay(after, step, later), after);
 }
--- a/crates/zinniahatch_route/tests/beliefs.rs
+++ b/crates/zinniahatch_route/tests/replica_state.rs
@@ -1,4 +1,4 @@
-//! What a node believes of replicas when entries lapse, replicas go silent, answers fail.
+//! State of replicas on a node when entries expire, replicas stop responding or requests fail.
 
 mod common;
 
@@ -11,23 +11,24 @@
 use zinniahatch_route::PromptPart;
 use zinniahatch_route::ReplicaHealth;
 
-/// The store was away for some seconds, all entries of replicas lapsed, and callers were refused
-/// although every replica lived. Entries that vanish around an outage count for a little longer.
+/// Guards against an outage of the store for some seconds in which all entries expire and callers
+/// are refused although every replica runs. Entries removed around an outage stay valid for a grace
+/// period.
 #[test]
-fn vanish_around_an_outage() {
+fn remove_entry_during_outage() {
     let now = Instant::now();
     let mut table = table(&["r1"], now);
     table.note_store_failure(now);
     table.remove_entry("r1", 0.into(), now + Duration::from_secs(1));
     assert_eq!(table.get("r1").unwrap().leaving, None);
     table.tick(now + Duration::from_secs(3));
-    assert!(table.get("r1").is_some(), "within the grace");
+    assert!(table.get("r1").is_some(), "within the grace period");
     table.tick(now + Duration::from_millis(3_600));
-    assert!(table.get("r1").is_none(), "it did not come back");
+    assert!(table.get("r1").is_none(), "the grace period is over");
 }
 
 #[test]
-fn vanish_and_return() {
+fn remove_entry_then_return() {
     let now = Instant::now();
     let mut table = table(&["r1"], now);
     table.note_store_failure(now);
@@ -39,17 +40,17 @@
 }
 
 #[test]
-fn vanish_on_a_calm_day() {
+fn remove_entry_without_outage() {
     let now = Instant::now();
     let mut table = table(&["r1"], now);
     table.remove_entry("r1", 0.into(), now);
     assert!(table.get("r1").unwrap().leaving.is_some());
 }
 
-/// A replica that said it was leaving and then lost its entry in an outage looked sound again when
-/// a late copy of its first entry arrived. What has been acknowledged as leaving stays so.
+/// Guards against a leaving that a late copy of an earlier entry undoes, after an outage in which
+/// the replica lost its entry.
 #[test]
-fn update_keeps_leaving() {
+fn upsert_keeps_leaving() {
     let now = Instant::now();
     let mut table = table(&["r1"], now);
     let mut leaving = entry("r1", "a");
@@ -59,10 +60,10 @@
     assert!(table.get("r1").unwrap().leaving.is_some());
 }
 
-/// A replica left, this node dropped it, and five seconds later sent requests there again: another
-/// node that was behind had told of the replica in a snapshot. What has left does not come back.
+/// Guards against a removed replica that comes back through the snapshot of a peer with older state;
+/// it was sent requests again 5 s after its removal.
 #[test]
-fn learn_does_not_revive_what_left() {
+fn merge_peer_snapshot_keeps_removal() {
     let now = Instant::now();
     let mut table = table(&["r1", "r2"], now);
     table.remove_entry("r1", 0.into(), now);
@@ -74,11 +75,11 @@
 }
 
 #[test]
-fn learn_only_while_blind() {
+fn merge_peer_snapshot_only_during_outage() {
     let now = Instant::now();
     let mut table = table(&["r1"], now);
     table.merge_peer_snapshot(vec![entry("r2", "a")], &[], now);
-    assert!(table.get("r2").is_none(), "this node has news of its own");
+    assert!(table.get("r2").is_none(), "this node has the store itself");
     let mut leaving = entry("r1", "a");
     leaving.leaving = true;
     table.merge_peer_snapshot(vec![leaving], &[], now);
@@ -89,68 +90,73 @@
     table.merge_peer_snapshot(Vec::new(), &[entry("r2", "a").incarnation()], now);
     assert!(
         table.get("r2").unwrap().leaving.is_some(),
-        "it left elsewhere"
+        "a peer reported its removal"
     );
 }
 
 #[test_case(0, false; "no_failure")]
 #[test_case(1, false; "one_failure_is_no_verdict")]
 #[test_case(12, true; "many_failures")]
-fn failure_share_after(failures: u32, grey: bool) {
+fn failure_rate_after(failures: u32, failing: bool) {
     let now = Instant::now();
-    let mut record = ReplicaHealth::new(now);
+    let mut health = ReplicaHealth::new(now);
     for _ in 0..failures {
-        record.note_failure(now);
+        health.note_failure(now);
     }
-    assert_eq!(record.failure_rate(now) > 0.5, grey);
+    assert_eq!(health.failure_rate(now) > 0.5, failing);
     assert!(
-        record.failure_rate(now + Duration::from_secs(20)) < 0.1,
-        "it fades"
+        health.failure_rate(now + Duration::from_secs(20)) < 0.1,
+        "failures decay"
     );
 }
 
-/// A replica went dark: its connections stayed open and nothing came. Requests were sent there
-/// until their callers gave up. Silence while requests are open makes a suspect.
+/// Guards against requests to a replica whose connections stay open while nothing arrives, until
+/// their callers give up. A replica without any bytes while requests are in flight is suspect.
 #[test]
-fn is_suspect_when_silent() {
+fn is_suspect_without_bytes() {
     let now = Instant::now();
-    let mut record = ReplicaHealth::new(now);
+    let mut health = ReplicaHealth::new(now);
     assert!(
-        !record.is_suspect(now + Duration::from_secs(60)),
-        "idle is not silent"
+        !health.is_suspect(now + Duration::from_secs(60)),
+        "nothing is in flight"
     );
-    record.set_oldest_open(Some(now), Duration::ZERO);
-    assert!(!record.is_suspect(now + Duration::from_millis(500)));
-    assert!(record.is_suspect(now + Duration::from_secs(1)));
-    record.set_oldest_open(Some(now), Duration::from_secs(2));
+    health.set_oldest_open(Some(now), Duration::ZERO);
+    assert!(!health.is_suspect(now + Duration::from_millis(500)));
+    assert!(health.is_suspect(now + Duration::from_secs(1)));
+    health.set_oldest_open(Some(now), Duration::from_secs(2));
     assert!(
-        !record.is_suspect(now + Duration::from_secs(1)),
-        "it reads a long prompt"
+        !health.is_suspect(now + Duration::from_secs(1)),
+        "prefill of a long prompt"
     );
-    record.set_oldest_open(Some(now), Duration::ZERO);
-    record.note_bytes(now + Duration::from_millis(900));
-    assert!(!record.is_suspect(now + Duration::from_secs(1)));
+    health.set_oldest_open(Some(now), Duration::ZERO);
+    health.note_bytes(now + Duration::from_millis(900));
+    assert!(!health.is_suspect(now + Duration::from_secs(1)));
 }
 
 #[test]
-fn leading_counts_from_the_front() {
+fn cached_prefix_counts_from_first_part() {
     let part = |tag, tokens| PromptPart { tag, tokens };
-    let mut kept = PrefixCache::default();
-    kept.record(&[part(1, 100), part(2, 100)], 1_000);
+    let mut cache = PrefixCache::default();
+    cache.record(&[part(1, 100), part(2, 100)], 1_000);
     assert_eq!(
-        kept.cached_prefix(&[part(1, 100), part(2, 100), part(3, 9)]),
+        cache.cached_prefix(&[part(1, 100), part(2, 100), part(3, 9)]),
         2
     );
-    assert_eq!(kept.cached_prefix(&[part(9, 100), part(2, 100)]), 0);
-    kept.record(&[part(4, 950)], 1_000);
-    assert_eq!(kept.cached_prefix(&[part(1, 100)]), 0, "the oldest yields");
-    assert_eq!(kept.cached_prefix(&[part(4, 950)]), 1);
+    assert_eq!(cache.cached_prefix(&[part(9, 100), part(2, 100)]), 0);
+    cache.record(&[part(4, 950)], 1_000);
+    assert_eq!(
+        cache.cached_prefix(&[part(1, 100)]),
+        0,
+        "the oldest part is evicted"
+    );
+    assert_eq!(cache.cached_prefix(&[part(4, 950)]), 1);
 }
 
-/// A node heard from another one that a replica had left, and its own watch brought the older entry a
-/// moment later. The replica came back to life and got requests until the next news.
+/// Guards against an older entry that restores a removed replica: a peer reported the removal, and
+/// the node's own watch then delivered the entry from before, so the replica got requests until the
+/// next update.
 #[test]
-fn upsert_ignores_what_is_older_than_a_removal() {
+fn upsert_older_than_removal() {
     let now = Instant::now();
     let mut table = table(&["r1"], now);
     table.remove_entry("r1", 9.into(), now);
@@ -164,10 +170,11 @@
     assert_eq!(table.upsert(old, now), EntryChange::Updated);
 }
 
-/// The news that a replica is cold for two seconds came a second time, two seconds later, from the own
-/// watch. The replica was spared for four seconds, and its region refused callers.
+/// Guards against a repeated entry that restarts the cold time: an entry with a cold time of 2 s
+/// arrived again from the own watch 2 s later, the replica counted as cold for 4 s, and its region
+/// refused callers.
 #[test]
-fn update_counts_cold_time_from_the_first_news() {
+fn upsert_repeated_keeps_cold_time() {
     let now = Instant::now();
     let mut table = table(&["r1"], now);
     let mut cold = entry("r1", "a");
