--- a/crates/zinniahatch_route/tests/backoff_policies.rs
+++ b/crates/zinniahatch_route/tests/backoff_policies.rs
@@ -1,6 +1,6 @@
 //! Compares policies for a backoff that a replica requests.
 //!
-//! Nobody observes it, the node that was asked does, all nodes do, or the node that was asked does
+//! No node observes it, the node that was asked does, all nodes do, or the node that was asked does
 //! for three times as long. The results are the shares of requests served, refused by replicas and
 //! sent more than once.
 
--- a/crates/zinniahatch_route/tests/replica_state.rs
+++ b/crates/zinniahatch_route/tests/replica_state.rs
@@ -60,8 +60,8 @@
     assert!(table.get("r1").unwrap().leaving.is_some());
 }
 
-/// Guards against a removed replica that comes back through the snapshot of a peer with older state;
-/// it was sent requests again 5 s after its removal.
+/// Guards against a removed replica that comes back through the snapshot of a peer with older
+/// state; it was sent requests again 5 s after its removal.
 #[test]
 fn merge_peer_snapshot_keeps_removal() {
     let now = Instant::now();
