--- a/crates/zinniahatch_lab/src/checker.rs
+++ b/crates/zinniahatch_lab/src/checker.rs
@@ -2,16 +2,16 @@
 
 use crate::history::ExecutionRecord;
 use crate::history::HistoryData;
-use crate::history::SeenEnd;
+use crate::history::SendOutcome;
 use crate::history::SendRecord;
 use zinniahatch_base::prelude::*;
 
 /// Time after which a backend server that leaves gets no new work.
-pub const LEAVING_BOUND: Duration = Duration::from_secs(3);
+pub const MAX_DRAIN_DELAY: Duration = Duration::from_secs(3);
 
 word_enum! {
     /// A rule that was broken.
-    pub enum BrokenRule {
+    pub enum ViolationKind {
         /// A bound operation ran outside its region.
         Misplaced = "misplaced",
         /// An operation that may run once ran more than once.
@@ -33,50 +33,50 @@
 
 /// One broken rule, with what shows it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct RuleBreak {
+pub struct Violation {
     /// The rule.
-    pub rule: BrokenRule,
+    pub kind: ViolationKind,
     /// What shows it.
     pub detail: Box<str>,
 }
 
 /// What a run excuses: sends to nodes that were killed may get no answer.
 #[derive(Clone, Debug, Default)]
-pub struct CheckExcuse {
+pub struct CheckExemptions {
     /// Spans of time in which a node was killed; a send in progress then may get no answer.
     pub killed: Vec<(Duration, Duration)>,
 }
 
 /// Judges a history.
-pub fn check(data: &HistoryData, excuse: &CheckExcuse) -> Vec<RuleBreak> {
-    let mut breaks = Vec::new();
-    let executions = by_operation(&data.executions);
+pub fn check(data: &HistoryData, exemptions: &CheckExemptions) -> Vec<Violation> {
+    let mut violations = Vec::new();
+    let executions = group_by_operation(&data.executions);
     let nothing = Vec::new();
     for send in &data.sends {
         let ran = executions.get(&send.operation).unwrap_or(&nothing);
-        check_send(send, ran, excuse, &mut breaks);
+        check_send(send, ran, exemptions, &mut violations);
     }
-    check_operations(data, &executions, &mut breaks);
+    check_operations(data, &executions, &mut violations);
     for execution in &data.executions {
         if execution
             .leaving_for
-            .is_some_and(|time| time > LEAVING_BOUND)
+            .is_some_and(|time| time > MAX_DRAIN_DELAY)
         {
             let detail = format!(
                 "{} ran {} {:?} after it began to leave",
                 execution.replica, execution.request, execution.leaving_for
             );
-            add(&mut breaks, BrokenRule::LateWork, &detail);
+            add(&mut violations, ViolationKind::LateWork, &detail);
         }
     }
-    breaks
+    violations
 }
 
-/// Counts breaks by rule.
-pub fn count_breaks(breaks: &[RuleBreak]) -> BTreeMap<&'static str, usize> {
+/// Counts violations by rule.
+pub fn count_violations(violations: &[Violation]) -> BTreeMap<&'static str, usize> {
     let mut counts = BTreeMap::new();
-    for one in breaks {
-        *counts.entry(one.rule.word()).or_default() += 1;
+    for one in violations {
+        *counts.entry(one.kind.word()).or_default() += 1;
     }
     counts
 }
@@ -84,35 +84,35 @@
 fn check_send(
     send: &SendRecord,
     ran: &[&ExecutionRecord],
-    excuse: &CheckExcuse,
-    breaks: &mut Vec<RuleBreak>,
+    exemptions: &CheckExemptions,
+    violations: &mut Vec<Violation>,
 ) {
-    let excused = excuse
+    let exempt = exemptions
         .killed
         .iter()
-        .any(|(from, until)| send.meant <= *until && send.ended >= *from);
+        .any(|(from, until)| send.scheduled <= *until && send.ended >= *from);
     match &send.end {
-        SeenEnd::Whole { right: false } | SeenEnd::FalseEnd => add(
-            breaks,
-            BrokenRule::WrongAnswer,
+        SendOutcome::Whole { right: false } | SendOutcome::FalseEnd => add(
+            violations,
+            ViolationKind::WrongAnswer,
             &format!(
                 "{} of operation {}: {:?}",
                 send.request, send.operation, send.end
             ),
         ),
-        SeenEnd::Whole { right: true } if ran.is_empty() => add(
-            breaks,
-            BrokenRule::Invented,
+        SendOutcome::Whole { right: true } if ran.is_empty() => add(
+            violations,
+            ViolationKind::Invented,
             &format!("{} of operation {}", send.request, send.operation),
         ),
-        SeenEnd::Told(Execution::NotRun) => {
+        SendOutcome::Told(Execution::NotRun) => {
             let own = ran
                 .iter()
                 .filter(|execution| same_request(&execution.request, &send.request));
             for execution in own {
                 add(
-                    breaks,
-                    BrokenRule::FalseNotRun,
+                    violations,
+                    ViolationKind::FalseNotRun,
                     &format!(
                         "{} was told code {} and ran on {} as {}",
                         send.request, send.code, execution.replica, execution.request
@@ -120,33 +120,33 @@
                 );
             }
         }
-        SeenEnd::CutOff if !excused => add(
-            breaks,
-            BrokenRule::CutOff,
+        SendOutcome::CutOff if !exempt => add(
+            violations,
+            ViolationKind::CutOff,
             &format!(
                 "{} of operation {} code {}",
                 send.request, send.operation, send.code
             ),
         ),
-        SeenEnd::NoAnswer if !excused => add(
-            breaks,
-            BrokenRule::Lost,
+        SendOutcome::NoAnswer if !exempt => add(
+            violations,
+            ViolationKind::Lost,
             &format!(
                 "operation {} meant at {:?}, ended at {:?}, sent to {}: {}",
-                send.operation, send.meant, send.ended, send.entry, send.problem
+                send.operation, send.scheduled, send.ended, send.entry, send.problem
             ),
         ),
-        SeenEnd::Whole { right: true }
-        | SeenEnd::Told(Execution::Ran | Execution::Unknown)
-        | SeenEnd::CutOff
-        | SeenEnd::NoAnswer => {}
+        SendOutcome::Whole { right: true }
+        | SendOutcome::Told(Execution::Ran | Execution::Unknown)
+        | SendOutcome::CutOff
+        | SendOutcome::NoAnswer => {}
     }
 }
 
 fn check_operations(
     data: &HistoryData,
     executions: &BTreeMap<u64, Vec<&ExecutionRecord>>,
-    breaks: &mut Vec<RuleBreak>,
+    violations: &mut Vec<Violation>,
 ) {
     let mut seen = BTreeSet::new();
     for send in &data.sends {
@@ -162,16 +162,16 @@
                 .map(|execution| format!("{} as {}", execution.replica, execution.request))
                 .collect();
             add(
-                breaks,
-                BrokenRule::Doubled,
+                violations,
+                ViolationKind::Doubled,
                 &format!("operation {}: {}", send.operation, where_run.join(", ")),
             );
         }
         for execution in ran {
             if send.bound && execution.region != send.home {
                 add(
-                    breaks,
-                    BrokenRule::Misplaced,
+                    violations,
+                    ViolationKind::Misplaced,
                     &format!(
                         "operation {} of {} ran in {}",
                         send.operation, send.home, execution.region
@@ -182,7 +182,7 @@
     }
 }
 
-fn by_operation(executions: &[ExecutionRecord]) -> BTreeMap<u64, Vec<&ExecutionRecord>> {
+fn group_by_operation(executions: &[ExecutionRecord]) -> BTreeMap<u64, Vec<&ExecutionRecord>> {
     let mut table: BTreeMap<u64, Vec<&ExecutionRecord>> = BTreeMap::new();
     for execution in executions {
         table
@@ -201,9 +201,9 @@
             .is_some_and(|rest| rest.is_empty() || rest.starts_with("-r") || rest.starts_with("-h"))
 }
 
-fn add(breaks: &mut Vec<RuleBreak>, rule: BrokenRule, detail: &str) {
-    breaks.push(RuleBreak {
-        rule,
+fn add(violations: &mut Vec<Violation>, kind: ViolationKind, detail: &str) {
+    violations.push(Violation {
+        kind,
         detail: detail.into(),
     });
 }
--- a/crates/zinniahatch_lab/src/cluster.rs
+++ b/crates/zinniahatch_lab/src/cluster.rs
@@ -3,13 +3,13 @@
 use crate::history::HistoryLog;
 use crate::relay::LinkState;
 use crate::relay::TcpRelay;
-use crate::stand::backend::StandBackend;
-use crate::stand::directory::StandDirectory;
-use crate::stand::engine::EngineSpeed;
-use crate::stand::engine::StandEngine;
-use crate::stand::faults::FaultSwitch;
-use crate::stand::serve::StandServer;
-use crate::stand::store::StandStore;
+use crate::test_doubles::backend::FakeBackend;
+use crate::test_doubles::directory::FakeDirectory;
+use crate::test_doubles::engine::EngineSpeed;
+use crate::test_doubles::engine::FakeEngine;
+use crate::test_doubles::faults::FaultSwitch;
+use crate::test_doubles::serve::FakeServer;
+use crate::test_doubles::store::FakeStore;
 use crate::users::UserPlan;
 use std::fs;
 use std::path::PathBuf;
@@ -37,8 +37,8 @@
 use prepare::start_backends;
 
 /// Time for every node to serve.
-const READY_TIME: Duration = Duration::from_secs(30);
-const LOOK_EVERY: Duration = Duration::from_millis(50);
+const READY_TIMEOUT: Duration = Duration::from_secs(30);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 const SECRET: &str = "lab-secret-of-the-nodes";
 
 static NEXT_FOLDER: AtomicU64 = AtomicU64::new(0);
@@ -105,23 +105,23 @@
     /// The history that backend servers and load write.
     pub history: HistoryLog,
     /// The store.
-    pub store: StandStore,
+    pub store: FakeStore,
     /// Each region's way to the store.
-    pub store_ways: BTreeMap<RegionId, FaultSwitch>,
+    pub store_faults: BTreeMap<RegionId, FaultSwitch>,
     /// The directory and the VM list.
-    pub directory: StandDirectory,
+    pub directory: FakeDirectory,
     /// The engines by name.
-    pub engines: BTreeMap<ReplicaId, Arc<StandEngine>>,
+    pub engines: BTreeMap<ReplicaId, Arc<FakeEngine>>,
     /// Every backend server by name.
-    pub backends: BTreeMap<ReplicaId, Arc<StandBackend>>,
+    pub backends: BTreeMap<ReplicaId, Arc<FakeBackend>>,
     /// The daemons.
     pub nodes: Vec<NodeHandle>,
     /// The link between each pair of regions.
     pub links: BTreeMap<(RegionId, RegionId), LinkState>,
     /// The address of a front of the store without faults.
     pub store_url: String,
-    backend_servers: BTreeMap<ReplicaId, StandServer>,
-    _servers: Vec<StandServer>,
+    backend_servers: BTreeMap<ReplicaId, FakeServer>,
+    _servers: Vec<FakeServer>,
     _relays: Vec<TcpRelay>,
     folder: PathBuf,
 }
@@ -148,21 +148,21 @@
     /// Where a stand-in cannot be started or a file cannot be written.
     pub async fn prepare(mut plan: UserPlan, options: &ClusterOptions) -> Self {
         let history = HistoryLog::default();
-        let store = StandStore::default();
+        let store = FakeStore::default();
         let mut servers = Vec::new();
-        let mut store_ways = BTreeMap::new();
+        let mut store_faults = BTreeMap::new();
         let mut store_urls = BTreeMap::new();
         for region in &plan.regions {
             let switch = FaultSwitch::default();
-            let server = store.front(switch.clone()).await;
+            let server = store.start_endpoint(switch.clone()).await;
             store_urls.insert(region.region.clone(), server.url());
-            store_ways.insert(region.region.clone(), switch);
+            store_faults.insert(region.region.clone(), switch);
             servers.push(server);
         }
-        let own = store.front(FaultSwitch::default()).await;
+        let own = store.start_endpoint(FaultSwitch::default()).await;
         let store_url = own.url();
         servers.push(own);
-        let directory = StandDirectory::default();
+        let directory = FakeDirectory::default();
         let directory_server = directory.start().await;
         let directory_url = directory_server.url();
         servers.push(directory_server);
@@ -196,7 +196,7 @@
             plan,
             history,
             store,
-            store_ways,
+            store_faults,
             directory,
             engines,
             backends,
@@ -261,11 +261,11 @@
             let http = self.nodes[index].http.clone();
             while !is_ready(&client, &http).await
                 && self.ended(index).is_none()
-                && started.elapsed() <= READY_TIME
+                && started.elapsed() <= READY_TIMEOUT
             {
-                sleep(LOOK_EVERY).await;
+                sleep(POLL_INTERVAL).await;
             }
-            if self.ended(index).is_some() || started.elapsed() > READY_TIME {
+            if self.ended(index).is_some() || started.elapsed() > READY_TIMEOUT {
                 let node = &self.nodes[index];
                 let log = fs::read_to_string(&node.log).unwrap_or_default();
                 panic!("{} does not serve: {log}", node.name);
--- a/crates/zinniahatch_lab/src/cluster/prepare.rs
+++ b/crates/zinniahatch_lab/src/cluster/prepare.rs
@@ -8,11 +8,11 @@
 use crate::history::HistoryLog;
 use crate::relay::LinkState;
 use crate::relay::TcpRelay;
-use crate::stand::backend::StandBackend;
-use crate::stand::directory::StandDirectory;
-use crate::stand::engine::StandEngine;
-use crate::stand::plain::start_plain;
-use crate::stand::serve::StandServer;
+use crate::test_doubles::backend::FakeBackend;
+use crate::test_doubles::directory::FakeDirectory;
+use crate::test_doubles::engine::FakeEngine;
+use crate::test_doubles::plain::start_plain;
+use crate::test_doubles::serve::FakeServer;
 use crate::users::UserPlan;
 use std::net::TcpListener;
 use std::net::UdpSocket;
@@ -34,15 +34,15 @@
 /// are, and turns before they come again.
 const HOSTS: u64 = 100;
 const FIRST_PORT: u16 = 20_000;
-const PORTS_APART: u16 = 100;
-const ROUNDS: u64 = 100;
+const PORT_STRIDE: u16 = 100;
+const STRIDES: u64 = 100;
 /// The first of the ports that the system gives out by itself, where it does not say.
-const USUAL_SYSTEM_PORTS: u16 = 32_768;
+const DEFAULT_EPHEMERAL_START: u16 = 32_768;
 
 type StartedBackends = (
-    BTreeMap<ReplicaId, Arc<StandEngine>>,
-    BTreeMap<ReplicaId, Arc<StandBackend>>,
-    BTreeMap<ReplicaId, StandServer>,
+    BTreeMap<ReplicaId, Arc<FakeEngine>>,
+    BTreeMap<ReplicaId, Arc<FakeBackend>>,
+    BTreeMap<ReplicaId, FakeServer>,
 );
 
 /// Starts a stand-in for each backend server and writes its address into the plan.
@@ -50,7 +50,7 @@
     plan: &mut UserPlan,
     options: &ClusterOptions,
     history: &HistoryLog,
-    directory: &StandDirectory,
+    directory: &FakeDirectory,
 ) -> StartedBackends {
     let config = config_of(plan);
     let mut engines = BTreeMap::new();
@@ -63,14 +63,14 @@
             .topology
             .region_of(&entry.data_centre)
             .expect("the plan is checked");
-        let backend = StandBackend::new(name, region, entry.slots, history.clone());
+        let backend = FakeBackend::new(name, region, entry.slots, history.clone());
         let shared = shared_url.as_ref().filter(|_| options.shared_backends);
         let url = if let Some(url) = shared {
             url.clone()
         } else {
             let server = match config.services[&entry.service].kind {
                 ServiceKind::Engine => {
-                    let engine = StandEngine::new(
+                    let engine = FakeEngine::new(
                         Arc::clone(&backend),
                         options.speed,
                         entry.fencing == FencingRule::Checked,
@@ -162,8 +162,8 @@
         (process >> 8) & 0xff,
         (process & 0xff).max(1)
     );
-    let first = FIRST_PORT + (number / HOSTS % ROUNDS) as u16 * PORTS_APART;
-    let free = (first..system_ports()).filter(|port| is_free(&host, *port));
+    let first = FIRST_PORT + (number / HOSTS % STRIDES) as u16 * PORT_STRIDE;
+    let free = (first..ephemeral_port_start()).filter(|port| is_free(&host, *port));
     let found: Vec<Box<str>> = free
         .take(count)
         .map(|port| format!("{host}:{port}").into())
@@ -178,12 +178,12 @@
 }
 
 /// Gives the first of the ports that the system gives out by itself.
-fn system_ports() -> u16 {
+fn ephemeral_port_start() -> u16 {
     let range = std::fs::read_to_string("/proc/sys/net/ipv4/ip_local_port_range");
     let first = range
         .ok()
         .and_then(|range| range.split_whitespace().next()?.parse().ok());
-    first.unwrap_or(USUAL_SYSTEM_PORTS)
+    first.unwrap_or(DEFAULT_EPHEMERAL_START)
 }
 
 /// Starts the relays through which a node reaches those of other regions.
--- a/crates/zinniahatch_lab/src/demo.rs
+++ b/crates/zinniahatch_lab/src/demo.rs
@@ -1,15 +1,15 @@
 //! The demonstration: both users' systems, load, a preset switch, a planned stop, the reports.
 
-use crate::checker::CheckExcuse;
+use crate::checker::CheckExemptions;
 use crate::checker::check;
-use crate::checker::count_breaks;
+use crate::checker::count_violations;
 use crate::cluster::ClusterOptions;
 use crate::cluster::LabCluster;
 use crate::experiments::figures::RunFigures;
 use crate::experiments::figures::figures;
 use crate::load::LoadPlan;
 use crate::load::LoadRunner;
-use crate::operator::OperatorCalls;
+use crate::operator::AdminClient;
 use crate::users;
 use serde_json::json;
 use std::sync::atomic::Ordering;
@@ -101,12 +101,12 @@
     let report = fetch_settled_report(&cluster).await;
     let breaks = cluster
         .history
-        .with(|data| check(data, &CheckExcuse::default()));
+        .with(|data| check(data, &CheckExemptions::default()));
     for one in breaks.iter().take(10) {
         println!(
             "{}: broken {}: {}",
             cluster.plan.name,
-            one.rule.word(),
+            one.kind.word(),
             one.detail
         );
     }
@@ -123,7 +123,7 @@
         figures.cost,
         figures.p99_ms,
         figures.away_share * 100.0,
-        count_breaks(&breaks)
+        count_violations(&breaks)
     );
     (breaks.len() + problems.len(), figures)
 }
@@ -159,10 +159,10 @@
 /// Says that the switch was not accepted, or not in force everywhere in time.
 pub async fn switch_preset(cluster: &LabCluster, preset: &str) -> Result<Duration, String> {
     const BOUND: Duration = Duration::from_secs(8);
-    let operator = OperatorCalls::new(cluster, 1, &cluster.plan.shift);
+    let operator = AdminClient::new(cluster, 1, &cluster.plan.shift);
     let started = Instant::now();
     operator
-        .switch(preset, &format!("switch-to-{preset}"))
+        .switch_preset(preset, &format!("switch-to-{preset}"))
         .await?;
     loop {
         let nodes = operator
@@ -214,7 +214,7 @@
 
 /// Fetches a report from the second node.
 pub async fn fetch_report(cluster: &LabCluster, by: &str) -> Option<ReportResult> {
-    OperatorCalls::new(cluster, 1, &cluster.plan.reader)
+    AdminClient::new(cluster, 1, &cluster.plan.reader)
         .report(by)
         .await
 }
--- a/crates/zinniahatch_lab/src/experiments/control_cost.rs
+++ b/crates/zinniahatch_lab/src/experiments/control_cost.rs
@@ -4,7 +4,7 @@
 use crate::cluster::LabCluster;
 use crate::experiments::overhead::cpu_seconds;
 use crate::experiments::overhead::resident_bytes;
-use crate::operator::OperatorCalls;
+use crate::operator::AdminClient;
 use crate::users;
 use crate::users::RegionPlan;
 use crate::users::UserPlan;
@@ -241,7 +241,7 @@
         sleep(time).await;
         return;
     }
-    let operator = OperatorCalls::new(cluster, 0, &cluster.plan.chief);
+    let operator = AdminClient::new(cluster, 0, &cluster.plan.chief);
     let mut number = 0;
     // The first change comes after half the interval, so that the time holds its due number.
     let mut next = Instant::now() + Duration::from_secs(point.change_every) / 2;
@@ -291,7 +291,7 @@
 }
 
 /// Adds one account.
-async fn change(operator: &OperatorCalls, number: u32) {
+async fn change(operator: &AdminClient, number: u32) {
     let ask = json!({"change": format!("cost-{number}"), "expect_revision": operator.revision().await, "account": format!("account-{number}"), "home": "region-0", "class": "standard", "team": "t", "in_progress_limit": number});
     operator.post("accounts", &ask).await;
 }
--- a/crates/zinniahatch_lab/src/experiments/faults.rs
+++ b/crates/zinniahatch_lab/src/experiments/faults.rs
@@ -1,9 +1,9 @@
 //! Faults under load: what breaks, what goes on, and how soon all is back.
 
-use crate::checker::CheckExcuse;
-use crate::checker::RuleBreak;
+use crate::checker::CheckExemptions;
+use crate::checker::Violation;
 use crate::checker::check;
-use crate::checker::count_breaks;
+use crate::checker::count_violations;
 use crate::cluster::ClusterOptions;
 use crate::cluster::LabCluster;
 use crate::demo::switch_preset;
@@ -13,9 +13,9 @@
 use crate::history::HistoryData;
 use crate::load::LoadPlan;
 use crate::load::LoadRunner;
-use crate::operator::OperatorCalls;
-use crate::stand::backend::BackendFaults;
-use crate::stand::faults::ServiceMode;
+use crate::operator::AdminClient;
+use crate::test_doubles::backend::BackendFaults;
+use crate::test_doubles::faults::ServiceMode;
 use crate::users;
 use serde::Serialize;
 use serde_json::json;
@@ -129,7 +129,7 @@
             result.breaks
         );
         for one in breaks.iter().take(5) {
-            println!("    {}: {}", one.rule.word(), one.detail);
+            println!("    {}: {}", one.kind.word(), one.detail);
         }
         results.push(result);
     }
@@ -145,7 +145,7 @@
 }
 
 /// Runs one case; gives its figures and the broken rules.
-pub async fn run_case(run: &FaultRun, kinds: &[FaultKind]) -> (FaultResult, Vec<RuleBreak>) {
+pub async fn run_case(run: &FaultRun, kinds: &[FaultKind]) -> (FaultResult, Vec<Violation>) {
     let mut cluster = LabCluster::start(users::aqsu(), &ClusterOptions::default()).await;
     let runner = LoadRunner::new(&cluster);
     let begun = cluster.history.now();
@@ -156,7 +156,7 @@
         ..LoadPlan::default()
     };
     let load = tokio::spawn(async move { runner.run(&plan).await });
-    let mut excuse = CheckExcuse::default();
+    let mut excuse = CheckExemptions::default();
     sleep(run.phase).await;
     let from = cluster.history.now();
     for kind in kinds {
@@ -181,7 +181,7 @@
     (result, breaks)
 }
 
-async fn inject(cluster: &mut LabCluster, kind: FaultKind, excuse: &mut CheckExcuse) {
+async fn inject(cluster: &mut LabCluster, kind: FaultKind, excuse: &mut CheckExemptions) {
     match kind {
         FaultKind::NodeKilled => kill(cluster, 2, excuse),
         FaultKind::KeeperKilled => {
@@ -196,19 +196,19 @@
                 .links_of(&region)
                 .iter()
                 .for_each(crate::relay::LinkState::cut);
-            cluster.store_ways[&region].set(ServiceMode::Silent);
+            cluster.store_faults[&region].set(ServiceMode::Silent);
         }
         FaultKind::LinksSilent => cluster
             .links
             .values()
             .for_each(crate::relay::LinkState::silence_open),
         FaultKind::StoreDown => cluster
-            .store_ways
+            .store_faults
             .values()
             .for_each(|way| way.set(ServiceMode::Down)),
         FaultKind::StoreLoses => {
             cluster
-                .store_ways
+                .store_faults
                 .values()
                 .for_each(|way| way.lose_answers(3));
             let switched = switch_preset(cluster, "peak").await;
@@ -262,10 +262,10 @@
                 .links_of(&region)
                 .iter()
                 .for_each(crate::relay::LinkState::heal);
-            cluster.store_ways[&region].set(ServiceMode::Up);
+            cluster.store_faults[&region].set(ServiceMode::Up);
         }
         FaultKind::StoreDown => cluster
-            .store_ways
+            .store_faults
             .values()
             .for_each(|way| way.set(ServiceMode::Up)),
         FaultKind::StreamsBreak | FaultKind::StreamsSilent => {
@@ -281,7 +281,7 @@
 }
 
 /// Kills a node; requests that were in progress on it may end without an answer.
-fn kill(cluster: &mut LabCluster, index: usize, excuse: &mut CheckExcuse) {
+fn kill(cluster: &mut LabCluster, index: usize, excuse: &mut CheckExemptions) {
     let before = cluster.history.now();
     cluster.kill(index);
     excuse.killed.push((before, cluster.history.now()));
@@ -297,7 +297,7 @@
 
 /// Finds the node of the first region that keeps the engines' pool.
 async fn find_keeper(cluster: &LabCluster) -> usize {
-    let status = OperatorCalls::new(cluster, 0, &cluster.plan.reader)
+    let status = AdminClient::new(cluster, 0, &cluster.plan.reader)
         .get("status")
         .await;
     let pools = status["pools"].as_array().cloned().unwrap_or_default();
@@ -340,18 +340,18 @@
 fn summarise(
     kinds: &[FaultKind],
     data: &HistoryData,
-    breaks: &[RuleBreak],
+    breaks: &[Violation],
     times: (Duration, Duration, Duration),
     counted: u64,
 ) -> FaultResult {
     let (begun, from, until) = times;
     let all = figures(data, "", |_| true);
-    let during = figures(data, "", |send| send.meant >= from && send.meant < until);
-    let before = figures(data, "", |send| send.meant >= begun && send.meant < from);
+    let during = figures(data, "", |s| s.scheduled >= from && s.scheduled < until);
+    let before = figures(data, "", |s| s.scheduled >= begun && s.scheduled < from);
     let usual = ratio(before.answered, before.operations);
     FaultResult {
         faults: kinds.iter().map(|kind| kind.word()).collect(),
-        breaks: count_breaks(breaks),
+        breaks: count_violations(breaks),
         operations: all.operations,
         failed: all.operations - all.answered,
         goodput: ratio(during.answered, during.operations),
@@ -386,7 +386,7 @@
     let latest = data
         .sends
         .iter()
-        .map(|send| send.meant)
+        .map(|send| send.scheduled)
         .max()
         .unwrap_or_default();
     let mut back = Duration::ZERO;
@@ -396,7 +396,7 @@
             break;
         }
         let window = figures(data, "", |send| {
-            send.meant >= start && send.meant < start + WINDOW
+            send.scheduled >= start && send.scheduled < start + WINDOW
         });
         if window.operations > 0 && ratio(window.answered, window.operations) < usual {
             back = WINDOW * (turn + 1);
--- a/crates/zinniahatch_lab/src/experiments/figures.rs
+++ b/crates/zinniahatch_lab/src/experiments/figures.rs
@@ -1,7 +1,7 @@
 //! Figures of a history.
 
 use crate::history::HistoryData;
-use crate::history::SeenEnd;
+use crate::history::SendOutcome;
 use crate::history::SendRecord;
 use hdrhistogram::Histogram;
 use serde::Serialize;
@@ -61,17 +61,22 @@
     for send in ends.values() {
         figures.operations += 1;
         match &send.end {
-            SeenEnd::Whole { .. } => {
+            SendOutcome::Whole { .. } => {
                 figures.answered += 1;
                 away += usize::from(send.served != send.home);
                 figures.cost += send.cost;
-                whole.saturating_record(send.ended.saturating_sub(send.meant).as_micros() as u64);
+                whole.saturating_record(
+                    send.ended.saturating_sub(send.scheduled).as_micros() as u64
+                );
                 if let Some(delay) = send.first_byte.filter(|_| &*send.service == stream_service) {
                     first.saturating_record(delay.as_micros() as u64);
                 }
             }
-            SeenEnd::Told(Execution::NotRun) => figures.refused += 1,
-            SeenEnd::Told(_) | SeenEnd::CutOff | SeenEnd::FalseEnd | SeenEnd::NoAnswer => {
+            SendOutcome::Told(Execution::NotRun) => figures.refused += 1,
+            SendOutcome::Told(_)
+            | SendOutcome::CutOff
+            | SendOutcome::FalseEnd
+            | SendOutcome::NoAnswer => {
                 figures.unknown += 1;
             }
         }
@@ -111,5 +116,5 @@
 }
 
 fn is_whole(send: &SendRecord) -> bool {
-    matches!(send.end, SeenEnd::Whole { .. })
+    matches!(send.end, SendOutcome::Whole { .. })
 }
--- a/crates/zinniahatch_lab/src/experiments/overhead.rs
+++ b/crates/zinniahatch_lab/src/experiments/overhead.rs
@@ -3,7 +3,7 @@
 use crate::cluster::ClusterOptions;
 use crate::cluster::LabCluster;
 use crate::experiments::figures::new_histogram;
-use crate::stand::engine::EngineSpeed;
+use crate::test_doubles::engine::EngineSpeed;
 use crate::users;
 use crate::users::RegionPlan;
 use crate::users::UserPlan;
--- a/crates/zinniahatch_lab/src/experiments/policies.rs
+++ b/crates/zinniahatch_lab/src/experiments/policies.rs
@@ -1,6 +1,6 @@
 //! Staggered regional peaks: the score against always-home, least-loaded and random-two.
 
-use crate::checker::CheckExcuse;
+use crate::checker::CheckExemptions;
 use crate::checker::check;
 use crate::cluster::ClusterOptions;
 use crate::cluster::LabCluster;
@@ -85,7 +85,7 @@
     LoadRunner::new(&cluster).run(&load).await;
     let broken = cluster
         .history
-        .with(|data| check(data, &CheckExcuse::default()))
+        .with(|data| check(data, &CheckExemptions::default()))
         .len();
     let figures = cluster
         .history
--- a/crates/zinniahatch_lab/src/experiments/shares.rs
+++ b/crates/zinniahatch_lab/src/experiments/shares.rs
@@ -1,11 +1,11 @@
 //! One account floods: what the others get against their share.
 
-use crate::checker::CheckExcuse;
+use crate::checker::CheckExemptions;
 use crate::checker::check;
 use crate::cluster::ClusterOptions;
 use crate::cluster::LabCluster;
 use crate::experiments::figures::figures;
-use crate::history::SeenEnd;
+use crate::history::SendOutcome;
 use crate::load::CallTools;
 use crate::load::OperationJob;
 use crate::load::OperationKind;
@@ -80,7 +80,7 @@
     while tasks.join_next().await.is_some() {}
     let breaks = cluster
         .history
-        .with(|data| check(data, &CheckExcuse::default()));
+        .with(|data| check(data, &CheckExemptions::default()));
     // Judged over the second half, when both accounts have long had more waiting than slots.
     let from = Duration::from_secs(seconds / 2);
     let of = |account: &'static str| {
@@ -127,7 +127,7 @@
         let Some(record) = tools.send(&job, entry, None).await else {
             continue;
         };
-        let refused = matches!(record.end, SeenEnd::Told(Execution::NotRun));
+        let refused = matches!(record.end, SendOutcome::Told(Execution::NotRun));
         tools.history.add_send(record);
         if refused {
             sleep(Duration::from_millis(500)).await;
--- a/crates/zinniahatch_lab/src/experiments/spread.rs
+++ b/crates/zinniahatch_lab/src/experiments/spread.rs
@@ -3,8 +3,8 @@
 use crate::cluster::ClusterOptions;
 use crate::cluster::LabCluster;
 use crate::experiments::figures::new_histogram;
-use crate::operator::OperatorCalls;
-use crate::stand::faults::ServiceMode;
+use crate::operator::AdminClient;
+use crate::test_doubles::faults::ServiceMode;
 use crate::users;
 use futures_util::future::join_all;
 use reqwest::Client;
@@ -38,7 +38,7 @@
         "store losing answers",
         "one region cut from the store",
     ] {
-        for way in cluster.store_ways.values() {
+        for way in cluster.store_faults.values() {
             way.set(if case == "store slow" {
                 ServiceMode::Slow(Duration::from_millis(300))
             } else {
@@ -46,7 +46,7 @@
             });
         }
         if case == "one region cut from the store" {
-            cluster.store_ways[&region].set(ServiceMode::Silent);
+            cluster.store_faults[&region].set(ServiceMode::Silent);
         }
         let figures = run_case(&cluster, case).await;
         println!(
@@ -68,7 +68,7 @@
 
 async fn run_case(cluster: &LabCluster, case: &'static str) -> SpreadFigures {
     let client = Client::new();
-    let operator = OperatorCalls::new(cluster, 0, &cluster.plan.shift);
+    let operator = AdminClient::new(cluster, 0, &cluster.plan.shift);
     let mut delays = new_histogram();
     let mut figures = SpreadFigures {
         case,
@@ -82,12 +82,15 @@
     for number in 0..CHANGES {
         if case == "store losing answers" {
             cluster
-                .store_ways
+                .store_faults
                 .values()
                 .for_each(|way| way.lose_answers(1));
         }
         let preset = if number % 2 == 0 { "peak" } else { "ordinary" };
-        let Ok(revision) = operator.switch(preset, &format!("{case}-{number}")).await else {
+        let Ok(revision) = operator
+            .switch_preset(preset, &format!("{case}-{number}"))
+            .await
+        else {
             figures.beyond_bound += 1;
             continue;
         };
--- a/crates/zinniahatch_lab/src/history.rs
+++ b/crates/zinniahatch_lab/src/history.rs
@@ -10,7 +10,7 @@
 
 /// What a caller knows after one send.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum SeenEnd {
+pub enum SendOutcome {
     /// A whole answer, and whether it was the right one.
     Whole {
         /// Whether the content is that of the operation.
@@ -48,7 +48,7 @@
     /// Whether it collects the kept answer of an earlier send, and so is no request of its own.
     pub collects: bool,
     /// When it was meant to be sent, from the start of the run.
-    pub meant: Duration,
+    pub scheduled: Duration,
     /// When the end was seen, from the start of the run.
     pub ended: Duration,
     /// Delay from the intended send to the first byte.
@@ -60,7 +60,7 @@
     /// The region that served.
     pub served: RegionId,
     /// What the caller knows.
-    pub end: SeenEnd,
+    pub end: SendOutcome,
     /// The error of the connection where it gave no answer.
     pub problem: Box<str>,
     /// Cost by the price list, for whole answers.
@@ -74,7 +74,7 @@
     ///
     /// Collecting the kept answer of an earlier request is none.
     pub fn is_counted(&self) -> bool {
-        let ended = matches!(self.end, SeenEnd::CutOff | SeenEnd::NoAnswer);
+        let ended = matches!(self.end, SendOutcome::CutOff | SendOutcome::NoAnswer);
         !self.collects && (self.code != 0 || ended)
     }
 }
--- a/crates/zinniahatch_lab/src/lib.rs
+++ b/crates/zinniahatch_lab/src/lib.rs
@@ -11,5 +11,5 @@
 pub mod site;
 pub mod site_demo;
 pub mod soak;
-pub mod stand;
+pub mod test_doubles;
 pub mod users;
--- a/crates/zinniahatch_lab/src/load.rs
+++ b/crates/zinniahatch_lab/src/load.rs
@@ -2,11 +2,11 @@
 
 use crate::cluster::LabCluster;
 use crate::history::HistoryLog;
-use crate::history::SeenEnd;
+use crate::history::SendOutcome;
 use crate::history::SendRecord;
-use crate::stand::text::answer_text;
-use crate::stand::text::mark_of;
-use crate::stand::text::plain_answer;
+use crate::test_doubles::text::answer_text;
+use crate::test_doubles::text::operation_mark;
+use crate::test_doubles::text::plain_answer;
 use crate::users::CallerPlan;
 use rand::RngExt;
 use rand::SeedableRng;
@@ -278,7 +278,7 @@
             let code = record.code;
             self.tools.history.add_send(record);
             match end {
-                SeenEnd::Told(Execution::NotRun) => {
+                SendOutcome::Told(Execution::NotRun) => {
                     if code == ResultCode::KeyForeign.number()
                         || code == ResultCode::KeyBuried.number()
                     {
@@ -286,16 +286,16 @@
                     }
                     sleep(Duration::from_millis(150 << turn)).await;
                 }
-                SeenEnd::Told(Execution::Unknown) | SeenEnd::NoAnswer
+                SendOutcome::Told(Execution::Unknown) | SendOutcome::NoAnswer
                     if job.kind == OperationKind::Entry =>
                 {
                     return self.collect(&job, key.as_deref()).await;
                 }
-                SeenEnd::Whole { .. }
-                | SeenEnd::Told(_)
-                | SeenEnd::CutOff
-                | SeenEnd::FalseEnd
-                | SeenEnd::NoAnswer => return,
+                SendOutcome::Whole { .. }
+                | SendOutcome::Told(_)
+                | SendOutcome::CutOff
+                | SendOutcome::FalseEnd
+                | SendOutcome::NoAnswer => return,
             }
         }
     }
@@ -317,7 +317,7 @@
             let Some(record) = self.tools.collect(job, &entry, key).await else {
                 continue;
             };
-            let settled = matches!(record.end, SeenEnd::Whole { .. })
+            let settled = matches!(record.end, SendOutcome::Whole { .. })
                 || record.code == ResultCode::KeyBuried.number();
             if settled {
                 self.tools.history.add_send(record);
--- a/crates/zinniahatch_lab/src/load/call.rs
+++ b/crates/zinniahatch_lab/src/load/call.rs
@@ -8,12 +8,12 @@
 use super::OperationKind;
 use super::Response;
 use super::ResultCode;
-use super::SeenEnd;
+use super::SendOutcome;
 use super::SendRecord;
 use super::Value;
 use super::answer_text;
 use super::json;
-use super::mark_of;
+use super::operation_mark;
 use super::plain_answer;
 use reqwest::RequestBuilder;
 use std::error::Error;
@@ -37,7 +37,7 @@
 /// What was read of an answer.
 #[derive(Default)]
 struct ReadAnswer {
-    end: Option<SeenEnd>,
+    end: Option<SendOutcome>,
     first_byte: Option<Duration>,
     input: u64,
     cached: u64,
@@ -77,7 +77,7 @@
         entry: &str,
         key: Option<&str>,
     ) -> Option<SendRecord> {
-        let mark = mark_of(job.number);
+        let mark = operation_mark(job.number);
         let request = match job.kind {
             OperationKind::Query | OperationKind::Summary => {
                 let content = format!("{}{mark}", job.prompt);
@@ -141,13 +141,13 @@
             sent_to: job.caller.home.clone(),
             entry: entry.into(),
             collects,
-            meant: job.meant,
+            scheduled: job.meant,
             ended: Duration::ZERO,
             first_byte: None,
             request: "".into(),
             code: 0,
             served: "".into(),
-            end: SeenEnd::NoAnswer,
+            end: SendOutcome::NoAnswer,
             problem: Box::default(),
             cost: 0.0,
             tokens: 0,
@@ -176,9 +176,9 @@
         let execution = text("x-zinnia-execution");
         if !response.status().is_success() {
             record.end = match execution.as_str() {
-                "not-run" => SeenEnd::Told(Execution::NotRun),
-                "ran" => SeenEnd::Told(Execution::Ran),
-                _ => SeenEnd::Told(Execution::Unknown),
+                "not-run" => SendOutcome::Told(Execution::NotRun),
+                "ran" => SendOutcome::Told(Execution::Ran),
+                _ => SendOutcome::Told(Execution::Unknown),
             };
             return;
         }
@@ -188,7 +188,7 @@
             OperationKind::Lookup | OperationKind::Entry => self.read_plain(job, response).await,
         };
         record.first_byte = answer.first_byte;
-        record.end = answer.end.unwrap_or(SeenEnd::CutOff);
+        record.end = answer.end.unwrap_or(SendOutcome::CutOff);
         record.tokens = answer.tokens;
         let away = record.served != record.home;
         let price = self
@@ -223,7 +223,7 @@
             return answer;
         }
         if !text.ends_with("data: [DONE]\n\n") {
-            answer.end = Some(SeenEnd::FalseEnd);
+            answer.end = Some(SendOutcome::FalseEnd);
             return answer;
         }
         let mut content = String::new();
@@ -236,7 +236,7 @@
             );
             answer.read_usage(&event);
         }
-        answer.end = Some(SeenEnd::Whole {
+        answer.end = Some(SendOutcome::Whole {
             right: content == answer_text(job.number, job.tokens),
         });
         answer
@@ -253,7 +253,7 @@
         let content = body["choices"][0]["message"]["content"]
             .as_str()
             .unwrap_or_default();
-        answer.end = Some(SeenEnd::Whole {
+        answer.end = Some(SendOutcome::Whole {
             right: content == answer_text(job.number, job.tokens),
         });
         answer
@@ -265,7 +265,7 @@
             return answer;
         };
         answer.first_byte = Some(self.history.now().saturating_sub(job.meant));
-        answer.end = Some(SeenEnd::Whole {
+        answer.end = Some(SendOutcome::Whole {
             right: text == plain_answer(job.number),
         });
         answer
--- a/crates/zinniahatch_lab/src/operator.rs
+++ b/crates/zinniahatch_lab/src/operator.rs
@@ -10,13 +10,13 @@
 
 /// One operator at one node.
 #[derive(Clone, Debug)]
-pub struct OperatorCalls {
+pub struct AdminClient {
     client: Client,
     base: String,
     token: String,
 }
 
-impl OperatorCalls {
+impl AdminClient {
     /// Makes the calls of an operator with this token at a node of a system.
     pub fn new(cluster: &LabCluster, node: usize, token: &str) -> Self {
         let base = format!("http://{}/admin", cluster.nodes[node].http);
@@ -64,7 +64,7 @@
     /// # Errors
     ///
     /// Gives the node's verdict where the switch was not accepted.
-    pub async fn switch(&self, preset: &str, change: &str) -> Result<Revision, String> {
+    pub async fn switch_preset(&self, preset: &str, change: &str) -> Result<Revision, String> {
         let ask =
             json!({"change": change, "expect_revision": self.revision().await, "preset": preset});
         let (_, text) = self.post("config", &ask).await;
--- a/crates/zinniahatch_lab/src/relay.rs
+++ b/crates/zinniahatch_lab/src/relay.rs
@@ -19,10 +19,10 @@
 use tokio_util::sync::CancellationToken;
 use zinniahatch_base::prelude::*;
 
-const CHUNK: usize = 16 << 10;
+const CHUNK_BYTES: usize = 16 << 10;
 /// Chunks on their way over the link in one direction of one connection.
-const CHUNKS: usize = 256;
-const CUT: u64 = u64::MAX;
+const MAX_IN_FLIGHT_CHUNKS: usize = 256;
+const CUT_EPOCH: u64 = u64::MAX;
 
 /// The state of a link, shared by its relays.
 ///
@@ -32,26 +32,26 @@
 pub struct LinkState {
     silent_below: Arc<AtomicU64>,
     opened: Arc<AtomicU64>,
-    /// Direction in which bytes are lost: a `LinkWay`, or 0.
-    lost: Arc<AtomicU64>,
+    /// Direction in which bytes are lost: a `LinkDirection`, or 0.
+    lossy_direction: Arc<AtomicU64>,
     /// Delay beyond the link's own, in ms.
-    slowed: Arc<AtomicU64>,
+    extra_delay_ms: Arc<AtomicU64>,
     reset: Arc<Notify>,
 }
 
 /// A direction of a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum LinkWay {
+pub enum LinkDirection {
     /// From whoever connects.
-    There = 1,
+    Forward = 1,
     /// Back to them.
-    Back = 2,
+    Return = 2,
 }
 
 impl LinkState {
     /// Cuts the link: what is sent is swallowed, and nothing says so.
     pub fn cut(&self) {
-        self.silent_below.store(CUT, Ordering::SeqCst);
+        self.silent_below.store(CUT_EPOCH, Ordering::SeqCst);
     }
 
     /// Heals the link for connections opened from now on; those open before stay silent.
@@ -66,14 +66,15 @@
     }
 
     /// Loses the bytes of one direction, of open and of new connections.
-    pub fn lose(&self, way: LinkWay) {
-        self.lost.store(way as u64, Ordering::SeqCst);
+    pub fn lose(&self, direction: LinkDirection) {
+        self.lossy_direction
+            .store(direction as u64, Ordering::SeqCst);
     }
 
     /// Delays bytes beyond the link's own delay.
     pub fn slow(&self, delay: Duration) {
         let millis = delay.as_millis() as u64;
-        self.slowed.store(millis, Ordering::SeqCst);
+        self.extra_delay_ms.store(millis, Ordering::SeqCst);
     }
 
     /// Closes the connections that are open now.
@@ -84,8 +85,8 @@
     /// Ends losses and delays. Connections that lost bytes are closed, since what came after the hole
     /// would be taken for the rest.
     pub fn restore(&self) {
-        self.slowed.store(0, Ordering::SeqCst);
-        if self.lost.swap(0, Ordering::SeqCst) != 0 {
+        self.extra_delay_ms.store(0, Ordering::SeqCst);
+        if self.lossy_direction.swap(0, Ordering::SeqCst) != 0 {
             self.reset_open();
         }
     }
@@ -94,8 +95,8 @@
         number < self.silent_below.load(Ordering::SeqCst)
     }
 
-    fn loses(&self, number: u64, way: LinkWay) -> bool {
-        self.is_silent(number) || self.lost.load(Ordering::SeqCst) == way as u64
+    fn loses(&self, number: u64, direction: LinkDirection) -> bool {
+        self.is_silent(number) || self.lossy_direction.load(Ordering::SeqCst) == direction as u64
     }
 }
 
@@ -160,7 +161,7 @@
 
 async fn relay(inbound: TcpStream, to: Box<str>, delay: Duration, link: LinkState) {
     let number = link.opened.fetch_add(1, Ordering::SeqCst) + 1;
-    // The handshake crosses the link there and back.
+    // The handshake crosses the link outgoing and returning.
     sleep(delay * 2).await;
     let Ok(outbound) = TcpStream::connect(&*to).await else {
         return;
@@ -169,22 +170,22 @@
     let _ = outbound.set_nodelay(true);
     let (in_read, in_write) = inbound.into_split();
     let (out_read, out_write) = outbound.into_split();
-    let there = CarriedWay {
+    let outgoing = ConnectionFlow {
         link: link.clone(),
         number,
-        way: LinkWay::There,
+        direction: LinkDirection::Forward,
     };
-    let back = CarriedWay {
-        way: LinkWay::Back,
-        ..there.clone()
+    let returning = ConnectionFlow {
+        direction: LinkDirection::Return,
+        ..outgoing.clone()
     };
-    let mut there = tokio::spawn(carry(in_read, out_write, delay, there));
-    let mut back = tokio::spawn(carry(out_read, in_write, delay, back));
-    let _guard = CarryGuard([there.abort_handle(), back.abort_handle()]);
+    let mut outgoing = tokio::spawn(forward(in_read, out_write, delay, outgoing));
+    let mut returning = tokio::spawn(forward(out_read, in_write, delay, returning));
+    let _guard = AbortOnDrop([outgoing.abort_handle(), returning.abort_handle()]);
     let ended = async {
         // A task fails only when it is aborted below.
-        let _ = (&mut there).await;
-        let _ = (&mut back).await;
+        let _ = (&mut outgoing).await;
+        let _ = (&mut returning).await;
     };
     tokio::select! {
         () = ended => {}
@@ -193,9 +194,9 @@
 }
 
 /// Ends both directions of a connection when its relay ends, however it does.
-struct CarryGuard([AbortHandle; 2]);
+struct AbortOnDrop([AbortHandle; 2]);
 
-impl Drop for CarryGuard {
+impl Drop for AbortOnDrop {
     fn drop(&mut self) {
         for handle in &self.0 {
             handle.abort();
@@ -205,28 +206,33 @@
 
 /// One direction of one connection.
 #[derive(Clone)]
-struct CarriedWay {
+struct ConnectionFlow {
     link: LinkState,
     number: u64,
-    way: LinkWay,
+    direction: LinkDirection,
 }
 
-async fn carry(
+async fn forward(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
     delay: Duration,
-    carried: CarriedWay,
+    flow: ConnectionFlow,
 ) {
-    let (sender, mut receiver) = mpsc::channel::<(tokio::time::Instant, Vec<u8>)>(CHUNKS);
-    let CarriedWay { link, number, way } = carried;
+    let (sender, mut receiver) =
+        mpsc::channel::<(tokio::time::Instant, Vec<u8>)>(MAX_IN_FLIGHT_CHUNKS);
+    let ConnectionFlow {
+        link,
+        number,
+        direction,
+    } = flow;
     let writer_link = link.clone();
     let writer = tokio::spawn(async move {
         // No connection delivers what comes after a hole; one that lost bytes stays silent.
-        let mut holed = false;
+        let mut lost_bytes = false;
         while let Some((due, bytes)) = receiver.recv().await {
             sleep_until(due).await;
-            holed |= writer_link.loses(number, way);
-            if holed {
+            lost_bytes |= writer_link.loses(number, direction);
+            if lost_bytes {
                 continue;
             }
             if to.write_all(&bytes).await.is_err() {
@@ -236,18 +242,18 @@
         // The end of a silent connection is not passed on either.
         while writer_link.is_silent(number) {
             sleep(Duration::from_secs(5)).await;
-            if writer_link.silent_below.load(Ordering::SeqCst) != CUT {
+            if writer_link.silent_below.load(Ordering::SeqCst) != CUT_EPOCH {
                 return;
             }
         }
     });
-    let mut buffer = vec![0_u8; CHUNK];
+    let mut buffer = vec![0_u8; CHUNK_BYTES];
     while let Ok(size) = from.read(&mut buffer).await {
         if size == 0 {
             break;
         }
-        let slowed = Duration::from_millis(link.slowed.load(Ordering::SeqCst));
-        let due = tokio::time::Instant::now() + delay + slowed;
+        let extra_delay = Duration::from_millis(link.extra_delay_ms.load(Ordering::SeqCst));
+        let due = tokio::time::Instant::now() + delay + extra_delay;
         if sender.send((due, buffer[..size].to_vec())).await.is_err() {
             break;
         }
--- a/crates/zinniahatch_lab/src/site.rs
+++ b/crates/zinniahatch_lab/src/site.rs
@@ -7,13 +7,13 @@
 use crate::cluster::free_addresses;
 use crate::relay::LinkState;
 use crate::relay::TcpRelay;
-use crate::stand::fatal::FatalBook;
-use crate::stand::faults::FaultSwitch;
-use crate::stand::replica::ReplicaSight;
-use crate::stand::replica::StandReplica;
-use crate::stand::replica::StreamShape;
-use crate::stand::serve::StandServer;
-use crate::stand::store::StandStore;
+use crate::test_doubles::crashing::CrashingRequests;
+use crate::test_doubles::faults::FaultSwitch;
+use crate::test_doubles::replica::FakeReplica;
+use crate::test_doubles::replica::ReplicaObservations;
+use crate::test_doubles::replica::StreamShape;
+use crate::test_doubles::serve::FakeServer;
+use crate::test_doubles::store::FakeStore;
 pub use calls::SiteLoad;
 use desired::desired_state;
 use reqwest::Client;
@@ -32,13 +32,13 @@
 /// The host of every route.
 pub const HOST: &str = "desk.test";
 /// Pause between looks at a condition.
-const LOOK: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// Looks before a test gives up; far beyond what a busy machine takes.
-const MOST_LOOKS: u32 = 3_000;
+const MAX_POLLS: u32 = 3_000;
 /// How long a caller waits.
-const PATIENCE: Duration = Duration::from_secs(20);
+const CALL_TIMEOUT: Duration = Duration::from_secs(20);
 /// The signal that asks a process to stop.
-const TERMINATE: i32 = 15;
+const SIGTERM: i32 = 15;
 /// Grace of a planned stop, in seconds.
 const GRACE_SECONDS: u64 = 8;
 
@@ -75,31 +75,31 @@
     pub addresses: Vec<Box<str>>,
     child: Option<Child>,
     /// Length of its decision log when its process was started.
-    log_before: u64,
+    log_bytes_before: u64,
     folder: PathBuf,
 }
 
 /// A replica that has ended.
 #[derive(Clone, Debug)]
 struct RetiredReplica {
-    place: usize,
+    index: usize,
     region: &'static str,
     id: Box<str>,
-    sight: ReplicaSight,
+    observations: ReplicaObservations,
 }
 
 /// A whole site; its processes end when this is dropped.
 pub struct SiteCluster {
     /// The store.
-    pub store: StandStore,
+    pub store: FakeStore,
     /// The faults of the store.
-    pub switch: FaultSwitch,
+    pub store_faults: FaultSwitch,
     /// The entry VMs.
     pub entries: Vec<SiteEntry>,
     /// The requests that end the replicas which begin them.
-    pub fatal: FatalBook,
+    pub crashing_requests: CrashingRequests,
     /// The replicas with the region of each.
-    pub replicas: Vec<(StandReplica, &'static str)>,
+    pub replicas: Vec<(FakeReplica, &'static str)>,
     /// The link to each replica, and the relay at whose address it is registered.
     links: Vec<(LinkState, TcpRelay)>,
     /// Each region's link to the store.
@@ -108,8 +108,8 @@
     retired: Vec<RetiredReplica>,
     shape: StreamShape,
     /// Whether keys that were taken away must run nowhere a while later.
-    guarded: bool,
-    server: StandServer,
+    has_accounts: bool,
+    server: FakeServer,
     regions: Vec<SiteRegion>,
     folder: PathBuf,
     keep_folder: bool,
@@ -132,13 +132,13 @@
     /// # Panics
     ///
     /// Where a process cannot be started.
-    pub async fn start_guarded(
+    pub async fn start_with_accounts(
         regions: &[SiteRegion],
         shape: StreamShape,
         accounts: &Value,
     ) -> Self {
         let mut cluster = Self::prepare(regions, shape).await;
-        cluster.guarded = true;
+        cluster.has_accounts = true;
         cluster.configure_accounts(2, accounts);
         cluster.start_entries().await;
         cluster
@@ -151,7 +151,7 @@
         for index in 0..self.entries.len() {
             self.wait_ready(index).await;
         }
-        self.wait_acquainted().await;
+        self.wait_discovered().await;
     }
 
     /// Makes everything but starts no entry VM.
@@ -160,22 +160,22 @@
     ///
     /// Where a folder cannot be made.
     pub async fn prepare(regions: &[SiteRegion], shape: StreamShape) -> Self {
-        let store = StandStore::default();
-        let switch = FaultSwitch::default();
-        let server = store.front(switch.clone()).await;
+        let store = FakeStore::default();
+        let store_faults = FaultSwitch::default();
+        let server = store.start_endpoint(store_faults.clone()).await;
         let name = format!("zinnia-site-{}-{}", std::process::id(), server.address);
         let folder = std::env::temp_dir().join(name.replace(':', "-"));
         std::fs::create_dir_all(&folder).expect("a folder can be made");
-        let fatal = FatalBook::default();
+        let crashing_requests = CrashingRequests::default();
         let mut replicas = Vec::new();
         let mut links = Vec::new();
         let mut store_links = BTreeMap::new();
         for region in regions {
-            store_links.insert(region.name, linked(&server.address).await);
+            store_links.insert(region.name, start_link(&server.address).await);
             for number in 0..region.replicas {
                 let id = format!("i-{}-{number}", region.name);
-                let replica = StandReplica::start(&id, shape, &fatal).await;
-                links.push(replica_link(&replica).await);
+                let replica = FakeReplica::start(&id, shape, &crashing_requests).await;
+                links.push(start_replica_link(&replica).await);
                 replicas.push((replica, region.name));
             }
         }
@@ -187,22 +187,22 @@
                     region: region.name,
                     addresses: free_addresses(5),
                     child: None,
-                    log_before: 0,
+                    log_bytes_before: 0,
                     folder: folder.clone(),
                 });
             }
         }
         let cluster = Self {
             store,
-            switch,
+            store_faults,
             entries,
-            fatal,
+            crashing_requests,
             replicas,
             links,
             store_links,
             retired: Vec::new(),
             shape,
-            guarded: false,
+            has_accounts: false,
             server,
             regions: regions.to_vec(),
             folder,
@@ -255,10 +255,10 @@
 
     /// Writes the entries of all replicas again, as after the return of the store from a copy, and removes those of
     /// replicas that have ended; `state` gives what each says, none where it has no entry.
-    pub fn register_again(&self, state: impl Fn(usize) -> Option<&'static str>) {
+    pub fn register_all(&self, state: impl Fn(usize) -> Option<&'static str>) {
         for key in self.store.keys("servers/") {
             let lives =
-                |(replica, _): &(StandReplica, _)| key.ends_with(&format!("/{}", replica.id));
+                |(replica, _): &(FakeReplica, _)| key.ends_with(&format!("/{}", replica.id));
             if !self.replicas.iter().any(lives) {
                 self.store.remove(&key);
             }
@@ -294,7 +294,7 @@
 
     /// Starts another replica in the place of each that has crashed; tells which.
     pub async fn replace_crashed(&mut self) -> Vec<usize> {
-        let crashed = |(replica, _): &(StandReplica, &str)| replica.ended().is_cancelled();
+        let crashed = |(replica, _): &(FakeReplica, &str)| replica.ended().is_cancelled();
         let indices: Vec<usize> = (0..self.replicas.len())
             .filter(|index| crashed(&self.replicas[*index]))
             .collect();
@@ -306,14 +306,14 @@
 
     async fn start_replica(&mut self, index: usize, id: &str) {
         let region = self.replicas[index].1;
-        let replica = StandReplica::start(id, self.shape, &self.fatal).await;
-        self.links[index] = replica_link(&replica).await;
+        let replica = FakeReplica::start(id, self.shape, &self.crashing_requests).await;
+        self.links[index] = start_replica_link(&replica).await;
         let old = std::mem::replace(&mut self.replicas[index].0, replica);
         self.retired.push(RetiredReplica {
-            place: index,
+            index: index,
             region,
             id: old.id.clone(),
-            sight: old.sight(),
+            observations: old.observations(),
         });
         drop(old);
         self.register(index, "ready");
@@ -331,7 +331,7 @@
 
     /// Writes an entry under another id at a replica's address, as it lies there when the address was
     /// given to another replica.
-    pub fn register_former(&self, index: usize, id: &str) {
+    pub fn register_stale(&self, index: usize, id: &str) {
         let (replica, region) = &self.replicas[index];
         let zone = format!("{region}-a");
         let key = format!("servers/{id}");
@@ -360,7 +360,11 @@
         for region in &self.regions {
             text += &format!("{}-a = {}\n", region.name, region.name);
         }
-        let revoke = if self.guarded { "revoke = 5s\n" } else { "" };
+        let revoke = if self.has_accounts {
+            "revoke = 5s\n"
+        } else {
+            ""
+        };
         text += &format!(
             "\n[store]\naddress = {}\n\n[bounds]\nrepeat_slack = 540\ngrace = {GRACE_SECONDS}s\n{revoke}\
              \n[log]\nlines_per_second = 1000\n",
@@ -383,7 +387,7 @@
             .append(true)
             .open(self.log_path(index))
             .expect("a log can be opened");
-        self.entries[index].log_before = log.metadata().map_or(0, |log| log.len());
+        self.entries[index].log_bytes_before = log.metadata().map_or(0, |log| log.len());
         let child = Command::new(daemon_path())
             .arg("--config")
             .arg(&settings)
@@ -463,14 +467,14 @@
     }
 
     /// Tells whether an entry VM was told to stop and ended before its program began, which heeds no signal yet.
-    pub fn ended_unheard(&mut self, index: usize) -> bool {
+    pub fn terminated_before_start(&mut self, index: usize) -> bool {
         let entry = &mut self.entries[index];
         let status = entry.child.as_mut().map(Child::try_wait);
         let Some(Ok(Some(status))) = status else {
             return false;
         };
         let log = std::fs::metadata(self.log_path(index)).map_or(0, |log| log.len());
-        status.signal() == Some(TERMINATE) && log == self.entries[index].log_before
+        status.signal() == Some(SIGTERM) && log == self.entries[index].log_bytes_before
     }
 
     /// Waits until an entry VM says that it is ready.
@@ -485,7 +489,7 @@
     }
 
     /// Waits until every entry VM knows the others.
-    async fn wait_acquainted(&self) {
+    async fn wait_discovered(&self) {
         for index in 0..self.entries.len() {
             for region in &self.regions {
                 let entries = self.entries.iter();
@@ -521,14 +525,14 @@
 }
 
 /// Starts a link without faults to an address.
-async fn linked(address: &str) -> (LinkState, TcpRelay) {
+async fn start_link(address: &str) -> (LinkState, TcpRelay) {
     let link = LinkState::default();
     let relay = TcpRelay::start(address, Duration::ZERO, link.clone()).await;
     (link, relay)
 }
 
 /// Starts a link without faults to a replica, which ends with it.
-async fn replica_link(replica: &StandReplica) -> (LinkState, TcpRelay) {
+async fn start_replica_link(replica: &FakeReplica) -> (LinkState, TcpRelay) {
     let link = LinkState::default();
     let to = replica.address.to_string();
     let ended = replica.ended().clone();
@@ -542,11 +546,11 @@
 ///
 /// Where it never does.
 pub async fn wait_until(what: &str, mut holds: impl AsyncFnMut() -> bool) {
-    for _ in 0..MOST_LOOKS {
+    for _ in 0..MAX_POLLS {
         if holds().await {
             return;
         }
-        sleep(LOOK).await;
+        sleep(POLL_INTERVAL).await;
     }
     panic!("waited in vain: {what}");
 }
--- a/crates/zinniahatch_lab/src/site/calls.rs
+++ b/crates/zinniahatch_lab/src/site/calls.rs
@@ -1,10 +1,10 @@
 //! Calls to the entry VMs of a site, and what its replicas saw of them.
 
+use super::CALL_TIMEOUT;
 use super::HOST;
-use super::PATIENCE;
 use super::SiteCluster;
-use crate::stand::limit_record::LimitRecord;
-use crate::stand::notice_record::NoticeRecord;
+use crate::test_doubles::limit_record::LimitRecord;
+use crate::test_doubles::notice_record::NoticeRecord;
 use futures_util::future::join_all;
 use reqwest::Client;
 use reqwest::RequestBuilder;
@@ -22,17 +22,17 @@
     /// Pause between the calls to one entry VM.
     pub pause: Duration,
     /// How long each waits for an answer.
-    pub patience: Duration,
+    pub timeout: Duration,
 }
 
 impl SiteCluster {
     /// Calls every entry VM until a time has passed; gives the answers that came. `tag` begins the attempts.
     pub async fn load(&self, load: &SiteLoad<'_>, tag: &str, time: Duration) -> Vec<Response> {
-        let nodes = (0..self.entries.len()).map(|node| self.load_one(node, load, tag, time));
+        let nodes = (0..self.entries.len()).map(|node| self.load_node(node, load, tag, time));
         join_all(nodes).await.into_iter().flatten().collect()
     }
 
-    async fn load_one(
+    async fn load_node(
         &self,
         node: usize,
         load: &SiteLoad<'_>,
@@ -49,8 +49,8 @@
                 break;
             }
             let attempt = format!("{tag}-{node}-{number}");
-            let call = self.call_within(node, load.path, &attempt, load.patience);
-            answers.extend(call.timeout(load.patience).send().await);
+            let call = self.call_with_timeout(node, load.path, &attempt, load.timeout);
+            answers.extend(call.timeout(load.timeout).send().await);
         }
         answers
     }
@@ -71,28 +71,28 @@
 
     /// Begins a call to an entry VM, of a caller who waits long.
     pub fn call(&self, index: usize, path: &str, attempt: &str) -> RequestBuilder {
-        self.call_within(index, path, attempt, PATIENCE)
+        self.call_with_timeout(index, path, attempt, CALL_TIMEOUT)
     }
 
     /// Begins a call to an entry VM, of a caller who waits for so long.
-    pub fn call_within(
+    pub fn call_with_timeout(
         &self,
         index: usize,
         path: &str,
         attempt: &str,
-        patience: Duration,
+        timeout: Duration,
     ) -> RequestBuilder {
         let url = format!("http://{}{path}", self.entries[index].addresses[0]);
         Client::new()
             .get(url)
             .header("host", HOST)
             .header("x-attempt-id", attempt)
-            .header("x-time-remaining", patience.as_millis().to_string())
+            .header("x-time-remaining", timeout.as_millis().to_string())
     }
 
     /// Gives the entry VM that sent each request of a caller to each replica, from the decision logs.
-    pub fn placers(&self) -> BTreeMap<(Box<str>, Box<str>), usize> {
-        let mut placers = BTreeMap::new();
+    pub fn sending_nodes(&self) -> BTreeMap<(Box<str>, Box<str>), usize> {
+        let mut sending_nodes = BTreeMap::new();
         for index in 0..self.entries.len() {
             for line in self.log(index).lines() {
                 let Ok(line) = serde_json::from_str::<Value>(line) else {
@@ -103,40 +103,43 @@
                     continue;
                 }
                 if let (Some(request), Some(replica)) = (text("request"), text("replica")) {
-                    placers.insert((request, replica), index);
+                    sending_nodes.insert((request, replica), index);
                 }
             }
         }
-        placers
+        sending_nodes
     }
 
     /// Gives what each life of a replica said of its leaving and of rests, with its place and id.
     pub fn notice_records(&self) -> Vec<(usize, Box<str>, NoticeRecord)> {
-        let lives = self.replicas.iter().enumerate();
-        let lives =
-            lives.map(|(index, (replica, _))| (index, replica.id.clone(), replica.sight().notices));
+        let running = self.replicas.iter().enumerate();
+        let running =
+            running.map(|(index, (fake, _))| (index, fake.id.clone(), fake.observations().notices));
         let ended = self.retired.iter().map(|ended| {
-            let notices = ended.sight.notices.clone();
-            (ended.place, ended.id.clone(), notices)
+            let notices = ended.observations.notices.clone();
+            (ended.index, ended.id.clone(), notices)
         });
-        ended.chain(lives).collect()
+        ended.chain(running).collect()
     }
 
     /// Gives what reached every replica that there was, by their places.
     pub fn limit_records(&self) -> Vec<(usize, LimitRecord)> {
         let living = self.replicas.iter().enumerate();
-        let living = living.map(|(index, (replica, _))| (index, replica.sight().limits));
+        let living = living.map(|(index, (replica, _))| (index, replica.observations().limits));
         let ended = self.retired.iter();
-        let ended = ended.map(|ended| (ended.place, ended.sight.limits.clone()));
+        let ended = ended.map(|ended| (ended.index, ended.observations.limits.clone()));
         living.chain(ended).collect()
     }
 
     /// Gives how often an attempt ran, over all replicas.
     pub fn runs(&self, attempt: &str) -> u32 {
-        let living = self.replicas.iter().map(|(replica, _)| replica.sight());
+        let living = self
+            .replicas
+            .iter()
+            .map(|(replica, _)| replica.observations());
         living
-            .chain(self.retired.iter().map(|ended| ended.sight.clone()))
-            .filter_map(|sight| sight.runs.get(attempt).copied())
+            .chain(self.retired.iter().map(|ended| ended.observations.clone()))
+            .filter_map(|observations| observations.runs.get(attempt).copied())
             .sum()
     }
 
@@ -145,22 +148,27 @@
         let living = self
             .replicas
             .iter()
-            .map(|(replica, place)| (*place, replica.sight()));
+            .map(|(replica, place)| (*place, replica.observations()));
         let retired = self.retired.iter();
-        let retired = retired.map(|ended| (ended.region, ended.sight.clone()));
+        let retired = retired.map(|ended| (ended.region, ended.observations.clone()));
         living
             .chain(retired)
             .filter(|(place, _)| *place != region)
-            .flat_map(|(_, sight)| sight.runs.into_keys())
+            .flat_map(|(_, observations)| observations.runs.into_keys())
             .collect()
     }
 
     /// Gives the runs of every attempt, over all replicas that there were.
     pub fn all_runs(&self) -> BTreeMap<Box<str>, u32> {
         let mut sum = BTreeMap::new();
-        let living = self.replicas.iter().map(|(replica, _)| replica.sight());
-        for sight in living.chain(self.retired.iter().map(|ended| ended.sight.clone())) {
-            for (attempt, runs) in sight.runs {
+        let living = self
+            .replicas
+            .iter()
+            .map(|(replica, _)| replica.observations());
+        for observations in
+            living.chain(self.retired.iter().map(|ended| ended.observations.clone()))
+        {
+            for (attempt, runs) in observations.runs {
                 *sum.entry(attempt).or_default() += runs;
             }
         }
--- a/crates/zinniahatch_lab/src/site_demo.rs
+++ b/crates/zinniahatch_lab/src/site_demo.rs
@@ -3,8 +3,8 @@
 use crate::site::SiteCluster;
 use crate::site::SiteRegion;
 use crate::site::wait_until;
-use crate::stand::replica::ReplicaBehaviour;
-use crate::stand::replica::StreamShape;
+use crate::test_doubles::replica::ReplicaBehaviour;
+use crate::test_doubles::replica::StreamShape;
 use futures_util::StreamExt;
 use futures_util::stream;
 use zinniahatch_base::prelude::*;
@@ -29,7 +29,7 @@
 
 /// What callers saw in one phase.
 #[derive(Debug, Default)]
-struct PhaseSight {
+struct PhaseResult {
     answered: usize,
     refused: usize,
     unknown: usize,
@@ -49,9 +49,11 @@
     let mut site = SiteCluster::start(&regions, SHAPE).await;
     println!("site: 4 entry VMs, 4 replicas, 3 regions; west has no replica of its own");
     let mut broken = phase(&site, "calm", &[0, 1, 2, 3]).await;
-    site.replicas[0].0.behave(ReplicaBehaviour::BreakAfter(3));
+    site.replicas[0]
+        .0
+        .set_behaviour(ReplicaBehaviour::BreakAfter(3));
     broken += phase(&site, "a replica breaks its streams", &[0, 1, 2, 3]).await;
-    site.replicas[0].0.behave(ReplicaBehaviour::Serve);
+    site.replicas[0].0.set_behaviour(ReplicaBehaviour::Serve);
     site.kill(2);
     broken += phase(&site, "the entry VM of south is killed", &[0, 1, 3]).await;
     site.terminate(0);
@@ -69,7 +71,7 @@
 }
 
 async fn phase(site: &SiteCluster, title: &str, entries: &[usize]) -> usize {
-    let mut sight = PhaseSight::default();
+    let mut result = PhaseResult::default();
     let calls = stream::iter(0..CALLS).map(|number| {
         let route = ROUTES[number % ROUTES.len()];
         let entry = entries[(number / ROUTES.len()) % entries.len()];
@@ -80,30 +82,30 @@
     while let Some((status, route, attempt)) = calls.next().await {
         let runs = site.runs(&attempt);
         match status {
-            Some(200) => sight.answered += 1,
-            Some(503) => sight.refused += 1,
-            _ => sight.unknown += 1,
+            Some(200) => result.answered += 1,
+            Some(503) => result.refused += 1,
+            _ => result.unknown += 1,
         }
         if status == Some(503) && runs > 0 && route == "once" {
-            sight
+            result
                 .broken
                 .push(format!("{attempt}: told not run, ran {runs} times"));
         }
         if route == "once" && runs > 1 {
-            sight.broken.push(format!("{attempt}: ran {runs} times"));
+            result.broken.push(format!("{attempt}: ran {runs} times"));
         }
     }
     println!(
         "{title}: {} answered, {} refused as not run, {} unknown, {} promises broken",
-        sight.answered,
-        sight.refused,
-        sight.unknown,
-        sight.broken.len()
+        result.answered,
+        result.refused,
+        result.unknown,
+        result.broken.len()
     );
-    for line in &sight.broken {
+    for line in &result.broken {
         println!("  {line}");
     }
-    sight.broken.len()
+    result.broken.len()
 }
 
 /// Makes a call and reads its answer to the end; none where the channel broke.
--- a/crates/zinniahatch_lab/src/soak.rs
+++ b/crates/zinniahatch_lab/src/soak.rs
@@ -14,7 +14,7 @@
 
 use crate::site::SiteCluster;
 use crate::site::SiteRegion;
-use crate::stand::replica::StreamShape;
+use crate::test_doubles::replica::StreamShape;
 use callers::CallerCrowd;
 use fatal::FatalCaller;
 use faults::FaultBoard;
--- a/crates/zinniahatch_lab/src/soak/fatal.rs
+++ b/crates/zinniahatch_lab/src/soak/fatal.rs
@@ -6,7 +6,7 @@
 use crate::site::HOST;
 use crate::site::SiteCluster;
 use crate::site::wait_until;
-use crate::stand::fatal::CallContent;
+use crate::test_doubles::crashing::RequestContent;
 use rand::RngExt;
 use rand::SeedableRng;
 use rand::rngs::StdRng;
@@ -31,15 +31,15 @@
 
 /// The caller on its way.
 pub(crate) struct FatalCaller {
-    content: CallContent,
+    content: RequestContent,
     task: JoinHandle<()>,
 }
 
 impl FatalCaller {
     /// Starts it.
     pub(crate) fn start(seed: u64, site: &SiteCluster) -> Self {
-        let content = CallContent::of_path(PATH);
-        site.fatal.add(content.clone());
+        let content = RequestContent::from_path(PATH);
+        site.crashing_requests.add(content.clone());
         let fronts = site.entries.iter().map(|entry| entry.addresses[0].clone());
         let task = tokio::spawn(repeat(seed, fronts.collect()));
         Self { content, task }
@@ -48,7 +48,7 @@
     /// Ends it and checks that every node tells it, once all is well, without many replicas more.
     pub(crate) async fn check(self, site: &mut SiteCluster, plan: &SoakPlan, book: &PromiseBook) {
         self.task.abort();
-        let before = site.fatal.ends(&self.content);
+        let before = site.crashing_requests.crashes(&self.content);
         let tries = AtomicU32::new(0);
         for index in 0..site.entries.len() {
             wait_until("a node knows the fatal request", async || {
@@ -60,7 +60,7 @@
             })
             .await;
         }
-        let late = site.fatal.ends(&self.content) - before;
+        let late = site.crashing_requests.crashes(&self.content) - before;
         let most = KNOWN_ENDS.saturating_sub(before) + LATE_ENDS;
         if late > most && !forgets(plan) {
             book.note_broken(format!(
--- a/crates/zinniahatch_lab/src/soak/faults.rs
+++ b/crates/zinniahatch_lab/src/soak/faults.rs
@@ -4,12 +4,12 @@
 use super::plan::SoakFault;
 use super::plan::SoakPlan;
 use super::promises::PromiseBook;
-use crate::relay::LinkWay;
+use crate::relay::LinkDirection;
 use crate::site::SiteCluster;
 use crate::site::wait_until;
-use crate::stand::faults::ServiceMode;
-use crate::stand::replica::ReplicaBehaviour;
-use crate::stand::store::StandCopy;
+use crate::test_doubles::faults::ServiceMode;
+use crate::test_doubles::replica::ReplicaBehaviour;
+use crate::test_doubles::store::StoreSnapshot;
 use tokio::time::sleep_until;
 use zinniahatch_base::prelude::*;
 
@@ -41,7 +41,7 @@
     /// Entry VMs that were asked to stop.
     stopping: BTreeSet<usize>,
     /// The copies from which the store comes back, by the time of their making.
-    copies: Vec<StandCopy>,
+    copies: Vec<StoreSnapshot>,
     /// Data centres that the operator has evacuated.
     evacuated: BTreeSet<&'static str>,
     /// How many faults hold each thing, so that the first to end does not mend it for the others.
@@ -107,7 +107,7 @@
             match site.ended(index) {
                 None => continue,
                 Some(true) if stopping => continue,
-                Some(_) if stopping && site.ended_unheard(index) => book.note_unheard(),
+                Some(_) if stopping && site.terminated_before_start(index) => book.note_unheard(),
                 Some(_) => {
                     book.note_broken(format!("{} ended by itself", site.entries[index].name));
                 }
@@ -161,24 +161,24 @@
                 site.terminate(index);
             }
             SoakFault::FreezeEntry(index) => site.signal(index, "-STOP"),
-            SoakFault::StoreDown => site.switch.set(ServiceMode::Down),
-            SoakFault::StoreSilent => site.switch.set(ServiceMode::Silent),
+            SoakFault::StoreDown => site.store_faults.set(ServiceMode::Down),
+            SoakFault::StoreSilent => site.store_faults.set(ServiceMode::Silent),
             SoakFault::StoreSlow(millis) => {
                 let delay = Duration::from_millis(millis);
-                site.switch.set(ServiceMode::Slow(delay));
+                site.store_faults.set(ServiceMode::Slow(delay));
             }
-            SoakFault::StoreLosesAnswers(count) => site.switch.lose_answers(count),
-            SoakFault::LeasesLapse => site.store.lapse_leases(),
-            SoakFault::HistoryGone => site.store.forget_history(),
-            SoakFault::StoreReturns => self.copies.push(site.store.copy()),
-            SoakFault::StoreCut(region) => site.store_link(region).lose(LinkWay::There),
+            SoakFault::StoreLosesAnswers(count) => site.store_faults.lose_answers(count),
+            SoakFault::LeasesLapse => site.store.expire_leases(),
+            SoakFault::HistoryGone => site.store.compact_history(),
+            SoakFault::StoreReturns => self.copies.push(site.store.snapshot()),
+            SoakFault::StoreCut(region) => site.store_link(region).lose(LinkDirection::Forward),
             SoakFault::StoreMute(region) => site.store_link(region).silence_open(),
             SoakFault::LinkSlow(index, millis) => {
                 site.link(index).slow(Duration::from_millis(millis));
             }
             SoakFault::LinkReset(index) => site.link(index).reset_open(),
-            SoakFault::LinkLosesRequests(index) => site.link(index).lose(LinkWay::There),
-            SoakFault::LinkLosesAnswers(index) => site.link(index).lose(LinkWay::Back),
+            SoakFault::LinkLosesRequests(index) => site.link(index).lose(LinkDirection::Forward),
+            SoakFault::LinkLosesAnswers(index) => site.link(index).lose(LinkDirection::Return),
             SoakFault::LinkMute(index) => site.link(index).silence_open(),
             SoakFault::ReplicaReplaced(index) => {
                 self.leaving.remove(&index);
@@ -194,14 +194,14 @@
             }
             SoakFault::ReplicaLimits(index, tenths) => {
                 let rate = f64::from(tenths) / 10.0;
-                site.replicas[index].0.name_limit(Some(rate));
+                site.replicas[index].0.set_rate_limit(Some(rate));
             }
-            SoakFault::ReplicaIll(index, illness) => site.replicas[index].0.behave(illness),
-            SoakFault::ReplicaSaysLeaving(index) => site.replicas[index].0.say_leaving(),
+            SoakFault::ReplicaIll(index, illness) => site.replicas[index].0.set_behaviour(illness),
+            SoakFault::ReplicaSaysLeaving(index) => site.replicas[index].0.announce_leaving(),
             SoakFault::ReplicaRests(index, tenths) => {
                 let replica = &site.replicas[index].0;
-                replica.ask_rest(Some(&(f64::from(tenths) / 10.0).to_string()));
-                replica.behave(ReplicaBehaviour::Shed);
+                replica.request_backoff(Some(&(f64::from(tenths) / 10.0).to_string()));
+                replica.set_behaviour(ReplicaBehaviour::Shed);
             }
             SoakFault::AddRoute => self.add_route(site),
             SoakFault::Evacuate(region) => {
@@ -221,7 +221,7 @@
             | SoakFault::StopEntry(_)
             | SoakFault::FreezeEntry(_) => self.revive_all(site).await,
             SoakFault::StoreDown | SoakFault::StoreSilent | SoakFault::StoreSlow(_) => {
-                site.switch.set(ServiceMode::Up);
+                site.store_faults.set(ServiceMode::Up);
             }
             SoakFault::StoreCut(region) => site.store_link(region).restore(),
             SoakFault::LinkSlow(index, _)
@@ -237,10 +237,12 @@
                 self.leaving.remove(&index);
                 site.register(index, "ready");
             }
-            SoakFault::ReplicaLimits(index, _) => site.replicas[index].0.name_limit(None),
+            SoakFault::ReplicaLimits(index, _) => site.replicas[index].0.set_rate_limit(None),
             SoakFault::ReplicaIll(index, _) | SoakFault::ReplicaRests(index, _) => {
-                site.replicas[index].0.ask_rest(None);
-                site.replicas[index].0.behave(ReplicaBehaviour::Serve);
+                site.replicas[index].0.request_backoff(None);
+                site.replicas[index]
+                    .0
+                    .set_behaviour(ReplicaBehaviour::Serve);
             }
             SoakFault::ReplicaSaysLeaving(index) => {
                 self.leaving.remove(&index);
@@ -266,7 +268,7 @@
     /// of replicas that have ended are gone, as they are once these were silent.
     fn bring_back(&mut self, site: &SiteCluster) {
         if let Some(copy) = self.copies.pop() {
-            site.store.come_back(&copy);
+            site.store.restore_snapshot(&copy);
         }
         site.configure(self.version, &self.added());
         for (_, region) in &site.replicas {
@@ -277,7 +279,7 @@
                 site.store.remove(&key);
             }
         }
-        site.register_again(|index| self.entry_state(index));
+        site.register_all(|index| self.entry_state(index));
     }
 
     /// Gives what the entry of a replica says now; none where it has none.
@@ -318,7 +320,7 @@
             let same = other.at == planned.at;
             touches && overlaps && !same
         });
-        let last = site.replicas[index].0.sight().last_run;
+        let last = site.replicas[index].0.observations().last_run;
         if !excused && last.is_some_and(|last| last > *since + LEAVE_TIME) {
             book.note_broken(format!(
                 "{} ran a request {:?} after it began to leave",
--- a/crates/zinniahatch_lab/src/soak/notices.rs
+++ b/crates/zinniahatch_lab/src/soak/notices.rs
@@ -18,9 +18,9 @@
     began: Instant,
     book: &PromiseBook,
 ) {
-    let placers = site.placers();
+    let sending_nodes = site.sending_nodes();
     for (place, id, record) in site.notice_records() {
-        let node_of = |attempt: &str| placers.get(&(attempt.into(), id.clone())).copied();
+        let node_of = |attempt: &str| sending_nodes.get(&(attempt.into(), id.clone())).copied();
         let excused = |node: usize, from: Instant, until: Instant| {
             plan.faults.iter().any(|planned| {
                 let end = if touches_entry(planned.fault, node) {
@@ -33,10 +33,10 @@
                 began + planned.at <= until && from <= began + end
             })
         };
-        if let Some(broken) = record.broken_leaving(DRAIN_TIME, node_of, excused) {
+        if let Some(broken) = record.leaving_violation(DRAIN_TIME, node_of, excused) {
             book.note_broken(format!("{id} leaves and got a request: {broken:?}"));
         }
-        if let Some(broken) = record.broken_rest(node_of, excused) {
+        if let Some(broken) = record.backoff_violation(node_of, excused) {
             book.note_broken(format!("{id} rests and got requests: {broken:?}"));
         }
     }
--- a/crates/zinniahatch_lab/src/soak/plan.rs
+++ b/crates/zinniahatch_lab/src/soak/plan.rs
@@ -1,7 +1,7 @@
 //! Which faults a seed draws, when they begin and how long they last.
 
 use crate::site::SiteCluster;
-use crate::stand::replica::ReplicaBehaviour;
+use crate::test_doubles::replica::ReplicaBehaviour;
 use rand::RngExt;
 use rand::SeedableRng;
 use rand::rngs::StdRng;
--- a/crates/zinniahatch_lab/src/stand.rs
+++ b/crates/zinniahatch_lab/src/test_doubles.rs
@@ -1,9 +1,9 @@
 //! Stand-ins: the platform's services and the backend servers.
 
 pub mod backend;
+pub mod crashing;
 pub mod directory;
 pub mod engine;
-pub mod fatal;
 pub mod faults;
 pub mod limit_record;
 pub mod notice_record;
--- a/crates/zinniahatch_lab/src/stand/backend.rs
+++ b/crates/zinniahatch_lab/src/test_doubles/backend.rs
@@ -30,7 +30,7 @@
 }
 
 /// One stand-in.
-pub struct StandBackend {
+pub struct FakeBackend {
     /// Its name.
     pub name: ReplicaId,
     /// Its region.
@@ -40,12 +40,12 @@
     /// Where it writes what it runs.
     pub history: HistoryLog,
     /// The right to run; as many as slots, and half as many wait inside.
-    pub room: Arc<Semaphore>,
+    pub permits: Arc<Semaphore>,
     leaving: Mutex<Option<Instant>>,
     faults: Mutex<BackendFaults>,
 }
 
-impl StandBackend {
+impl FakeBackend {
     /// Makes a stand-in.
     pub fn new(name: &str, region: &str, slots: u16, history: HistoryLog) -> Arc<Self> {
         Arc::new(Self {
@@ -53,7 +53,7 @@
             region: region.into(),
             slots,
             history,
-            room: Arc::new(Semaphore::new(usize::from(slots))),
+            permits: Arc::new(Semaphore::new(usize::from(slots))),
             leaving: Mutex::default(),
             faults: Mutex::default(),
         })
@@ -61,7 +61,11 @@
 
     /// Gives the requests running.
     pub fn running(&self) -> u16 {
-        self.slots - self.room.available_permits().min(usize::from(self.slots)) as u16
+        self.slots
+            - self
+                .permits
+                .available_permits()
+                .min(usize::from(self.slots)) as u16
     }
 
     /// Begins to leave: it still takes what comes, so that the history shows who sent it.
@@ -85,7 +89,7 @@
     }
 
     /// Takes one of the answers to lose, if any is left.
-    pub fn takes_loss(&self) -> bool {
+    pub fn take_answer_loss(&self) -> bool {
         let mut faults = lock(&self.faults);
         let lost = faults.lose_answers > 0;
         faults.lose_answers = faults.lose_answers.saturating_sub(1);
@@ -93,7 +97,7 @@
     }
 
     /// Writes an execution down.
-    pub fn note_run(&self, operation: u64, request: &str) {
+    pub fn record_execution(&self, operation: u64, request: &str) {
         let leaving_for = lock(&self.leaving).map(|at| at.elapsed());
         self.history.add_execution(ExecutionRecord {
             operation,
@@ -135,7 +139,7 @@
 }
 
 /// Breaks the connection in the middle of an answer.
-pub(crate) fn break_off(response: &mut Response) {
+pub(crate) fn abort_response(response: &mut Response) {
     let broken = futures_util::stream::once(async {
         Err::<bytes::Bytes, _>(std::io::Error::other("broken"))
     });
--- a/crates/zinniahatch_lab/src/stand/directory.rs
+++ b/crates/zinniahatch_lab/src/test_doubles/directory.rs
@@ -1,8 +1,8 @@
 //! The directory for clients and the lagging list of VMs.
 
-use crate::stand::faults::CallFate;
-use crate::stand::faults::FaultSwitch;
-use crate::stand::serve::StandServer;
+use crate::test_doubles::faults::FaultEffect;
+use crate::test_doubles::faults::FaultSwitch;
+use crate::test_doubles::serve::FakeServer;
 use salvo::Request;
 use salvo::Response;
 use salvo::Router;
@@ -25,16 +25,16 @@
 
 /// The directory and the list.
 #[derive(Clone, Default)]
-pub struct StandDirectory {
+pub struct FakeDirectory {
     entries: Arc<Mutex<StoredEntries>>,
     vms: Arc<Mutex<BTreeMap<Box<str>, ListedVm>>>,
     /// Faults of both.
-    pub switch: FaultSwitch,
+    pub faults: FaultSwitch,
 }
 
-impl StandDirectory {
+impl FakeDirectory {
     /// Starts serving.
-    pub async fn start(&self) -> StandServer {
+    pub async fn start(&self) -> FakeServer {
         let router = Router::new()
             .push(Router::with_path("entries").get(ListHandler(self.clone())))
             .push(
@@ -43,7 +43,7 @@
                     .delete(WithdrawHandler(self.clone())),
             )
             .push(Router::with_path("vms").get(VmsHandler(self.clone())));
-        StandServer::start(router).await
+        FakeServer::start(router).await
     }
 
     /// Puts a VM on the list.
@@ -68,7 +68,7 @@
     }
 
     async fn refused(&self, response: &mut Response) -> bool {
-        let refused = self.switch.fate(false).await != CallFate::Answer;
+        let refused = self.faults.effect(false).await != FaultEffect::Answer;
         if refused {
             response.status_code(StatusCode::SERVICE_UNAVAILABLE);
         }
@@ -80,7 +80,7 @@
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-struct ListHandler(StandDirectory);
+struct ListHandler(FakeDirectory);
 
 #[handler]
 impl ListHandler {
@@ -91,7 +91,7 @@
     }
 }
 
-struct PublishHandler(StandDirectory);
+struct PublishHandler(FakeDirectory);
 
 #[handler]
 impl PublishHandler {
@@ -107,7 +107,7 @@
     }
 }
 
-struct WithdrawHandler(StandDirectory);
+struct WithdrawHandler(FakeDirectory);
 
 #[handler]
 impl WithdrawHandler {
@@ -120,7 +120,7 @@
     }
 }
 
-struct VmsHandler(StandDirectory);
+struct VmsHandler(FakeDirectory);
 
 #[handler]
 impl VmsHandler {
--- a/crates/zinniahatch_lab/src/stand/engine.rs
+++ b/crates/zinniahatch_lab/src/test_doubles/engine.rs
@@ -1,12 +1,12 @@
 //! A model engine: continuous batching, a prefix cache, streams that resume and cancel, orders.
 
-use crate::stand::backend::StandBackend;
-use crate::stand::backend::header;
-use crate::stand::backend::lock;
-use crate::stand::backend::set_header;
-use crate::stand::serve::StandServer;
-use crate::stand::text::find_operation;
-use crate::stand::text::token_at;
+use crate::test_doubles::backend::FakeBackend;
+use crate::test_doubles::backend::header;
+use crate::test_doubles::backend::lock;
+use crate::test_doubles::backend::set_header;
+use crate::test_doubles::serve::FakeServer;
+use crate::test_doubles::text::find_operation;
+use crate::test_doubles::text::token_at;
 use bytes::Bytes;
 use futures_util::stream;
 use salvo::Request;
@@ -29,13 +29,13 @@
 use zinniahatch_platform::EngineLoad;
 use zinniahatch_platform::ModelOrder;
 
-const BODY_LIMIT: usize = 8 << 20;
+const MAX_BODY_BYTES: usize = 8 << 20;
 const PREFIX_BYTES: usize = 512;
 const BYTES_PER_TOKEN: u64 = 4;
 /// Events of one chunk.
-const EVENTS_AT_ONCE: u64 = 256;
+const MAX_CHUNK_EVENTS: u64 = 256;
 /// Finished runs that can still be resumed.
-const KEPT_RUNS: usize = 512;
+const MAX_RETAINED_RUNS: usize = 512;
 /// Longer than any caller waits.
 const SILENT_TIME: Duration = Duration::from_secs(300);
 
@@ -64,14 +64,14 @@
 }
 
 #[derive(Deserialize)]
-struct ChatAsk {
-    messages: Vec<ChatText>,
+struct ChatRequest {
+    messages: Vec<ChatMessage>,
     #[serde(default)]
     max_tokens: Option<u64>,
 }
 
 #[derive(Deserialize)]
-struct ChatText {
+struct ChatMessage {
     #[serde(default)]
     content: String,
 }
@@ -87,15 +87,15 @@
 }
 
 /// Runs by id, and their order.
-type KeptRuns = (BTreeMap<Box<str>, Arc<EngineRun>>, VecDeque<Box<str>>);
+type RetainedRuns = (BTreeMap<Box<str>, Arc<EngineRun>>, VecDeque<Box<str>>);
 
 /// One engine.
-pub struct StandEngine {
+pub struct FakeEngine {
     /// What it shares with other backend servers.
-    pub backend: Arc<StandBackend>,
+    pub backend: Arc<FakeBackend>,
     speed: EngineSpeed,
     checks_fencing: bool,
-    runs: Mutex<KeptRuns>,
+    runs: Mutex<RetainedRuns>,
     cache: Mutex<VecDeque<(ShortTag, u64)>>,
     events: Mutex<(u64, VecDeque<CacheEvent>)>,
     model: Mutex<ModelId>,
@@ -103,9 +103,9 @@
     orders: Mutex<Vec<(Duration, ModelOrder, bool)>>,
 }
 
-impl StandEngine {
+impl FakeEngine {
     /// Makes an engine.
-    pub fn new(backend: Arc<StandBackend>, speed: EngineSpeed, checks_fencing: bool) -> Arc<Self> {
+    pub fn new(backend: Arc<FakeBackend>, speed: EngineSpeed, checks_fencing: bool) -> Arc<Self> {
         Arc::new(Self {
             backend,
             speed,
@@ -120,7 +120,7 @@
     }
 
     /// Starts serving.
-    pub async fn start(self: &Arc<Self>) -> StandServer {
+    pub async fn start(self: &Arc<Self>) -> FakeServer {
         let share = || Arc::clone(self);
         let router = Router::new()
             .push(Router::with_path("load").get(LoadHandler(share())))
@@ -129,10 +129,10 @@
             .push(Router::with_path("v1/chat/completions").post(ChatHandler(share())))
             .push(Router::with_path("v1/requests/{id}/stream").get(ResumeHandler(share())))
             .push(Router::with_path("v1/requests/{id}/cancel").post(CancelHandler(share())));
-        StandServer::start(router).await
+        FakeServer::start(router).await
     }
 
-    /// Gives the orders received: when, which, and whether it was obeyed.
+    /// Gives the orders received: when, which, and whether it was accepted.
     pub fn orders(&self) -> Vec<(Duration, ModelOrder, bool)> {
         lock(&self.orders).clone()
     }
@@ -151,18 +151,18 @@
             .and_then(|at| cache.remove(at));
         cache.push_front((prefix, tokens));
         if known.is_none() {
-            self.note_event(prefix, tokens);
+            self.record_event(prefix, tokens);
         }
         if cache.len() > self.speed.cache
             && let Some((evicted, _)) = cache.pop_back()
         {
-            self.note_event(evicted, 0);
+            self.record_event(evicted, 0);
         }
         known.map_or(0, |(_, cached)| cached.min(tokens))
     }
 
-    fn note_event(&self, prefix: ShortTag, tokens: u64) {
-        const KEPT_EVENTS: usize = 256;
+    fn record_event(&self, prefix: ShortTag, tokens: u64) {
+        const MAX_RETAINED_EVENTS: usize = 256;
         let mut events = lock(&self.events);
         events.0 += 1;
         let number = events.0;
@@ -171,21 +171,21 @@
             prefix: prefix.to_string().into(),
             tokens,
         });
-        if events.1.len() > KEPT_EVENTS {
+        if events.1.len() > MAX_RETAINED_EVENTS {
             events.1.pop_front();
         }
     }
 
-    fn start_run(self: &Arc<Self>, id: &str, ask: &ChatAsk, resume: u64) -> Arc<EngineRun> {
-        let text: String = ask
+    fn start_run(self: &Arc<Self>, id: &str, chat: &ChatRequest, resume: u64) -> Arc<EngineRun> {
+        let text: String = chat
             .messages
             .iter()
             .map(|message| message.content.as_str())
             .collect();
         let operation = find_operation(&text).unwrap_or(0);
-        self.backend.note_run(operation, id);
+        self.backend.record_execution(operation, id);
         let prompt = text.len() as u64 / BYTES_PER_TOKEN + 1;
-        let first = ask
+        let first = chat
             .messages
             .first()
             .map(|message| message.content.as_bytes())
@@ -195,7 +195,7 @@
         ));
         let shared = first.len() as u64 / BYTES_PER_TOKEN;
         let cached = self.touch_cache(prefix, shared);
-        let total = ask.max_tokens.unwrap_or(16);
+        let total = chat.max_tokens.unwrap_or(16);
         let usage = format!(
             "data: {{\"choices\":[],\"usage\":{{\"prompt_tokens\":{prompt},\"cached_tokens\":{cached},\"completion_tokens\":{total}}}}}\n\n"
         );
@@ -210,7 +210,7 @@
         let mut runs = lock(&self.runs);
         runs.0.insert(id.into(), Arc::clone(&run));
         runs.1.push_back(id.into());
-        if runs.1.len() > KEPT_RUNS
+        if runs.1.len() > MAX_RETAINED_RUNS
             && let Some(oldest) = runs.1.pop_front()
         {
             runs.0.remove(&oldest);
@@ -224,8 +224,8 @@
 }
 
 /// Makes the tokens of a run, one at a time, at the speed that the batch allows.
-async fn generate(engine: Arc<StandEngine>, run: Arc<EngineRun>, prefill: Duration) {
-    let Ok(_room) = Arc::clone(&engine.backend.room).acquire_owned().await else {
+async fn generate(engine: Arc<FakeEngine>, run: Arc<EngineRun>, prefill: Duration) {
+    let Ok(_permit) = Arc::clone(&engine.backend.permits).acquire_owned().await else {
         return;
     };
     let mut cancelled = run.cancelled.subscribe();
@@ -277,7 +277,7 @@
             return Some((Err(std::io::Error::other("cancelled")), state));
         }
     }
-    let produced = (*state.produced.borrow()).min(state.next + EVENTS_AT_ONCE);
+    let produced = (*state.produced.borrow()).min(state.next + MAX_CHUNK_EVENTS);
     let mut events = String::new();
     while state.next < produced.min(state.run.total) {
         let token = token_at(state.run.operation, state.next);
@@ -306,7 +306,7 @@
     ))));
 }
 
-struct ChatHandler(Arc<StandEngine>);
+struct ChatHandler(Arc<FakeEngine>);
 
 #[handler]
 impl ChatHandler {
@@ -315,11 +315,11 @@
         let id = header(request, "x-request-id");
         let resume: u64 = header(request, "x-resume-from").parse().unwrap_or(0);
         let body = request
-            .payload_with_max_size(BODY_LIMIT)
+            .payload_with_max_size(MAX_BODY_BYTES)
             .await
             .cloned()
             .unwrap_or_default();
-        let Ok(ask) = serde_json::from_slice::<ChatAsk>(&body) else {
+        let Ok(chat) = serde_json::from_slice::<ChatRequest>(&body) else {
             response.status_code(StatusCode::BAD_REQUEST);
             return;
         };
@@ -327,7 +327,7 @@
         if faults.frozen {
             sleep(SILENT_TIME).await;
         }
-        let run = engine.start_run(&id, &ask, resume);
+        let run = engine.start_run(&id, &chat, resume);
         let produced = run.produced.subscribe();
         let state = RunStream {
             run,
@@ -342,7 +342,7 @@
     }
 }
 
-struct ResumeHandler(Arc<StandEngine>);
+struct ResumeHandler(Arc<FakeEngine>);
 
 #[handler]
 impl ResumeHandler {
@@ -369,7 +369,7 @@
     }
 }
 
-struct CancelHandler(Arc<StandEngine>);
+struct CancelHandler(Arc<FakeEngine>);
 
 #[handler]
 impl CancelHandler {
@@ -387,7 +387,7 @@
     }
 }
 
-struct LoadHandler(Arc<StandEngine>);
+struct LoadHandler(Arc<FakeEngine>);
 
 #[handler]
 impl LoadHandler {
@@ -403,7 +403,7 @@
     }
 }
 
-struct EventsHandler(Arc<StandEngine>);
+struct EventsHandler(Arc<FakeEngine>);
 
 #[handler]
 impl EventsHandler {
@@ -419,7 +419,7 @@
     }
 }
 
-struct OrderHandler(Arc<StandEngine>);
+struct OrderHandler(Arc<FakeEngine>);
 
 #[handler]
 impl OrderHandler {
@@ -430,9 +430,9 @@
             return;
         };
         let mut fence = lock(&engine.fence);
-        let obeyed = !engine.checks_fencing || order.fence >= *fence;
-        lock(&engine.orders).push((engine.backend.history.now(), order.clone(), obeyed));
-        if !obeyed {
+        let accepted = !engine.checks_fencing || order.fence >= *fence;
+        lock(&engine.orders).push((engine.backend.history.now(), order.clone(), accepted));
+        if !accepted {
             response.status_code(StatusCode::PRECONDITION_FAILED);
             return;
         }
--- a/crates/zinniahatch_lab/src/stand/faults.rs
+++ b/crates/zinniahatch_lab/src/test_doubles/faults.rs
@@ -7,7 +7,7 @@
 use zinniahatch_base::prelude::*;
 
 /// Longer than any client waits.
-const SILENCE: Duration = Duration::from_secs(30);
+const SILENT_TIME: Duration = Duration::from_secs(30);
 
 /// How a service behaves.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -37,7 +37,7 @@
 
 /// What a handler does with a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum CallFate {
+pub enum FaultEffect {
     /// Answer it.
     Answer,
     /// Refuse it.
@@ -58,23 +58,23 @@
     }
 
     /// Decides the fate of a call, after the delay that the mode asks for.
-    pub async fn fate(&self, write: bool) -> CallFate {
+    pub async fn effect(&self, write: bool) -> FaultEffect {
         let mode = self.lock().mode;
         match mode {
             ServiceMode::Up => {}
-            ServiceMode::Down => return CallFate::Refuse,
+            ServiceMode::Down => return FaultEffect::Refuse,
             ServiceMode::Silent => {
-                sleep(SILENCE).await;
-                return CallFate::Refuse;
+                sleep(SILENT_TIME).await;
+                return FaultEffect::Refuse;
             }
             ServiceMode::Slow(delay) => sleep(delay).await,
         }
         let mut state = self.lock();
         if write && state.lose_answers > 0 {
             state.lose_answers -= 1;
-            return CallFate::LoseAnswer;
+            return FaultEffect::LoseAnswer;
         }
-        CallFate::Answer
+        FaultEffect::Answer
     }
 
     fn lock(&self) -> std::sync::MutexGuard<'_, SwitchState> {
--- a/crates/zinniahatch_lab/src/stand/limit_record.rs
+++ b/crates/zinniahatch_lab/src/test_doubles/limit_record.rs
@@ -1,18 +1,18 @@
-//! The rate limits that a replica named, and whether what reached it kept to them.
+//! The rate limits that a replica announced, and whether what reached it kept to them.
 
 use zinniahatch_base::prelude::*;
 
 /// The span in which requests are counted.
 const WINDOW: Duration = Duration::from_secs(4);
 /// Times that what the limit allows in a window.
-const OVERRUN: f64 = 1.5;
+const OVERRUN_FACTOR: f64 = 1.5;
 /// Requests beyond that.
 const SLACK: f64 = 5.0;
 
 /// A window with more requests than the limit allows.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct BrokenWindow {
-    /// When it ended, after the limit was first named.
+    /// When it ended, after the limit was first announced.
     pub ended: Duration,
     /// Requests in it.
     pub requests: usize,
@@ -20,28 +20,28 @@
     pub allowed: f64,
 }
 
-/// The rate limits that a replica named, and the arrivals of requests.
+/// The rate limits that a replica announced, and the arrivals of requests.
 #[derive(Clone, Debug, Default)]
 pub struct LimitRecord {
     /// Each change, with its time.
-    named: Vec<(Instant, Option<RequestRate>)>,
+    announced: Vec<(Instant, Option<RequestRate>)>,
     arrivals: Vec<Instant>,
 }
 
 impl LimitRecord {
     /// Notes that a limit is named from now on, or none.
-    pub fn note_named(&mut self, rate: Option<RequestRate>, now: Instant) {
-        self.named.push((now, rate));
+    pub fn record_limit(&mut self, rate: Option<RequestRate>, now: Instant) {
+        self.announced.push((now, rate));
     }
 
     /// Notes a request.
-    pub fn note_arrival(&mut self, now: Instant) {
+    pub fn record_arrival(&mut self, now: Instant) {
         self.arrivals.push(now);
     }
 
     /// Gives the limit that is named now.
     pub fn rate(&self) -> Option<RequestRate> {
-        self.named.last().and_then(|(_, rate)| *rate)
+        self.announced.last().and_then(|(_, rate)| *rate)
     }
 
     /// Gives the requests that arrived since a moment.
@@ -50,7 +50,7 @@
     }
 
     /// Gives the most requests in any span of so long since a moment.
-    pub fn most_within(&self, span: Duration, from: Instant) -> usize {
+    pub fn max_within(&self, span: Duration, from: Instant) -> usize {
         let arrivals: Vec<&Instant> = self.arrivals.iter().filter(|at| **at >= from).collect();
         let counts = arrivals.iter().enumerate().map(|(index, end)| {
             let before = arrivals[..index].iter().rev();
@@ -69,13 +69,13 @@
         excused: impl Fn(Instant, Instant) -> bool,
     ) -> Option<BrokenWindow> {
         let mut since: Option<Instant> = None;
-        for (index, (from, rate)) in self.named.iter().enumerate() {
+        for (index, (from, rate)) in self.announced.iter().enumerate() {
             if rate.is_none() {
                 since = None;
                 continue;
             }
             let first = *since.get_or_insert(*from);
-            let until = self.named.get(index + 1).map(|(at, _)| *at);
+            let until = self.announced.get(index + 1).map(|(at, _)| *at);
             let found = self.broken_between(first, first + grace, *from, until, &excused);
             if found.is_some() {
                 return found;
@@ -84,7 +84,7 @@
         None
     }
 
-    /// Looks at the windows that end at `begin` or later, in a span in which one limit was named.
+    /// Looks at the windows that end at `begin` or later, in a span in which one limit was announced.
     fn broken_between(
         &self,
         first: Instant,
@@ -103,7 +103,7 @@
             }
             let before = self.arrivals[..index].iter().rev();
             let requests = 1 + before.take_while(|at| **at > start).count();
-            let allowed = OVERRUN * self.allowed(start, *end) + SLACK;
+            let allowed = OVERRUN_FACTOR * self.allowed(start, *end) + SLACK;
             if requests as f64 > allowed {
                 return Some(BrokenWindow {
                     ended: end.saturating_duration_since(first),
@@ -118,11 +118,11 @@
     /// Sums up what the limits that were named allow between two moments.
     fn allowed(&self, start: Instant, end: Instant) -> f64 {
         let mut sum = 0.0;
-        for (index, (from, rate)) in self.named.iter().enumerate() {
+        for (index, (from, rate)) in self.announced.iter().enumerate() {
             let Some(rate) = rate else {
                 continue;
             };
-            let until = self.named.get(index + 1).map_or(end, |(at, _)| *at);
+            let until = self.announced.get(index + 1).map_or(end, |(at, _)| *at);
             let span = until.min(end).saturating_duration_since((*from).max(start));
             sum += rate * span.as_secs_f64();
         }
--- a/crates/zinniahatch_lab/src/stand/notice_record.rs
+++ b/crates/zinniahatch_lab/src/test_doubles/notice_record.rs
@@ -3,23 +3,23 @@
 use zinniahatch_base::prelude::*;
 
 /// Time after which a node must keep to a rest that it was told of.
-const HEED_TIME: Duration = Duration::from_millis(500);
+const REACTION_TIME: Duration = Duration::from_millis(500);
 /// Requests from one node in a rest that break no promise.
-const REST_SLACK: usize = 2;
+const BACKOFF_SLACK: usize = 2;
 
 /// What an answer said.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum SaidNotice {
+enum Notice {
     Leaving,
-    Rest(Duration),
+    Backoff(Duration),
 }
 
 /// An answer that said something.
 #[derive(Clone, Debug)]
-struct SaidAnswer {
+struct SentNotice {
     at: Instant,
     attempt: Box<str>,
-    said: SaidNotice,
+    notice: Notice,
 }
 
 /// Requests that reached a replica though it had told their node otherwise.
@@ -36,38 +36,38 @@
 /// The notices of one life of a replica, and the requests that reached it.
 #[derive(Clone, Debug, Default)]
 pub struct NoticeRecord {
-    said: Vec<SaidAnswer>,
+    sent: Vec<SentNotice>,
     arrivals: Vec<(Instant, Box<str>)>,
 }
 
 impl NoticeRecord {
     /// Notes a request of a caller.
-    pub(crate) fn note_arrival(&mut self, attempt: &str, now: Instant) {
+    pub(crate) fn record_arrival(&mut self, attempt: &str, now: Instant) {
         self.arrivals.push((now, attempt.into()));
     }
 
     /// Notes an answer that said that the replica leaves.
-    pub(crate) fn note_leaving(&mut self, attempt: &str, now: Instant) {
-        self.note(attempt, SaidNotice::Leaving, now);
+    pub(crate) fn record_leaving(&mut self, attempt: &str, now: Instant) {
+        self.record(attempt, Notice::Leaving, now);
     }
 
     /// Notes an answer that asked for a rest.
-    pub(crate) fn note_rest(&mut self, attempt: &str, rest: Duration, now: Instant) {
-        self.note(attempt, SaidNotice::Rest(rest), now);
+    pub(crate) fn record_backoff(&mut self, attempt: &str, backoff: Duration, now: Instant) {
+        self.record(attempt, Notice::Backoff(backoff), now);
     }
 
-    fn note(&mut self, attempt: &str, said: SaidNotice, now: Instant) {
-        self.said.push(SaidAnswer {
+    fn record(&mut self, attempt: &str, notice: Notice, now: Instant) {
+        self.sent.push(SentNotice {
             at: now,
             attempt: attempt.into(),
-            said,
+            notice,
         });
     }
 
     /// Gives the answers that asked for a rest.
-    pub fn rests(&self) -> usize {
-        let rests = self.said.iter().map(|answer| answer.said);
-        rests.filter(|said| *said != SaidNotice::Leaving).count()
+    pub fn backoffs(&self) -> usize {
+        let notices = self.sent.iter().map(|sent| sent.notice);
+        notices.filter(|notice| *notice != Notice::Leaving).count()
     }
 
     /// Gives the requests of callers that arrived since a moment.
@@ -78,16 +78,16 @@
     /// Finds a request that came later than `bound` after its node had been told that the replica leaves.
     ///
     /// `node_of` names the node that sent an attempt; `excused` tells whether something befell it in a span.
-    pub fn broken_leaving(
+    pub fn leaving_violation(
         &self,
         bound: Duration,
         node_of: impl Fn(&str) -> Option<usize>,
         excused: impl Fn(usize, Instant, Instant) -> bool,
     ) -> Option<BrokenNotice> {
         let mut told: BTreeMap<usize, Instant> = BTreeMap::new();
-        for answer in &self.said {
-            if let (SaidNotice::Leaving, Some(node)) = (answer.said, node_of(&answer.attempt)) {
-                told.entry(node).or_insert(answer.at);
+        for sent in &self.sent {
+            if let (Notice::Leaving, Some(node)) = (sent.notice, node_of(&sent.attempt)) {
+                told.entry(node).or_insert(sent.at);
             }
         }
         self.arrivals.iter().find_map(|(at, attempt)| {
@@ -103,26 +103,26 @@
     }
 
     /// Finds a rest in which more requests than two came from the node that was asked for it.
-    pub fn broken_rest(
+    pub fn backoff_violation(
         &self,
         node_of: impl Fn(&str) -> Option<usize>,
         excused: impl Fn(usize, Instant, Instant) -> bool,
     ) -> Option<BrokenNotice> {
-        self.said.iter().find_map(|answer| {
-            let SaidNotice::Rest(rest) = answer.said else {
+        self.sent.iter().find_map(|sent| {
+            let Notice::Backoff(backoff) = sent.notice else {
                 return None;
             };
-            let node = node_of(&answer.attempt)?;
-            let (from, until) = (answer.at + HEED_TIME, answer.at + rest);
+            let node = node_of(&sent.attempt)?;
+            let (from, until) = (sent.at + REACTION_TIME, sent.at + backoff);
             let within = self
                 .arrivals
                 .iter()
                 .filter(|(at, attempt)| *at > from && *at < until && node_of(attempt) == Some(node))
-                .filter(|(at, _)| !excused(node, answer.at, *at));
+                .filter(|(at, _)| !excused(node, sent.at, *at));
             let found: Vec<Instant> = within.map(|(at, _)| *at).collect();
-            (found.len() > REST_SLACK).then_some(BrokenNotice {
+            (found.len() > BACKOFF_SLACK).then_some(BrokenNotice {
                 node,
-                after: found.last()?.saturating_duration_since(answer.at),
+                after: found.last()?.saturating_duration_since(sent.at),
                 requests: found.len(),
             })
         })
--- a/crates/zinniahatch_lab/src/stand/plain.rs
+++ b/crates/zinniahatch_lab/src/test_doubles/plain.rs
@@ -1,13 +1,13 @@
 //! A plain service.
 
-use crate::stand::backend::StandBackend;
-use crate::stand::backend::break_off;
-use crate::stand::backend::header;
-use crate::stand::backend::refuse;
-use crate::stand::backend::set_header;
-use crate::stand::serve::StandServer;
-use crate::stand::text::find_operation;
-use crate::stand::text::plain_answer;
+use crate::test_doubles::backend::FakeBackend;
+use crate::test_doubles::backend::abort_response;
+use crate::test_doubles::backend::header;
+use crate::test_doubles::backend::refuse;
+use crate::test_doubles::backend::set_header;
+use crate::test_doubles::serve::FakeServer;
+use crate::test_doubles::text::find_operation;
+use crate::test_doubles::text::plain_answer;
 use salvo::Request;
 use salvo::Response;
 use salvo::Router;
@@ -18,19 +18,19 @@
 use zinniahatch_base::prelude::*;
 use zinniahatch_platform::EngineLoad;
 
-const BODY_LIMIT: usize = 8 << 20;
+const MAX_BODY_BYTES: usize = 8 << 20;
 /// Longer than any caller waits.
 const FROZEN_TIME: Duration = Duration::from_secs(300);
 
 /// Starts a plain service whose calls take this long.
-pub async fn start_plain(backend: Arc<StandBackend>, service_time: Duration) -> StandServer {
+pub async fn start_plain(backend: Arc<FakeBackend>, service_time: Duration) -> FakeServer {
     let router = Router::new()
         .push(Router::with_path("load").get(LoadHandler(Arc::clone(&backend))))
         .push(Router::with_path("{**rest}").goal(RunHandler(backend, service_time)));
-    StandServer::start(router).await
+    FakeServer::start(router).await
 }
 
-struct LoadHandler(Arc<StandBackend>);
+struct LoadHandler(Arc<FakeBackend>);
 
 #[handler]
 impl LoadHandler {
@@ -45,7 +45,7 @@
     }
 }
 
-struct RunHandler(Arc<StandBackend>, Duration);
+struct RunHandler(Arc<FakeBackend>, Duration);
 
 #[handler]
 impl RunHandler {
@@ -53,7 +53,7 @@
         let backend = &self.0;
         let id = header(request, "x-request-id");
         let body = request
-            .payload_with_max_size(BODY_LIMIT)
+            .payload_with_max_size(MAX_BODY_BYTES)
             .await
             .cloned()
             .unwrap_or_default();
@@ -61,17 +61,17 @@
         let operation = find_operation(&uri)
             .or_else(|| find_operation(&String::from_utf8_lossy(&body)))
             .unwrap_or(0);
-        let Ok(_room) = Arc::clone(&backend.room).acquire_owned().await else {
+        let Ok(_permit) = Arc::clone(&backend.permits).acquire_owned().await else {
             return refuse(response, false);
         };
-        backend.note_run(operation, &id);
+        backend.record_execution(operation, &id);
         let faults = backend.faults();
         if faults.frozen {
             sleep(FROZEN_TIME).await;
         }
         sleep(self.1.mul_f64(faults.slow.max(1.0))).await;
-        if backend.takes_loss() {
-            return break_off(response);
+        if backend.take_answer_loss() {
+            return abort_response(response);
         }
         set_header(response, "x-request-id", &id);
         set_header(response, "content-type", "application/json");
--- a/crates/zinniahatch_lab/src/stand/replica.rs
+++ b/crates/zinniahatch_lab/src/test_doubles/replica.rs
@@ -3,8 +3,8 @@
 //! It speaks the platform's published protocol on a plain socket, so that it can break off, answer
 //! twice or stay silent at any byte.
 
-use super::fatal::CallContent;
-use super::fatal::FatalBook;
+use super::crashing::CrashingRequests;
+use super::crashing::RequestContent;
 use super::limit_record::LimitRecord;
 use super::notice_record::NoticeRecord;
 use httparse::EMPTY_HEADER;
@@ -26,7 +26,7 @@
 use zinniahatch_base::prelude::*;
 
 /// Headers of a request at most.
-const MOST_HEADERS: usize = 64;
+const MAX_HEADERS: usize = 64;
 /// Bytes read at once.
 const READ_BYTES: usize = 16 << 10;
 
@@ -50,7 +50,7 @@
 
 /// What a replica saw.
 #[derive(Clone, Debug, Default)]
-pub struct ReplicaSight {
+pub struct ReplicaObservations {
     /// Runs of each attempt.
     pub runs: BTreeMap<Box<str>, u32>,
     /// The account that each attempt was run for, where one was named.
@@ -60,7 +60,7 @@
     /// When it last began to run a request.
     pub last_run: Option<Instant>,
     /// Streams whose caller's side closed the channel before the end.
-    pub left: u32,
+    pub closed_early: u32,
     /// Requests that expected another replica.
     pub misdirected: u32,
     /// The rate limits that it named, and all requests that reached it.
@@ -70,15 +70,15 @@
 }
 
 #[derive(Debug, Default)]
-struct ReplicaState {
+struct FakeReplicaState {
     behaviour: ReplicaBehaviour,
     /// Whether its answers say that it leaves.
     leaving: bool,
     /// The name of a header of whole answers that no page names.
-    odd_header: Option<Box<str>>,
+    extra_header: Option<Box<str>>,
     /// The value of `Retry-After` of the answers that turn a request away.
-    rest: Option<Box<str>>,
-    sight: ReplicaSight,
+    backoff: Option<Box<str>>,
+    observations: ReplicaObservations,
 }
 
 /// How long a stream is.
@@ -92,37 +92,37 @@
 
 /// A running replica; it ends when this is dropped.
 #[derive(Debug)]
-pub struct StandReplica {
+pub struct FakeReplica {
     /// Its id, which a later start may bear again.
     pub id: Box<str>,
     /// When it started, in Unix milliseconds.
-    pub born: u64,
+    pub started_ms: u64,
     /// Where it listens.
     pub address: SocketAddrV4,
-    state: Arc<Mutex<ReplicaState>>,
+    state: Arc<Mutex<FakeReplicaState>>,
     ended: CancellationToken,
     task: JoinHandle<()>,
 }
 
-impl StandReplica {
+impl FakeReplica {
     /// Starts a replica on a free port; it ends when it begins a fatal request.
     ///
     /// # Panics
     ///
     /// Where no port is free.
-    pub async fn start(id: &str, shape: StreamShape, fatal: &FatalBook) -> Self {
+    pub async fn start(id: &str, shape: StreamShape, crashing: &CrashingRequests) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0")
             .await
             .expect("a port is free");
         let Ok(SocketAddr::V4(address)) = listener.local_addr() else {
             panic!("an IPv4 address was bound");
         };
-        let state = Arc::new(Mutex::new(ReplicaState::default()));
+        let state = Arc::new(Mutex::new(FakeReplicaState::default()));
         let serving = ReplicaServer {
             id: id.into(),
             shape,
             state: Arc::clone(&state),
-            fatal: fatal.clone(),
+            crashing: crashing.clone(),
             ended: CancellationToken::new(),
         };
         let ended = serving.ended.clone();
@@ -138,7 +138,7 @@
         });
         Self {
             id: id.into(),
-            born: unix_millis(),
+            started_ms: unix_millis(),
             address,
             state,
             ended,
@@ -157,36 +157,36 @@
     }
 
     /// Switches its behaviour.
-    pub fn behave(&self, behaviour: ReplicaBehaviour) {
+    pub fn set_behaviour(&self, behaviour: ReplicaBehaviour) {
         lock(&self.state).behaviour = behaviour;
     }
 
     /// Names a rate limit in every answer from now on, or none.
-    pub fn name_limit(&self, rate: Option<RequestRate>) {
+    pub fn set_rate_limit(&self, rate: Option<RequestRate>) {
         lock(&self.state)
-            .sight
+            .observations
             .limits
-            .note_named(rate, Instant::now());
+            .record_limit(rate, Instant::now());
     }
 
     /// Says in every answer from now on that it leaves.
-    pub fn say_leaving(&self) {
+    pub fn announce_leaving(&self) {
         lock(&self.state).leaving = true;
     }
 
     /// Adds a header that no page names to whole answers.
     pub fn add_header(&self, name: &str) {
-        lock(&self.state).odd_header = Some(name.into());
+        lock(&self.state).extra_header = Some(name.into());
     }
 
     /// Asks for a rest, in seconds, in every answer that turns a request away, or for none.
-    pub fn ask_rest(&self, rest: Option<&str>) {
-        lock(&self.state).rest = rest.map(Box::from);
+    pub fn request_backoff(&self, backoff: Option<&str>) {
+        lock(&self.state).backoff = backoff.map(Box::from);
     }
 
     /// Gives what it saw so far.
-    pub fn sight(&self) -> ReplicaSight {
-        lock(&self.state).sight.clone()
+    pub fn observations(&self) -> ReplicaObservations {
+        lock(&self.state).observations.clone()
     }
 
     /// Gives its entry in the platform's store.
@@ -198,7 +198,7 @@
     pub fn entry_at(&self, address: &str, service: &str, zone: &str, state: &str) -> String {
         serde_json::json!({"service": service, "address": address,
             "zone": zone, "version": "v1", "slots": 8, "state": state, "cold_left_ms": 0,
-            "sequence": 1, "born": self.born})
+            "sequence": 1, "born": self.started_ms})
         .to_string()
     }
 }
@@ -208,13 +208,13 @@
     since.map_or(0, |since| since.as_millis() as u64)
 }
 
-impl Drop for StandReplica {
+impl Drop for FakeReplica {
     fn drop(&mut self) {
         self.task.abort();
     }
 }
 
-fn lock(state: &Mutex<ReplicaState>) -> MutexGuard<'_, ReplicaState> {
+fn lock(state: &Mutex<FakeReplicaState>) -> MutexGuard<'_, FakeReplicaState> {
     state.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
@@ -222,14 +222,14 @@
 struct ReplicaServer {
     id: Box<str>,
     shape: StreamShape,
-    state: Arc<Mutex<ReplicaState>>,
-    fatal: FatalBook,
+    state: Arc<Mutex<FakeReplicaState>>,
+    crashing: CrashingRequests,
     ended: CancellationToken,
 }
 
 /// A request as the replica reads it.
-struct ReplicaCall {
-    content: CallContent,
+struct ReplicaRequest {
+    content: RequestContent,
     attempt: Box<str>,
     /// The account that asks, as the entry VM names it.
     account: Option<Box<str>>,
@@ -240,17 +240,20 @@
 impl ReplicaServer {
     async fn run(self, mut stream: TcpStream) {
         let mut buffer = Vec::new();
-        while let Some(call) = read_call(&mut stream, &mut buffer).await {
-            if !self.answer(&mut stream, &call).await {
+        while let Some(request) = read_request(&mut stream, &mut buffer).await {
+            if !self.answer(&mut stream, &request).await {
                 return;
             }
         }
     }
 
     /// Answers a request; tells whether the channel goes on.
-    async fn answer(&self, stream: &mut TcpStream, call: &ReplicaCall) -> bool {
-        lock(&self.state).sight.limits.note_arrival(Instant::now());
-        if &*call.content.path == "/health" {
+    async fn answer(&self, stream: &mut TcpStream, request: &ReplicaRequest) -> bool {
+        lock(&self.state)
+            .observations
+            .limits
+            .record_arrival(Instant::now());
+        if &*request.content.path == "/health" {
             let head = format!(
                 "HTTP/1.1 200 OK\r\nX-Instance-Id: {}\r\n{}{}Content-Length: 0\r\n\r\n",
                 self.id,
@@ -259,52 +262,60 @@
             );
             return stream.write_all(head.as_bytes()).await.is_ok();
         }
-        let misdirected = call
+        let misdirected = request
             .expected
             .as_deref()
             .is_some_and(|expected| expected != &*self.id);
         if misdirected {
-            lock(&self.state).sight.misdirected += 1;
-            return self.refuse(stream, call, "421 Misdirected Request").await;
+            lock(&self.state).observations.misdirected += 1;
+            return self
+                .refuse(stream, request, "421 Misdirected Request")
+                .await;
         }
         let behaviour = {
             let mut state = lock(&self.state);
-            let notices = &mut state.sight.notices;
-            notices.note_arrival(&call.attempt, Instant::now());
+            let notices = &mut state.observations.notices;
+            notices.record_arrival(&request.attempt, Instant::now());
             state.behaviour
         };
         if behaviour == ReplicaBehaviour::Shed {
-            return self.refuse(stream, call, "503 Service Unavailable").await;
+            return self
+                .refuse(stream, request, "503 Service Unavailable")
+                .await;
         }
         if behaviour == ReplicaBehaviour::Mute {
             std::future::pending::<()>().await;
         }
         {
             let mut state = lock(&self.state);
-            *state.sight.runs.entry(call.attempt.clone()).or_default() += 1;
-            state.sight.last_run = Some(Instant::now());
-            state.sight.credentials += u32::from(!call.content.caller.is_empty());
-            if let Some(account) = &call.account {
-                let accounts = &mut state.sight.accounts;
-                accounts.insert(call.attempt.clone(), account.clone());
+            *state
+                .observations
+                .runs
+                .entry(request.attempt.clone())
+                .or_default() += 1;
+            state.observations.last_run = Some(Instant::now());
+            state.observations.credentials += u32::from(!request.content.caller.is_empty());
+            if let Some(account) = &request.account {
+                let accounts = &mut state.observations.accounts;
+                accounts.insert(request.attempt.clone(), account.clone());
             }
         }
-        if self.fatal.note_begun(&call.content) {
-            return self.end_under(stream, call).await;
+        if self.crashing.count_crash(&request.content) {
+            return self.crash_during(stream, request).await;
         }
         match behaviour {
             ReplicaBehaviour::LoseAnswer => false,
-            ReplicaBehaviour::Fail => self.plain(stream, call, "500 Internal Error").await,
-            _ if call.content.path.contains("/stream/") => {
-                self.events(stream, call, behaviour).await
+            ReplicaBehaviour::Fail => self.plain(stream, request, "500 Internal Error").await,
+            _ if request.content.path.contains("/stream/") => {
+                self.events(stream, request, behaviour).await
             }
-            _ => self.plain(stream, call, "200 OK").await,
+            _ => self.plain(stream, request, "200 OK").await,
         }
     }
 
     /// Gives the header that names the rate limit; nothing while there is none.
     fn limit_line(&self) -> String {
-        let rate = lock(&self.state).sight.limits.rate();
+        let rate = lock(&self.state).observations.limits.rate();
         rate.map_or_else(String::new, |rate| format!("Server-Limit: {rate}\r\n"))
     }
 
@@ -314,71 +325,73 @@
         if !state.leaving {
             return "";
         }
-        let notices = &mut state.sight.notices;
-        notices.note_leaving(attempt, Instant::now());
+        let notices = &mut state.observations.notices;
+        notices.record_leaving(attempt, Instant::now());
         "Server-Leaving: 1\r\n"
     }
 
     /// Gives a header that no page names; nothing while it has none.
-    fn odd_line(&self) -> String {
-        let name = lock(&self.state).odd_header.clone();
+    fn extra_header_line(&self) -> String {
+        let name = lock(&self.state).extra_header.clone();
         name.map_or_else(String::new, |name| format!("{name}: 1\r\n"))
     }
 
     /// Gives the header that asks for a rest; nothing while it asks for none.
-    fn rest_line(&self, attempt: &str) -> String {
+    fn backoff_line(&self, attempt: &str) -> String {
         let mut state = lock(&self.state);
-        let Some(rest) = state.rest.clone() else {
+        let Some(backoff) = state.backoff.clone() else {
             return String::new();
         };
-        let asked = rest.parse().ok();
-        if let Some(asked) = asked.and_then(|seconds| Duration::try_from_secs_f64(seconds).ok()) {
-            let notices = &mut state.sight.notices;
-            notices.note_rest(attempt, asked, Instant::now());
+        let duration = backoff.parse().ok();
+        if let Some(duration) =
+            duration.and_then(|seconds| Duration::try_from_secs_f64(seconds).ok())
+        {
+            let notices = &mut state.observations.notices;
+            notices.record_backoff(attempt, duration, Instant::now());
         }
-        format!("Retry-After: {rest}\r\n")
+        format!("Retry-After: {backoff}\r\n")
     }
 
-    fn head(&self, call: &ReplicaCall, status: &str) -> String {
+    fn head(&self, request: &ReplicaRequest, status: &str) -> String {
         format!(
             "HTTP/1.1 {status}\r\nX-Attempt-Id: {}\r\nKeep-Alive: timeout=5\r\n{}{}",
-            call.attempt,
+            request.attempt,
             self.limit_line(),
-            self.leaving_line(&call.attempt)
+            self.leaving_line(&request.attempt)
         )
     }
 
-    async fn refuse(&self, stream: &mut TcpStream, call: &ReplicaCall, status: &str) -> bool {
-        let rest = if status.starts_with("503") {
-            self.rest_line(&call.attempt)
+    async fn refuse(&self, stream: &mut TcpStream, request: &ReplicaRequest, status: &str) -> bool {
+        let backoff = if status.starts_with("503") {
+            self.backoff_line(&request.attempt)
         } else {
             String::new()
         };
         let text = format!(
-            "{}{rest}X-Not-Executed: 1\r\nX-Instance-Id: {}\r\nContent-Length: 0\r\n\r\n",
-            self.head(call, status),
+            "{}{backoff}X-Not-Executed: 1\r\nX-Instance-Id: {}\r\nContent-Length: 0\r\n\r\n",
+            self.head(request, status),
             self.id
         );
         stream.write_all(text.as_bytes()).await.is_ok()
     }
 
-    async fn plain(&self, stream: &mut TcpStream, call: &ReplicaCall, status: &str) -> bool {
-        let body = format!("{}@{}", call.attempt, self.id);
+    async fn plain(&self, stream: &mut TcpStream, request: &ReplicaRequest, status: &str) -> bool {
+        let body = format!("{}@{}", request.attempt, self.id);
         let text = format!(
             "{}X-Server-Seal: {}\r\nX-Server-Load: 1,0,8\r\n{}Content-Length: {}\r\n\r\n{body}",
-            self.head(call, status),
+            self.head(request, status),
             self.id,
-            self.odd_line(),
+            self.extra_header_line(),
             body.len()
         );
         stream.write_all(text.as_bytes()).await.is_ok()
     }
 
     /// Begins a stream and ends in the middle of it, with all others that run.
-    async fn end_under(&self, stream: &mut TcpStream, call: &ReplicaCall) -> bool {
+    async fn crash_during(&self, stream: &mut TcpStream, request: &ReplicaRequest) -> bool {
         let head = format!(
             "{}X-Server-Seal: {}\r\nTransfer-Encoding: chunked\r\n\r\n",
-            self.head(call, "200 OK"),
+            self.head(request, "200 OK"),
             self.id
         );
         // The end follows in any case.
@@ -391,25 +404,25 @@
     async fn events(
         &self,
         stream: &mut TcpStream,
-        call: &ReplicaCall,
+        request: &ReplicaRequest,
         behaviour: ReplicaBehaviour,
     ) -> bool {
         let head = format!(
             "{}X-Server-Seal: {}\r\nContent-Type: text/event-stream\r\n\
              Transfer-Encoding: chunked\r\n\r\n",
-            self.head(call, "200 OK"),
+            self.head(request, "200 OK"),
             self.id
         );
         if stream.write_all(head.as_bytes()).await.is_err() {
             return false;
         }
-        for id in call.last_event + 1..=self.shape.events {
+        for id in request.last_event + 1..=self.shape.events {
             if !self.pause(stream).await {
-                lock(&self.state).sight.left += 1;
+                lock(&self.state).observations.closed_early += 1;
                 return false;
             }
-            let event = format!("id: {id}\ndata: {}\n\n", call.attempt);
-            if behaviour == ReplicaBehaviour::BreakAfter(id - call.last_event - 1) {
+            let event = format!("id: {id}\ndata: {}\n\n", request.attempt);
+            if behaviour == ReplicaBehaviour::BreakAfter(id - request.last_event - 1) {
                 let torn = &event[..event.len() / 2];
                 let chunk = format!("{:x}\r\n{torn}\r\n", torn.len());
                 // The break itself is the point; whether its bytes arrive does not matter.
@@ -418,7 +431,7 @@
             }
             let chunk = format!("{:x}\r\n{event}\r\n", event.len());
             if stream.write_all(chunk.as_bytes()).await.is_err() {
-                lock(&self.state).sight.left += 1;
+                lock(&self.state).observations.closed_early += 1;
                 return false;
             }
         }
@@ -435,15 +448,15 @@
     }
 }
 
-async fn read_call(stream: &mut TcpStream, buffer: &mut Vec<u8>) -> Option<ReplicaCall> {
+async fn read_request(stream: &mut TcpStream, buffer: &mut Vec<u8>) -> Option<ReplicaRequest> {
     loop {
-        if let Some((mut call, used, body)) = parse_call(buffer) {
+        if let Some((mut request, used, body)) = parse_request(buffer) {
             while buffer.len() < used + body {
                 read_some(stream, buffer).await?;
             }
-            call.content.body = buffer[used..used + body].to_vec();
+            request.content.body = buffer[used..used + body].to_vec();
             buffer.drain(..used + body);
-            return Some(call);
+            return Some(request);
         }
         read_some(stream, buffer).await?;
     }
@@ -460,21 +473,21 @@
     Some(())
 }
 
-fn parse_call(buffer: &[u8]) -> Option<(ReplicaCall, usize, usize)> {
-    let mut lines = [EMPTY_HEADER; MOST_HEADERS];
-    let mut request = httparse::Request::new(&mut lines);
-    let Ok(httparse::Status::Complete(used)) = request.parse(buffer) else {
+fn parse_request(buffer: &[u8]) -> Option<(ReplicaRequest, usize, usize)> {
+    let mut lines = [EMPTY_HEADER; MAX_HEADERS];
+    let mut parsed = httparse::Request::new(&mut lines);
+    let Ok(httparse::Status::Complete(used)) = parsed.parse(buffer) else {
         return None;
     };
     let text = |name: &str| {
-        let mut headers = request.headers.iter();
+        let mut headers = parsed.headers.iter();
         let header = headers.find(|header| header.name.eq_ignore_ascii_case(name))?;
         std::str::from_utf8(header.value).ok().map(Box::<str>::from)
     };
     let number = |name: &str| text(name).and_then(|value| value.parse::<u32>().ok());
-    let call = ReplicaCall {
-        content: CallContent {
-            path: request.path.unwrap_or_default().into(),
+    let request = ReplicaRequest {
+        content: RequestContent {
+            path: parsed.path.unwrap_or_default().into(),
             caller: text("authorization").unwrap_or_default(),
             body: Vec::new(),
         },
@@ -484,5 +497,5 @@
         last_event: number("last-event-id").unwrap_or(0),
     };
     let body = number("content-length").unwrap_or(0) as usize;
-    Some((call, used, body))
+    Some((request, used, body))
 }
--- a/crates/zinniahatch_lab/src/stand/serve.rs
+++ b/crates/zinniahatch_lab/src/test_doubles/serve.rs
@@ -7,13 +7,13 @@
 use tokio::task::JoinHandle;
 
 /// A running stand-in; it ends when this is dropped.
-pub struct StandServer {
+pub struct FakeServer {
     /// Its address, `IP:port`.
     pub address: Box<str>,
     task: JoinHandle<()>,
 }
 
-impl StandServer {
+impl FakeServer {
     /// Serves a router on a free port of the loopback interface.
     ///
     /// # Panics
@@ -45,7 +45,7 @@
     }
 }
 
-impl Drop for StandServer {
+impl Drop for FakeServer {
     fn drop(&mut self) {
         self.task.abort();
     }
--- a/crates/zinniahatch_lab/src/stand/store.rs
+++ b/crates/zinniahatch_lab/src/test_doubles/store.rs
@@ -3,21 +3,21 @@
 //! It speaks the platform's published protocol, so that tests drive the real programs through the
 //! real adapter.
 
-mod front;
+mod endpoint;
 mod wire;
 
-use crate::stand::faults::FaultSwitch;
-use crate::stand::serve::StandServer;
+use crate::test_doubles::faults::FaultSwitch;
+use crate::test_doubles::serve::FakeServer;
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD;
-use front::CommitHandler;
-use front::EndHandler;
-use front::FrontHandler;
-use front::KeepHandler;
-use front::KeyHandler;
-use front::LeaseHandler;
-use front::RangeHandler;
-use front::WatchHandler;
+use endpoint::EndpointHandler;
+use endpoint::KeyHandler;
+use endpoint::LeaseHandler;
+use endpoint::RangeHandler;
+use endpoint::RenewHandler;
+use endpoint::RevokeHandler;
+use endpoint::TransactionHandler;
+use endpoint::WatchHandler;
 use salvo::Router;
 use salvo::http::StatusCode;
 use std::sync::Arc;
@@ -27,21 +27,21 @@
 use std::sync::atomic::AtomicU64;
 use std::sync::atomic::Ordering;
 use tokio::sync::Notify;
-use wire::CommitAsk;
 use wire::EventBody;
 use wire::EventsBody;
 use wire::ItemBody;
 use wire::RemovedBody;
+use wire::TransactionRequest;
 use wire::item_body;
 use zinniahatch_base::prelude::*;
 
 /// Largest value.
-const VALUE_LIMIT: usize = 1 << 20;
+const MAX_VALUE_BYTES: usize = 1 << 20;
 /// Entries of one transaction at most.
-const COMMIT_ENTRIES: usize = 32;
+const MAX_TRANSACTION_ENTRIES: usize = 32;
 
 #[derive(Clone, Debug)]
-struct StandValue {
+struct StoredValue {
     value: Box<str>,
     revision: u64,
     created: u64,
@@ -49,49 +49,49 @@
 }
 
 #[derive(Clone, Debug)]
-struct StandChange {
+struct StoredChange {
     key: Box<str>,
     revision: u64,
     /// None where the key was removed.
-    value: Option<StandValue>,
+    value: Option<StoredValue>,
 }
 
 #[derive(Clone, Debug, Default)]
-struct StandData {
+struct StoreData {
     /// How often it has come back from a copy.
     era: u64,
     revision: u64,
-    values: BTreeMap<Box<str>, StandValue>,
+    values: BTreeMap<Box<str>, StoredValue>,
     leases: BTreeMap<u64, (Instant, Duration)>,
-    history: Vec<StandChange>,
+    history: Vec<StoredChange>,
     /// Revision up to which the history is dropped.
-    forgotten: u64,
+    compacted: u64,
 }
 
-impl StandData {
+impl StoreData {
     fn write(&mut self, key: &str, value: Box<str>, lease: u64) {
         let created = self
             .values
             .get(key)
             .map_or(self.revision, |old| old.created);
-        let value = StandValue {
+        let value = StoredValue {
             value,
             revision: self.revision,
             created,
             lease,
         };
         self.values.insert(key.into(), value.clone());
-        self.note(key, Some(value));
+        self.record(key, Some(value));
     }
 
     fn remove(&mut self, key: &str) {
         if self.values.remove(key).is_some() {
-            self.note(key, None);
+            self.record(key, None);
         }
     }
 
-    fn note(&mut self, key: &str, value: Option<StandValue>) {
-        self.history.push(StandChange {
+    fn record(&mut self, key: &str, value: Option<StoredValue>) {
+        self.history.push(StoredChange {
             key: key.into(),
             revision: self.revision,
             value,
@@ -105,21 +105,21 @@
 
 /// A copy of the whole store, from which it may come back.
 #[derive(Clone, Debug)]
-pub struct StandCopy(StandData);
+pub struct StoreSnapshot(StoreData);
 
 /// The store's state, shared by its fronts.
 #[derive(Clone, Default)]
-pub struct StandStore {
-    data: Arc<Mutex<StandData>>,
+pub struct FakeStore {
+    data: Arc<Mutex<StoreData>>,
     changed: Arc<Notify>,
     calls: Arc<AtomicU64>,
     writes: Arc<AtomicU64>,
 }
 
-impl StandStore {
+impl FakeStore {
     /// Opens a front: an address with its own faults, such as one region's way to the store.
-    pub async fn front(&self, switch: FaultSwitch) -> StandServer {
-        let share = || FrontHandler {
+    pub async fn start_endpoint(&self, switch: FaultSwitch) -> FakeServer {
+        let share = || EndpointHandler {
             store: self.clone(),
             switch: switch.clone(),
         };
@@ -127,11 +127,11 @@
             .push(Router::with_path("kv-key").get(KeyHandler(share())))
             .push(Router::with_path("kv-range").get(RangeHandler(share())))
             .push(Router::with_path("kv-watch").get(WatchHandler(share())))
-            .push(Router::with_path("kv-txn").post(CommitHandler(share())))
+            .push(Router::with_path("kv-txn").post(TransactionHandler(share())))
             .push(Router::with_path("kv-lease").post(LeaseHandler(share())))
-            .push(Router::with_path("kv-keep/{id}").post(KeepHandler(share())))
-            .push(Router::with_path("kv-lease-end/{id}").delete(EndHandler(share())));
-        StandServer::start(router).await
+            .push(Router::with_path("kv-keep/{id}").post(RenewHandler(share())))
+            .push(Router::with_path("kv-lease-end/{id}").delete(RevokeHandler(share())));
+        FakeServer::start(router).await
     }
 
     /// Gives the calls so far, and how many of them were writes.
@@ -143,16 +143,16 @@
     }
 
     /// Lets every lease lapse now.
-    pub fn lapse_leases(&self) {
+    pub fn expire_leases(&self) {
         self.lock().leases.clear();
-        self.drop_lapsed();
+        self.drop_expired();
     }
 
     /// Drops the history: watches from before it get 410.
-    pub fn forget_history(&self) {
+    pub fn compact_history(&self) {
         let mut data = self.lock();
         data.revision += 1;
-        data.forgotten = data.revision;
+        data.compacted = data.revision;
         data.history.clear();
         drop(data);
         self.changed.notify_waiters();
@@ -178,19 +178,19 @@
 
     /// Gives a value, for tests.
     pub fn read(&self, key: &str) -> Option<Box<str>> {
-        self.drop_lapsed();
+        self.drop_expired();
         self.lock().values.get(key).map(|value| value.value.clone())
     }
 
     /// Makes a copy, from which the store may come back later.
-    pub fn copy(&self) -> StandCopy {
-        self.drop_lapsed();
-        StandCopy(self.lock().clone())
+    pub fn snapshot(&self) -> StoreSnapshot {
+        self.drop_expired();
+        StoreSnapshot(self.lock().clone())
     }
 
     /// Comes back from a copy: what was written since is gone, leases too, and revisions go back. The leases of the
     /// copy run anew.
-    pub fn come_back(&self, copy: &StandCopy) {
+    pub fn restore_snapshot(&self, copy: &StoreSnapshot) {
         let mut data = self.lock();
         let era = data.era + 1;
         *data = copy.0.clone();
@@ -238,11 +238,11 @@
         self.changed.notify_waiters();
     }
 
-    fn lock(&self) -> MutexGuard<'_, StandData> {
+    fn lock(&self) -> MutexGuard<'_, StoreData> {
         self.data.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn drop_lapsed(&self) {
+    fn drop_expired(&self) {
         let mut data = self.lock();
         let now = Instant::now();
         data.leases
@@ -267,7 +267,7 @@
     /// Gives the changes below a prefix after a revision; none where they were dropped.
     fn events(&self, prefix: &str, after: u64) -> Option<EventsBody> {
         let data = self.lock();
-        if after < data.forgotten || after > data.revision {
+        if after < data.compacted || after > data.revision {
             return None;
         }
         let events = data
@@ -290,52 +290,52 @@
     }
 }
 
-enum CommitRefusal {
+enum TransactionError {
     Status(StatusCode),
     Conflict(Vec<ItemBody>),
 }
 
-impl StandStore {
-    fn commit(&self, ask: CommitAsk) -> Result<u64, CommitRefusal> {
-        let entries = ask.expected_rev.len() + ask.set_keys.len() + ask.remove.len();
-        if entries > COMMIT_ENTRIES {
-            return Err(CommitRefusal::Status(StatusCode::BAD_REQUEST));
+impl FakeStore {
+    fn execute(&self, request: TransactionRequest) -> Result<u64, TransactionError> {
+        let entries = request.expected_rev.len() + request.set_keys.len() + request.remove.len();
+        if entries > MAX_TRANSACTION_ENTRIES {
+            return Err(TransactionError::Status(StatusCode::BAD_REQUEST));
         }
         let mut sets = Vec::new();
-        for set in ask.set_keys {
+        for set in request.set_keys {
             let decoded = STANDARD.decode(set.value.as_bytes()).ok();
             let text = decoded.and_then(|bytes| String::from_utf8(bytes).ok());
             let Some(text) = text else {
-                return Err(CommitRefusal::Status(StatusCode::BAD_REQUEST));
+                return Err(TransactionError::Status(StatusCode::BAD_REQUEST));
             };
-            if text.len() > VALUE_LIMIT {
-                return Err(CommitRefusal::Status(StatusCode::PAYLOAD_TOO_LARGE));
+            if text.len() > MAX_VALUE_BYTES {
+                return Err(TransactionError::Status(StatusCode::PAYLOAD_TOO_LARGE));
             }
             sets.push((set.key, text, set.lease));
         }
         let mut data = self.lock();
-        let differs = ask
+        let differs = request
             .expected_rev
             .iter()
             .any(|expected| data.revision_of(&expected.key) != expected.revision);
         if differs {
-            let current = ask.expected_rev.iter().filter_map(|expected| {
+            let current = request.expected_rev.iter().filter_map(|expected| {
                 let value = data.values.get(&expected.key)?;
                 Some(item_body(&expected.key, value))
             });
-            return Err(CommitRefusal::Conflict(current.collect()));
+            return Err(TransactionError::Conflict(current.collect()));
         }
         let gone = sets
             .iter()
             .any(|(_, _, lease)| *lease != 0 && !data.leases.contains_key(lease));
         if gone {
-            return Err(CommitRefusal::Status(StatusCode::NOT_FOUND));
+            return Err(TransactionError::Status(StatusCode::NOT_FOUND));
         }
         data.revision += 1;
         for (key, text, lease) in sets {
             data.write(&key, text.into(), lease);
         }
-        for key in ask.remove {
+        for key in request.remove {
             data.remove(&key);
         }
         let revision = data.revision;
--- a/crates/zinniahatch_lab/src/stand/store/front.rs
+++ b/crates/zinniahatch_lab/src/test_doubles/store/endpoint.rs
@@ -1,18 +1,18 @@
 //! The store's calls over HTTP, with the faults of one front.
 
-use super::CommitRefusal;
-use super::StandStore;
-use super::wire::CommitAsk;
+use super::FakeStore;
+use super::TransactionError;
 use super::wire::ItemBody;
 use super::wire::ItemsBody;
-use super::wire::KeptBody;
-use super::wire::LeaseAsk;
 use super::wire::LeaseBody;
+use super::wire::LeaseRequest;
 use super::wire::PageBody;
+use super::wire::RenewedBody;
 use super::wire::RevisionBody;
+use super::wire::TransactionRequest;
 use super::wire::item_body;
-use crate::stand::faults::CallFate;
-use crate::stand::faults::FaultSwitch;
+use crate::test_doubles::faults::FaultEffect;
+use crate::test_doubles::faults::FaultSwitch;
 use salvo::Request;
 use salvo::Response;
 use salvo::handler;
@@ -24,43 +24,43 @@
 use zinniahatch_base::prelude::*;
 
 /// Largest body: a value as text, and what stands around it.
-const BODY_LIMIT: usize = 2 << 20;
+const MAX_BODY_BYTES: usize = 2 << 20;
 /// Header by which each answer says how often the store has come back from a copy.
-const ERA: &str = "store-era";
+const ERA_HEADER: &str = "store-era";
 /// Items of one page; few, so that tests meet more than one.
 const PAGE_ITEMS: usize = 50;
 
 #[derive(Clone)]
-pub(super) struct FrontHandler {
-    pub(super) store: StandStore,
+pub(super) struct EndpointHandler {
+    pub(super) store: FakeStore,
     pub(super) switch: FaultSwitch,
 }
 
-impl FrontHandler {
-    /// Counts the call and decides its fate; `None` where it was refused.
-    async fn begin(&self, write: bool, response: &mut Response) -> Option<CallFate> {
+impl EndpointHandler {
+    /// Counts the call and decides its effect; `None` where it was refused.
+    async fn begin(&self, write: bool, response: &mut Response) -> Option<FaultEffect> {
         self.store.calls.fetch_add(1, Ordering::Relaxed);
         self.store
             .writes
             .fetch_add(u64::from(write), Ordering::Relaxed);
-        let fate = self.switch.fate(write).await;
+        let effect = self.switch.effect(write).await;
         let era = self.store.era().to_string();
         // A number always is a header's value.
-        let _ = response.add_header(ERA, era, true);
-        if fate == CallFate::Refuse {
+        let _ = response.add_header(ERA_HEADER, era, true);
+        if effect == FaultEffect::Refuse {
             response.status_code(StatusCode::SERVICE_UNAVAILABLE);
             return None;
         }
-        self.store.drop_lapsed();
-        Some(fate)
+        self.store.drop_expired();
+        Some(effect)
     }
 }
 
 /// Ends a call: with its answer, or with a broken connection after it took effect.
-fn end(fate: CallFate, response: &mut Response, body: impl Serialize + Send) {
-    match fate {
-        CallFate::Answer => response.render(Json(body)),
-        CallFate::LoseAnswer | CallFate::Refuse => {
+fn finish(effect: FaultEffect, response: &mut Response, body: impl Serialize + Send) {
+    match effect {
+        FaultEffect::Answer => response.render(Json(body)),
+        FaultEffect::LoseAnswer | FaultEffect::Refuse => {
             let broken = futures_util::stream::once(async {
                 Err::<bytes::Bytes, _>(std::io::Error::other("lost"))
             });
@@ -69,12 +69,12 @@
     }
 }
 
-pub(super) struct KeyHandler(pub(super) FrontHandler);
+pub(super) struct KeyHandler(pub(super) EndpointHandler);
 
 #[handler]
 impl KeyHandler {
     async fn handle(&self, request: &mut Request, response: &mut Response) {
-        let Some(fate) = self.0.begin(false, response).await else {
+        let Some(effect) = self.0.begin(false, response).await else {
             return;
         };
         let key = request.query::<String>("key").unwrap_or_default();
@@ -87,16 +87,16 @@
         drop(data);
         let mut body = item_body(&key, &value);
         body.store_revision = Some(revision);
-        end(fate, response, body);
+        finish(effect, response, body);
     }
 }
 
-pub(super) struct RangeHandler(pub(super) FrontHandler);
+pub(super) struct RangeHandler(pub(super) EndpointHandler);
 
 #[handler]
 impl RangeHandler {
     async fn handle(&self, request: &mut Request, response: &mut Response) {
-        let Some(fate) = self.0.begin(false, response).await else {
+        let Some(effect) = self.0.begin(false, response).await else {
             return;
         };
         let prefix = request.query::<String>("path_prefix").unwrap_or_default();
@@ -111,8 +111,8 @@
         let truncated = found.next().is_some();
         let store_revision = data.revision;
         drop(data);
-        end(
-            fate,
+        finish(
+            effect,
             response,
             PageBody {
                 items,
@@ -123,12 +123,12 @@
     }
 }
 
-pub(super) struct WatchHandler(pub(super) FrontHandler);
+pub(super) struct WatchHandler(pub(super) EndpointHandler);
 
 #[handler]
 impl WatchHandler {
     async fn handle(&self, request: &mut Request, response: &mut Response) {
-        let Some(fate) = self.0.begin(false, response).await else {
+        let Some(effect) = self.0.begin(false, response).await else {
             return;
         };
         let prefix = request.query::<String>("path_prefix").unwrap_or_default();
@@ -143,35 +143,35 @@
             };
             let left = until.saturating_duration_since(Instant::now());
             if !body.events.is_empty() || timeout(left, changed).await.is_err() {
-                return end(fate, response, body);
+                return finish(effect, response, body);
             }
         }
     }
 }
 
-pub(super) struct CommitHandler(pub(super) FrontHandler);
+pub(super) struct TransactionHandler(pub(super) EndpointHandler);
 
 #[handler]
-impl CommitHandler {
+impl TransactionHandler {
     async fn handle(&self, request: &mut Request, response: &mut Response) {
-        let body = request.payload_with_max_size(BODY_LIMIT).await.cloned();
+        let body = request.payload_with_max_size(MAX_BODY_BYTES).await.cloned();
         let Ok(body) = body else {
             response.status_code(StatusCode::PAYLOAD_TOO_LARGE);
             return;
         };
-        let Ok(ask) = serde_json::from_slice::<CommitAsk>(&body) else {
+        let Ok(transaction) = serde_json::from_slice::<TransactionRequest>(&body) else {
             response.status_code(StatusCode::BAD_REQUEST);
             return;
         };
-        let Some(fate) = self.0.begin(true, response).await else {
+        let Some(effect) = self.0.begin(true, response).await else {
             return;
         };
-        match self.0.store.commit(ask) {
-            Ok(revision) => end(fate, response, RevisionBody { revision }),
-            Err(CommitRefusal::Status(status)) => {
+        match self.0.store.execute(transaction) {
+            Ok(revision) => finish(effect, response, RevisionBody { revision }),
+            Err(TransactionError::Status(status)) => {
                 response.status_code(status);
             }
-            Err(CommitRefusal::Conflict(items)) => {
+            Err(TransactionError::Conflict(items)) => {
                 response.status_code(StatusCode::PRECONDITION_FAILED);
                 response.render(Json(ItemsBody { items }));
             }
@@ -179,35 +179,37 @@
     }
 }
 
-pub(super) struct LeaseHandler(pub(super) FrontHandler);
+pub(super) struct LeaseHandler(pub(super) EndpointHandler);
 
 #[handler]
 impl LeaseHandler {
     async fn handle(&self, request: &mut Request, response: &mut Response) {
-        let Ok(ask) = request.parse_json::<LeaseAsk>().await else {
+        let Ok(lease_request) = request.parse_json::<LeaseRequest>().await else {
             response.status_code(StatusCode::BAD_REQUEST);
             return;
         };
-        let Some(fate) = self.0.begin(true, response).await else {
+        let Some(effect) = self.0.begin(true, response).await else {
             return;
         };
         let mut data = self.0.store.lock();
         data.revision += 1;
         let lease = data.revision;
-        data.leases
-            .insert(lease, (Instant::now(), Duration::from_millis(ask.ttl_ms)));
+        data.leases.insert(
+            lease,
+            (Instant::now(), Duration::from_millis(lease_request.ttl_ms)),
+        );
         drop(data);
-        let ttl_ms = ask.ttl_ms;
-        end(fate, response, LeaseBody { lease, ttl_ms });
+        let ttl_ms = lease_request.ttl_ms;
+        finish(effect, response, LeaseBody { lease, ttl_ms });
     }
 }
 
-pub(super) struct KeepHandler(pub(super) FrontHandler);
+pub(super) struct RenewHandler(pub(super) EndpointHandler);
 
 #[handler]
-impl KeepHandler {
+impl RenewHandler {
     async fn handle(&self, request: &mut Request, response: &mut Response) {
-        let Some(fate) = self.0.begin(true, response).await else {
+        let Some(effect) = self.0.begin(true, response).await else {
             return;
         };
         let id = request.param::<u64>("id").unwrap_or(0);
@@ -219,16 +221,16 @@
         lease.0 = Instant::now();
         let ttl_ms = lease.1.as_millis() as u64;
         drop(data);
-        end(fate, response, KeptBody { ttl_ms });
+        finish(effect, response, RenewedBody { ttl_ms });
     }
 }
 
-pub(super) struct EndHandler(pub(super) FrontHandler);
+pub(super) struct RevokeHandler(pub(super) EndpointHandler);
 
 #[handler]
-impl EndHandler {
+impl RevokeHandler {
     async fn handle(&self, request: &mut Request, response: &mut Response) {
-        let Some(fate) = self.0.begin(true, response).await else {
+        let Some(effect) = self.0.begin(true, response).await else {
             return;
         };
         let id = request.param::<u64>("id").unwrap_or(0);
@@ -236,8 +238,8 @@
             response.status_code(StatusCode::NOT_FOUND);
             return;
         }
-        self.0.store.drop_lapsed();
+        self.0.store.drop_expired();
         let revision = self.0.store.lock().revision;
-        end(fate, response, RevisionBody { revision });
+        finish(effect, response, RevisionBody { revision });
     }
 }
--- a/crates/zinniahatch_lab/src/stand/store/wire.rs
+++ b/crates/zinniahatch_lab/src/test_doubles/store/wire.rs
@@ -1,6 +1,6 @@
 //! Bodies of the platform's calls, as the stand-in store reads and writes them.
 
-use super::StandValue;
+use super::StoredValue;
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD;
 use serde::Deserialize;
@@ -55,23 +55,23 @@
 }
 
 #[derive(Deserialize)]
-pub(super) struct CommitAsk {
+pub(super) struct TransactionRequest {
     #[serde(default)]
-    pub(super) expected_rev: Vec<ExpectedAsk>,
+    pub(super) expected_rev: Vec<ExpectedRevision>,
     #[serde(default)]
-    pub(super) set_keys: Vec<SetAsk>,
+    pub(super) set_keys: Vec<SetKey>,
     #[serde(default)]
     pub(super) remove: Vec<Box<str>>,
 }
 
 #[derive(Deserialize)]
-pub(super) struct ExpectedAsk {
+pub(super) struct ExpectedRevision {
     pub(super) key: Box<str>,
     pub(super) revision: u64,
 }
 
 #[derive(Deserialize)]
-pub(super) struct SetAsk {
+pub(super) struct SetKey {
     pub(super) key: Box<str>,
     pub(super) value: String,
     #[serde(default)]
@@ -79,7 +79,7 @@
 }
 
 #[derive(Deserialize)]
-pub(super) struct LeaseAsk {
+pub(super) struct LeaseRequest {
     pub(super) ttl_ms: u64,
 }
 
@@ -90,11 +90,11 @@
 }
 
 #[derive(Serialize)]
-pub(super) struct KeptBody {
+pub(super) struct RenewedBody {
     pub(super) ttl_ms: u64,
 }
 
-pub(super) fn item_body(key: &str, value: &StandValue) -> ItemBody {
+pub(super) fn item_body(key: &str, value: &StoredValue) -> ItemBody {
     ItemBody {
         key: key.into(),
         value: STANDARD.encode(value.value.as_bytes()),
--- a/crates/zinniahatch_lab/src/stand/text.rs
+++ b/crates/zinniahatch_lab/src/test_doubles/text.rs
@@ -6,7 +6,7 @@
 const MARK: &str = "operation=";
 
 /// Gives the mark of an operation.
-pub fn mark_of(operation: u64) -> String {
+pub fn operation_mark(operation: u64) -> String {
     format!("{MARK}{operation};")
 }
 
--- a/crates/zinniahatch_lab/tests/accounts.rs
+++ b/crates/zinniahatch_lab/tests/accounts.rs
@@ -10,9 +10,9 @@
 use zinniahatch_lab::site::SiteCluster;
 use zinniahatch_lab::site::SiteRegion;
 use zinniahatch_lab::site::wait_until;
-use zinniahatch_lab::stand::faults::ServiceMode;
-use zinniahatch_lab::stand::replica::ReplicaBehaviour;
-use zinniahatch_lab::stand::replica::StreamShape;
+use zinniahatch_lab::test_doubles::faults::ServiceMode;
+use zinniahatch_lab::test_doubles::replica::ReplicaBehaviour;
+use zinniahatch_lab::test_doubles::replica::StreamShape;
 
 /// Time after which a key that was taken away must run nowhere, as the settings of a guarded site say.
 const REVOKE: Duration = Duration::from_secs(5);
@@ -45,9 +45,9 @@
     let mut account = None;
     let mut shown = false;
     for (replica, _) in &site.replicas {
-        let sight = replica.sight();
-        account = account.or_else(|| sight.accounts.get(attempt).cloned());
-        shown |= sight.credentials > 0;
+        let observations = replica.observations();
+        account = account.or_else(|| observations.accounts.get(attempt).cloned());
+        shown |= observations.credentials > 0;
     }
     (account, shown)
 }
@@ -62,7 +62,7 @@
         SiteRegion::new("north", 2, 2),
         SiteRegion::new("south", 1, 0),
     ];
-    let site = SiteCluster::start_guarded(&regions, SHORT, &accounts).await;
+    let site = SiteCluster::start_with_accounts(&regions, SHORT, &accounts).await;
     for (node, attempt) in [(0, "a0"), (1, "a1"), (2, "a2")] {
         let call = site
             .call(node, "/plain/x", attempt)
@@ -73,7 +73,7 @@
         assert_eq!(seen(&site, attempt), (Some("acme".into()), false));
     }
     for (replica, _) in &site.replicas {
-        replica.behave(ReplicaBehaviour::Fail);
+        replica.set_behaviour(ReplicaBehaviour::Fail);
     }
     send(&site, 0, "/plain/x", "a3", "k3").await;
     assert!(site.runs("a3") > 1, "it is tried once more");
@@ -93,7 +93,7 @@
 async fn wrong_keys_are_refused(credential: Option<&str>) {
     let accounts = json!([account("acme", &["k1"])]);
     let site =
-        SiteCluster::start_guarded(&[SiteRegion::new("north", 1, 1)], SHORT, &accounts).await;
+        SiteCluster::start_with_accounts(&[SiteRegion::new("north", 1, 1)], SHORT, &accounts).await;
     let mut call = site.call(0, "/once/x", "w");
     if let Some(credential) = credential {
         call = call.header("authorization", credential);
@@ -118,7 +118,7 @@
         SiteRegion::new("north", 1, 1),
         SiteRegion::new("south", 1, 1),
     ];
-    let site = SiteCluster::start_guarded(&regions, SHORT, &json!([homed])).await;
+    let site = SiteCluster::start_with_accounts(&regions, SHORT, &json!([homed])).await;
     for node in 0..2 {
         let attempt = format!("p{node}");
         let answer = send(&site, node, "/plain/x", &attempt, "k1").await;
@@ -142,7 +142,8 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn key_taken_away_resumes_nothing() {
     let accounts = json!([account("acme", &["k1", "k2"])]);
-    let site = SiteCluster::start_guarded(&[SiteRegion::new("north", 2, 2)], LONG, &accounts).await;
+    let site =
+        SiteCluster::start_with_accounts(&[SiteRegion::new("north", 2, 2)], LONG, &accounts).await;
     let answer = send(&site, 0, "/stream/x", "s", "k1").await;
     assert_eq!(answer.status(), StatusCode::OK);
     site.configure_accounts(3, &json!([account("acme", &["k2"])]));
@@ -175,8 +176,8 @@
         SiteRegion::new("north", 2, 1),
         SiteRegion::new("south", 1, 1),
     ];
-    let site = SiteCluster::start_guarded(&regions, SHORT, &accounts).await;
-    site.switch.set(ServiceMode::Silent);
+    let site = SiteCluster::start_with_accounts(&regions, SHORT, &accounts).await;
+    site.store_faults.set(ServiceMode::Silent);
     let since = Instant::now();
     let mut last_served = Duration::ZERO;
     wait_until("every node refuses", async || {
@@ -203,7 +204,7 @@
         .await
         .expect("the node answers");
     assert_eq!(open.status(), StatusCode::OK);
-    site.switch.set(ServiceMode::Up);
+    site.store_faults.set(ServiceMode::Up);
     for node in 0..3 {
         wait_until("the node serves again", async || {
             send(&site, node, "/plain/x", "y", "k1").await.status() == StatusCode::OK
@@ -221,7 +222,7 @@
         SiteRegion::new("north", 2, 1),
         SiteRegion::new("south", 2, 1),
     ];
-    let site = SiteCluster::start_guarded(&regions, SHORT, &accounts).await;
+    let site = SiteCluster::start_with_accounts(&regions, SHORT, &accounts).await;
     site.store_link("north").cut();
     let cut = Instant::now();
     wait_until("the bound is over twice", async || {
@@ -253,7 +254,7 @@
 async fn node_that_wakes_does_not_trust_what_it_knew() {
     let accounts = json!([account("acme", &["k1", "k2"])]);
     let site =
-        SiteCluster::start_guarded(&[SiteRegion::new("north", 2, 1)], SHORT, &accounts).await;
+        SiteCluster::start_with_accounts(&[SiteRegion::new("north", 2, 1)], SHORT, &accounts).await;
     assert_eq!(
         send(&site, 0, "/plain/x", "a", "k1").await.status(),
         StatusCode::OK
@@ -287,7 +288,7 @@
         SiteRegion::new("north", 3, 1),
         SiteRegion::new("south", 2, 1),
     ];
-    let site = SiteCluster::start_guarded(&regions, SHORT, &accounts).await;
+    let site = SiteCluster::start_with_accounts(&regions, SHORT, &accounts).await;
     let since = Instant::now();
     let mut passed = 0;
     let mut retry = None;
--- a/crates/zinniahatch_lab/tests/addresses.rs
+++ b/crates/zinniahatch_lab/tests/addresses.rs
@@ -8,7 +8,7 @@
 use zinniahatch_lab::site::SiteCluster;
 use zinniahatch_lab::site::SiteRegion;
 use zinniahatch_lab::site::wait_until;
-use zinniahatch_lab::stand::replica::StreamShape;
+use zinniahatch_lab::test_doubles::replica::StreamShape;
 use zinniahatch_lab::users;
 
 /// Sockets that are open to all addresses of the machine, with ports from the system.
--- a/crates/zinniahatch_lab/tests/checker.rs
+++ b/crates/zinniahatch_lab/tests/checker.rs
@@ -3,15 +3,15 @@
 use std::time::Duration;
 use test_case::test_case;
 use zinniahatch_base::Execution;
-use zinniahatch_lab::checker::BrokenRule;
-use zinniahatch_lab::checker::CheckExcuse;
+use zinniahatch_lab::checker::CheckExemptions;
+use zinniahatch_lab::checker::ViolationKind;
 use zinniahatch_lab::checker::check;
 use zinniahatch_lab::history::ExecutionRecord;
 use zinniahatch_lab::history::HistoryData;
-use zinniahatch_lab::history::SeenEnd;
+use zinniahatch_lab::history::SendOutcome;
 use zinniahatch_lab::history::SendRecord;
 
-fn send(end: SeenEnd) -> SendRecord {
+fn send(end: SendOutcome) -> SendRecord {
     SendRecord {
         operation: 1,
         account: "a".into(),
@@ -22,7 +22,7 @@
         sent_to: "home".into(),
         entry: "127.0.0.1:1".into(),
         collects: false,
-        meant: Duration::from_secs(10),
+        scheduled: Duration::from_secs(10),
         ended: Duration::from_secs(11),
         first_byte: None,
         request: "n-1-1".into(),
@@ -46,14 +46,14 @@
     }
 }
 
-fn rules(send: SendRecord, executions: Vec<ExecutionRecord>) -> Vec<BrokenRule> {
+fn rules(send: SendRecord, executions: Vec<ExecutionRecord>) -> Vec<ViolationKind> {
     let data = HistoryData {
         sends: vec![send],
         executions,
     };
-    check(&data, &CheckExcuse::default())
+    check(&data, &CheckExemptions::default())
         .into_iter()
-        .map(|one| one.rule)
+        .map(|one| one.kind)
         .collect()
 }
 
@@ -61,37 +61,37 @@
 fn check_right_history_finds_nothing() {
     assert_eq!(
         rules(
-            send(SeenEnd::Whole { right: true }),
+            send(SendOutcome::Whole { right: true }),
             vec![execution("n-1-1", "home", None)]
         ),
         vec![]
     );
     assert_eq!(
-        rules(send(SeenEnd::Told(Execution::NotRun)), vec![]),
+        rules(send(SendOutcome::Told(Execution::NotRun)), vec![]),
         vec![]
     );
     assert_eq!(
         rules(
-            send(SeenEnd::Told(Execution::Unknown)),
+            send(SendOutcome::Told(Execution::Unknown)),
             vec![execution("n-1-1", "home", Some(1))]
         ),
         vec![]
     );
 }
 
-#[test_case(SeenEnd::Whole { right: true }, &[("n-1-1", "far", None)], BrokenRule::Misplaced; "ran in another region")]
-#[test_case(SeenEnd::Whole { right: true }, &[("n-1-1", "home", None), ("n-1-1-r1", "home", None)], BrokenRule::Doubled; "ran twice")]
-#[test_case(SeenEnd::Told(Execution::NotRun), &[("n-1-1-r2", "home", None)], BrokenRule::FalseNotRun; "ran after all")]
-#[test_case(SeenEnd::Whole { right: false }, &[("n-1-1", "home", None)], BrokenRule::WrongAnswer; "the answer of another")]
-#[test_case(SeenEnd::FalseEnd, &[("n-1-1", "home", None)], BrokenRule::WrongAnswer; "a part as the whole")]
-#[test_case(SeenEnd::CutOff, &[("n-1-1", "home", None)], BrokenRule::CutOff; "cut off")]
-#[test_case(SeenEnd::NoAnswer, &[], BrokenRule::Lost; "lost")]
-#[test_case(SeenEnd::Whole { right: true }, &[("n-1-1", "home", Some(4))], BrokenRule::LateWork; "work for one that leaves")]
-#[test_case(SeenEnd::Whole { right: true }, &[], BrokenRule::Invented; "answered without running")]
+#[test_case(SendOutcome::Whole { right: true }, &[("n-1-1", "far", None)], ViolationKind::Misplaced; "ran in another region")]
+#[test_case(SendOutcome::Whole { right: true }, &[("n-1-1", "home", None), ("n-1-1-r1", "home", None)], ViolationKind::Doubled; "ran twice")]
+#[test_case(SendOutcome::Told(Execution::NotRun), &[("n-1-1-r2", "home", None)], ViolationKind::FalseNotRun; "ran after all")]
+#[test_case(SendOutcome::Whole { right: false }, &[("n-1-1", "home", None)], ViolationKind::WrongAnswer; "the answer of another")]
+#[test_case(SendOutcome::FalseEnd, &[("n-1-1", "home", None)], ViolationKind::WrongAnswer; "a part as the whole")]
+#[test_case(SendOutcome::CutOff, &[("n-1-1", "home", None)], ViolationKind::CutOff; "cut off")]
+#[test_case(SendOutcome::NoAnswer, &[], ViolationKind::Lost; "lost")]
+#[test_case(SendOutcome::Whole { right: true }, &[("n-1-1", "home", Some(4))], ViolationKind::LateWork; "work for one that leaves")]
+#[test_case(SendOutcome::Whole { right: true }, &[], ViolationKind::Invented; "answered without running")]
 fn check_broken_rule_is_caught(
-    end: SeenEnd,
+    end: SendOutcome,
     runs: &[(&str, &str, Option<u64>)],
-    expected: BrokenRule,
+    expected: ViolationKind,
 ) {
     let executions = runs
         .iter()
@@ -103,10 +103,10 @@
 #[test]
 fn check_killed_node_excuses_only_its_time() {
     let data = HistoryData {
-        sends: vec![send(SeenEnd::NoAnswer)],
+        sends: vec![send(SendOutcome::NoAnswer)],
         executions: vec![],
     };
-    let at = |seconds| CheckExcuse {
+    let at = |seconds| CheckExemptions {
         killed: vec![(Duration::from_secs(seconds), Duration::from_secs(seconds))],
     };
     assert!(check(&data, &at(10)).is_empty());
@@ -122,7 +122,7 @@
     let send = SendRecord {
         code,
         collects,
-        ..send(SeenEnd::Told(Execution::NotRun))
+        ..send(SendOutcome::Told(Execution::NotRun))
     };
     assert_eq!(send.is_counted(), counted);
 }
--- a/crates/zinniahatch_lab/tests/cold_replica.rs
+++ b/crates/zinniahatch_lab/tests/cold_replica.rs
@@ -7,8 +7,8 @@
 use zinniahatch_lab::site::SiteCluster;
 use zinniahatch_lab::site::SiteRegion;
 use zinniahatch_lab::site::wait_until;
-use zinniahatch_lab::stand::replica::ReplicaBehaviour;
-use zinniahatch_lab::stand::replica::StreamShape;
+use zinniahatch_lab::test_doubles::replica::ReplicaBehaviour;
+use zinniahatch_lab::test_doubles::replica::StreamShape;
 
 /// Requests that the desired state lets all nodes together send a cold replica in a second.
 const MOST: usize = 3;
@@ -23,7 +23,7 @@
 async fn cold_replica_is_probed_by_few() {
     let site = SiteCluster::start(&[SiteRegion::new("north", NODES, 1)], SHAPE).await;
     let replica = &site.replicas[0].0;
-    replica.behave(ReplicaBehaviour::Mute);
+    replica.set_behaviour(ReplicaBehaviour::Mute);
     let calls = (0..NODES).map(|node| {
         let call = site.call(node, "/once/look", &format!("look-{node}"));
         call.send()
@@ -40,8 +40,8 @@
         sleep(Duration::from_secs(1)).await;
         let from = Instant::now();
         sleep(Duration::from_secs(5)).await;
-        let limits = replica.sight().limits;
-        limits.most_within(Duration::from_secs(1), from)
+        let limits = replica.observations().limits;
+        limits.max_within(Duration::from_secs(1), from)
     };
     let most = tokio::select! {
         _ = join_all(calls) => panic!("the silent replica answered"),
--- a/crates/zinniahatch_lab/tests/crashing_request.rs
+++ b/crates/zinniahatch_lab/tests/crashing_request.rs
@@ -6,8 +6,8 @@
 use zinniahatch_lab::site::SiteCluster;
 use zinniahatch_lab::site::SiteRegion;
 use zinniahatch_lab::site::wait_until;
-use zinniahatch_lab::stand::fatal::CallContent;
-use zinniahatch_lab::stand::replica::StreamShape;
+use zinniahatch_lab::test_doubles::crashing::RequestContent;
+use zinniahatch_lab::test_doubles::replica::StreamShape;
 
 /// Replicas that may end under one request before it is known everywhere, and tries that may follow.
 const MOST_ENDS: u32 = 3 + 3;
@@ -54,8 +54,8 @@
 async fn fatal_request_ends_few_replicas() {
     const REPEATS: usize = 12;
     let mut site = start_site().await;
-    let fatal = CallContent::of_path("/stream/fatal");
-    site.fatal.add(fatal.clone());
+    let fatal = RequestContent::from_path("/stream/fatal");
+    site.crashing_requests.add(fatal.clone());
     let nodes = site.entries.len();
     for repeat in 0..REPEATS {
         let node = repeat % nodes;
@@ -71,7 +71,7 @@
         );
         site.replace_crashed().await;
     }
-    let ends = site.fatal.ends(&fatal);
+    let ends = site.crashing_requests.crashes(&fatal);
     assert!(ends <= MOST_ENDS, "{ends} replicas ended under one request");
     for node in 0..nodes {
         wait_serves(&site, node, "after").await;
@@ -84,8 +84,8 @@
 }
 
 /// Sends a request to nodes in turn until the first of them tells that it is held.
-async fn make_held(site: &mut SiteCluster, content: &CallContent, nodes: &[usize]) {
-    site.fatal.add(content.clone());
+async fn make_held(site: &mut SiteCluster, content: &RequestContent, nodes: &[usize]) {
+    site.crashing_requests.add(content.clone());
     let mut repeat = 0;
     loop {
         let node = nodes[repeat % nodes.len()];
@@ -113,8 +113,8 @@
 }
 
 /// Checks that a node tells at once that a request is held, and for how long, and that no replica ends.
-async fn check_held(site: &SiteCluster, node: usize, content: &CallContent) {
-    let before = site.fatal.ends(content);
+async fn check_held(site: &SiteCluster, node: usize, content: &RequestContent) {
+    let before = site.crashing_requests.crashes(content);
     let attempt = format!("held-{node}");
     let answer = site
         .call(node, &content.path, &attempt)
@@ -130,7 +130,7 @@
         seconds > 60.0,
         "a caller is told to come back after {after} s"
     );
-    assert_eq!(site.fatal.ends(content), before);
+    assert_eq!(site.crashing_requests.crashes(content), before);
     assert_eq!(site.runs(&attempt), 0);
 }
 
@@ -139,7 +139,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn hold_outlives_all_nodes() {
     let mut site = start_site().await;
-    let fatal = CallContent::of_path("/stream/fatal");
+    let fatal = RequestContent::from_path("/stream/fatal");
     make_held(&mut site, &fatal, &[0, 2]).await;
     wait_until("the store keeps the request", async || {
         (0..site.entries.len()).any(|node| site.log(node).contains("quarantine-kept"))
@@ -168,7 +168,7 @@
 async fn node_that_slept_learns_of_the_hold() {
     const SLEEPER: usize = 5;
     let mut site = start_site().await;
-    let fatal = CallContent::of_path("/stream/fatal");
+    let fatal = RequestContent::from_path("/stream/fatal");
     site.signal(SLEEPER, "-STOP");
     make_held(&mut site, &fatal, &[0, 1, 2]).await;
     site.signal(SLEEPER, "-CONT");
@@ -191,9 +191,9 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn fatal_request_is_held_on_every_route(path: &str) {
     let mut site = start_site().await;
-    let fatal = CallContent::of_path(path);
+    let fatal = RequestContent::from_path(path);
     make_held(&mut site, &fatal, &[0, 3, 4, 1]).await;
-    let ends = site.fatal.ends(&fatal);
+    let ends = site.crashing_requests.crashes(&fatal);
     assert!(ends <= MOST_ENDS, "{ends} replicas ended under one request");
     for node in 0..site.entries.len() {
         wait_believes(&site, node, 0).await;
@@ -211,9 +211,9 @@
         replicas,
     });
     let mut site = SiteCluster::start(&regions, SHAPE).await;
-    let fatal = CallContent::of_path("/stream/fatal");
+    let fatal = RequestContent::from_path("/stream/fatal");
     make_held(&mut site, &fatal, &[2, 3]).await;
-    let ends = site.fatal.ends(&fatal);
+    let ends = site.crashing_requests.crashes(&fatal);
     assert!(ends <= MOST_ENDS, "{ends} replicas ended under one request");
     for node in 0..site.entries.len() {
         wait_believes(&site, node, 0).await;
@@ -226,7 +226,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn hold_is_of_one_caller() {
     let mut site = start_site().await;
-    let fatal = CallContent::of_path("/stream/same");
+    let fatal = RequestContent::from_path("/stream/same");
     make_held(&mut site, &fatal, &[0, 2, 4]).await;
     let call = site.call(0, "/stream/same", "other-caller");
     let answer = call
--- a/crates/zinniahatch_lab/tests/early_stop.rs
+++ b/crates/zinniahatch_lab/tests/early_stop.rs
@@ -4,7 +4,7 @@
 use zinniahatch_lab::site::SiteCluster;
 use zinniahatch_lab::site::SiteRegion;
 use zinniahatch_lab::site::wait_until;
-use zinniahatch_lab::stand::replica::StreamShape;
+use zinniahatch_lab::test_doubles::replica::StreamShape;
 
 const SHAPE: StreamShape = StreamShape {
     events: 1,
--- a/crates/zinniahatch_lab/tests/keyed_deadline.rs
+++ b/crates/zinniahatch_lab/tests/keyed_deadline.rs
@@ -10,7 +10,7 @@
 use zinniahatch_base::ResultCode;
 use zinniahatch_lab::cluster::ClusterOptions;
 use zinniahatch_lab::cluster::LabCluster;
-use zinniahatch_lab::stand::backend::BackendFaults;
+use zinniahatch_lab::test_doubles::backend::BackendFaults;
 use zinniahatch_lab::users;
 
 const KEY: &str = "buyer-almaty-example-key";
--- a/crates/zinniahatch_lab/tests/one_node.rs
+++ b/crates/zinniahatch_lab/tests/one_node.rs
@@ -12,8 +12,8 @@
 use zinniahatch_base::ResultCode;
 use zinniahatch_lab::cluster::ClusterOptions;
 use zinniahatch_lab::cluster::LabCluster;
-use zinniahatch_lab::operator::OperatorCalls;
-use zinniahatch_lab::stand::engine::EngineSpeed;
+use zinniahatch_lab::operator::AdminClient;
+use zinniahatch_lab::test_doubles::engine::EngineSpeed;
 use zinniahatch_lab::users;
 
 const KEY: &str = "buyer-almaty-example-key";
@@ -308,9 +308,9 @@
 #[tokio::test]
 async fn operators_switch_as_their_role_allows() {
     let cluster = start().await;
-    let reader = OperatorCalls::new(&cluster, 0, &cluster.plan.reader);
-    let shift = OperatorCalls::new(&cluster, 0, &cluster.plan.shift);
-    let stranger = OperatorCalls::new(&cluster, 0, "wrong");
+    let reader = AdminClient::new(&cluster, 0, &cluster.plan.reader);
+    let shift = AdminClient::new(&cluster, 0, &cluster.plan.shift);
+    let stranger = AdminClient::new(&cluster, 0, "wrong");
     let revision = reader.get("config").await["revision"]
         .as_u64()
         .expect("a revision is in force");
@@ -346,8 +346,8 @@
 #[tokio::test]
 async fn wrong_part_is_refused_with_its_remedy() {
     let cluster = start().await;
-    let chief = OperatorCalls::new(&cluster, 0, &cluster.plan.chief);
-    let shift = OperatorCalls::new(&cluster, 0, &cluster.plan.shift);
+    let chief = AdminClient::new(&cluster, 0, &cluster.plan.chief);
+    let shift = AdminClient::new(&cluster, 0, &cluster.plan.shift);
     let wrong = json!({"change": "d", "expect_revision": 1, "parts": {"prices": "[price zinnia-desk]\nper_call = cheap\n"}});
     assert_eq!(shift.post("config", &wrong).await.0, StatusCode::FORBIDDEN);
     let (status, text) = chief.post("config", &wrong).await;
@@ -366,7 +366,7 @@
 #[tokio::test]
 async fn lead_changes_the_own_team_alone() {
     let cluster = start().await;
-    let lead = OperatorCalls::new(&cluster, 0, "aqsu-team-example-token");
+    let lead = AdminClient::new(&cluster, 0, "aqsu-team-example-token");
     let account = |change: &str, team: &str| json!({"change": change, "expect_revision": 1, "account": "new", "home": "almaty", "class": "shops", "team": team});
     assert_eq!(
         lead.post("accounts", &account("e", "shymkent-team"))
--- a/crates/zinniahatch_lab/tests/operators.rs
+++ b/crates/zinniahatch_lab/tests/operators.rs
@@ -6,8 +6,8 @@
 use zinniahatch_lab::site::SiteCluster;
 use zinniahatch_lab::site::SiteRegion;
 use zinniahatch_lab::site::wait_until;
-use zinniahatch_lab::stand::replica::ReplicaBehaviour;
-use zinniahatch_lab::stand::replica::StreamShape;
+use zinniahatch_lab::test_doubles::replica::ReplicaBehaviour;
+use zinniahatch_lab::test_doubles::replica::StreamShape;
 
 const SHAPE: StreamShape = StreamShape {
     events: 5,
@@ -87,7 +87,7 @@
         assert!(answer.status().is_success());
     }
     for (replica, _) in &site.replicas {
-        replica.behave(ReplicaBehaviour::Shed);
+        replica.set_behaviour(ReplicaBehaviour::Shed);
     }
     let refused = site
         .call(0, "/plain/x", "counted-not")
--- a/crates/zinniahatch_lab/tests/promises.rs
+++ b/crates/zinniahatch_lab/tests/promises.rs
@@ -9,7 +9,7 @@
 use std::sync::PoisonError;
 use std::time::Duration;
 use test_case::test_case;
-use zinniahatch_lab::checker::BrokenRule;
+use zinniahatch_lab::checker::ViolationKind;
 use zinniahatch_lab::experiments::faults::FaultKind;
 use zinniahatch_lab::experiments::faults::FaultRun;
 use zinniahatch_lab::experiments::faults::run_case;
@@ -62,7 +62,7 @@
     // a busy machine would decide it.
     let broken: Vec<_> = breaks
         .iter()
-        .filter(|one| one.rule != BrokenRule::LateWork)
+        .filter(|one| one.kind != ViolationKind::LateWork)
         .collect();
     assert!(broken.is_empty(), "{broken:?}");
     assert!(
--- a/crates/zinniahatch_lab/tests/replica_limit.rs
+++ b/crates/zinniahatch_lab/tests/replica_limit.rs
@@ -9,8 +9,8 @@
 use zinniahatch_lab::site::SiteLoad;
 use zinniahatch_lab::site::SiteRegion;
 use zinniahatch_lab::site::wait_until;
-use zinniahatch_lab::stand::replica::ReplicaBehaviour;
-use zinniahatch_lab::stand::replica::StreamShape;
+use zinniahatch_lab::test_doubles::replica::ReplicaBehaviour;
+use zinniahatch_lab::test_doubles::replica::StreamShape;
 
 /// Time after which the nodes must keep to a limit that was named.
 const GRACE: Duration = Duration::from_secs(6);
@@ -19,7 +19,7 @@
 /// Pause between the requests to one node.
 const PAUSE: Duration = Duration::from_millis(100);
 /// How long a caller waits.
-const PATIENCE: Duration = Duration::from_secs(1);
+const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 const SHAPE: StreamShape = StreamShape {
     events: 3,
     pause: Duration::from_millis(10),
@@ -30,14 +30,14 @@
     let callers = SiteLoad {
         path,
         pause: PAUSE,
-        patience: PATIENCE,
+        timeout: CALL_TIMEOUT,
     };
     site.load(&callers, tag, time).await
 }
 
 fn check_limits(site: &SiteCluster) {
     for (replica, _) in &site.replicas {
-        let limits = replica.sight().limits;
+        let limits = replica.observations().limits;
         let broken = limits.broken_window(GRACE, |_, _| false);
         assert_eq!(broken, None, "{}", replica.id);
     }
@@ -47,7 +47,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn limited_replica_is_sent_no_more() {
     let site = SiteCluster::start(&[SiteRegion::new("north", 3, 2)], SHAPE).await;
-    site.replicas[0].0.name_limit(Some(1.0));
+    site.replicas[0].0.set_rate_limit(Some(1.0));
     let answers = load(&site, "/plain/look", "look", TIME).await;
     check_limits(&site);
     let served = answers.iter().filter(|answer| answer.status().is_success());
@@ -66,8 +66,8 @@
         SiteRegion::new("south", 2, 0),
     ];
     let site = SiteCluster::start(&regions, SHAPE).await;
-    site.replicas[0].0.name_limit(Some(1.0));
-    site.replicas[1].0.behave(other);
+    site.replicas[0].0.set_rate_limit(Some(1.0));
+    site.replicas[1].0.set_behaviour(other);
     load(&site, path, "look", TIME).await;
     check_limits(&site);
 }
@@ -77,9 +77,9 @@
 async fn limit_holds_for_probes() {
     let site = SiteCluster::start(&[SiteRegion::new("north", 4, 2)], SHAPE).await;
     let replica = &site.replicas[0].0;
-    replica.name_limit(Some(1.0));
+    replica.set_rate_limit(Some(1.0));
     load(&site, "/plain/look", "known", TIME / 4).await;
-    replica.behave(ReplicaBehaviour::Mute);
+    replica.set_behaviour(ReplicaBehaviour::Mute);
     load(&site, "/plain/look", "silent", TIME).await;
     check_limits(&site);
 }
@@ -100,7 +100,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn limit_outlives_nodes(fault: NodeFault) {
     let mut site = SiteCluster::start(&[SiteRegion::new("north", 3, 2)], SHAPE).await;
-    site.replicas[0].0.name_limit(Some(1.0));
+    site.replicas[0].0.set_rate_limit(Some(1.0));
     for node in 0..3 {
         match fault {
             NodeFault::Stop => site.terminate(node),
@@ -127,7 +127,7 @@
 async fn limited_replicas_refuse_at_once() {
     let site = SiteCluster::start(&[SiteRegion::new("north", 2, 2)], SHAPE).await;
     for (replica, _) in &site.replicas {
-        replica.name_limit(Some(2.0));
+        replica.set_rate_limit(Some(2.0));
     }
     let answers = load(&site, "/plain/look", "look", TIME).await;
     check_limits(&site);
@@ -151,13 +151,13 @@
 async fn limit_ends_where_answers_no_longer_name_it() {
     let site = SiteCluster::start(&[SiteRegion::new("north", 3, 2)], SHAPE).await;
     let replica = &site.replicas[0].0;
-    replica.name_limit(Some(1.0));
+    replica.set_rate_limit(Some(1.0));
     load(&site, "/plain/look", "limited", TIME / 4).await;
-    replica.name_limit(None);
+    replica.set_rate_limit(None);
     wait_until("the replica is sent as much as the other", async || {
         let from = Instant::now();
         load(&site, "/plain/look", "free", Duration::from_secs(1)).await;
-        replica.sight().limits.arrivals_since(from) > 8
+        replica.observations().limits.arrivals_since(from) > 8
     })
     .await;
     for node in 0..3 {
--- a/crates/zinniahatch_lab/tests/replica_notices.rs
+++ b/crates/zinniahatch_lab/tests/replica_notices.rs
@@ -8,9 +8,9 @@
 use zinniahatch_lab::site::SiteLoad;
 use zinniahatch_lab::site::SiteRegion;
 use zinniahatch_lab::site::wait_until;
-use zinniahatch_lab::stand::faults::ServiceMode;
-use zinniahatch_lab::stand::replica::ReplicaBehaviour;
-use zinniahatch_lab::stand::replica::StreamShape;
+use zinniahatch_lab::test_doubles::faults::ServiceMode;
+use zinniahatch_lab::test_doubles::replica::ReplicaBehaviour;
+use zinniahatch_lab::test_doubles::replica::StreamShape;
 
 /// Time after which a replica that leaves must get nothing more.
 const DRAIN_TIME: Duration = Duration::from_secs(4);
@@ -19,7 +19,7 @@
 /// Pause between the requests to one node.
 const PAUSE: Duration = Duration::from_millis(60);
 /// How long a caller waits.
-const PATIENCE: Duration = Duration::from_secs(1);
+const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 /// The rest that replicas ask for, in seconds.
 const REST: &str = "2.5";
 const SHAPE: StreamShape = StreamShape {
@@ -32,7 +32,7 @@
     let callers = SiteLoad {
         path,
         pause: PAUSE,
-        patience: PATIENCE,
+        timeout: CALL_TIMEOUT,
     };
     site.load(&callers, tag, time).await
 }
@@ -63,11 +63,11 @@
     ];
     let site = SiteCluster::start(&regions, SHAPE).await;
     let replica = &site.replicas[0].0;
-    site.replicas[1].0.behave(other);
+    site.replicas[1].0.set_behaviour(other);
     if word == StoreWord::Silent {
-        site.switch.set(ServiceMode::Silent);
+        site.store_faults.set(ServiceMode::Silent);
     }
-    replica.say_leaving();
+    replica.announce_leaving();
     load(&site, path, "first", TIME / 8).await;
     match word {
         StoreWord::Silent => {}
@@ -79,8 +79,8 @@
         }
     }
     load(&site, path, "then", TIME).await;
-    let notices = replica.sight().notices;
-    let broken = notices.broken_leaving(DRAIN_TIME, |_| Some(0), |_, _, _| false);
+    let notices = replica.observations().notices;
+    let broken = notices.leaving_violation(DRAIN_TIME, |_| Some(0), |_, _, _| false);
     assert_eq!(broken, None);
 }
 
@@ -98,16 +98,16 @@
     ];
     let site = SiteCluster::start(&regions, SHAPE).await;
     for (replica, _) in &site.replicas {
-        replica.ask_rest(Some(REST));
+        replica.request_backoff(Some(REST));
     }
-    site.replicas[0].0.behave(ReplicaBehaviour::Shed);
-    site.replicas[1].0.behave(other);
+    site.replicas[0].0.set_behaviour(ReplicaBehaviour::Shed);
+    site.replicas[1].0.set_behaviour(other);
     load(&site, path, "look", TIME).await;
     let mut rests = 0;
     for (replica, _) in &site.replicas {
-        let notices = replica.sight().notices;
-        rests += notices.rests();
-        let broken = notices.broken_rest(|_| Some(0), |_, _, _| false);
+        let notices = replica.observations().notices;
+        rests += notices.backoffs();
+        let broken = notices.backoff_violation(|_| Some(0), |_, _, _| false);
         assert_eq!(broken, None, "{}", replica.id);
     }
     assert!(rests > 0);
@@ -118,8 +118,8 @@
 async fn resting_replicas_refuse_at_once() {
     let site = SiteCluster::start(&[SiteRegion::new("north", 1, 2)], SHAPE).await;
     for (replica, _) in &site.replicas {
-        replica.ask_rest(Some(REST));
-        replica.behave(ReplicaBehaviour::Shed);
+        replica.request_backoff(Some(REST));
+        replica.set_behaviour(ReplicaBehaviour::Shed);
     }
     let rest: f64 = REST.parse().unwrap();
     let answers = load(&site, "/plain/look", "look", TIME / 2).await;
@@ -140,7 +140,7 @@
         answers.len()
     );
     for (replica, _) in &site.replicas {
-        replica.behave(ReplicaBehaviour::Serve);
+        replica.set_behaviour(ReplicaBehaviour::Serve);
     }
     wait_until("the replicas serve again", async || {
         let answers = load(&site, "/plain/look", "back", PAUSE * 10).await;
@@ -154,7 +154,7 @@
 async fn leaving_replicas_refuse_by_reason() {
     let site = SiteCluster::start(&[SiteRegion::new("north", 1, 2)], SHAPE).await;
     for (replica, _) in &site.replicas {
-        replica.say_leaving();
+        replica.announce_leaving();
     }
     wait_until("the replicas are believed to leave", async || {
         let answers = load(&site, "/plain/look", "look", PAUSE * 10).await;
--- a/crates/zinniahatch_lab/tests/site.rs
+++ b/crates/zinniahatch_lab/tests/site.rs
@@ -9,9 +9,9 @@
 use zinniahatch_lab::site::SiteEntry;
 use zinniahatch_lab::site::SiteRegion;
 use zinniahatch_lab::site::wait_until;
-use zinniahatch_lab::stand::faults::ServiceMode;
-use zinniahatch_lab::stand::replica::ReplicaBehaviour;
-use zinniahatch_lab::stand::replica::StreamShape;
+use zinniahatch_lab::test_doubles::faults::ServiceMode;
+use zinniahatch_lab::test_doubles::replica::ReplicaBehaviour;
+use zinniahatch_lab::test_doubles::replica::StreamShape;
 
 const SHORT: StreamShape = StreamShape {
     events: 12,
@@ -119,7 +119,7 @@
     const CALLS: u32 = 30;
     let site = SiteCluster::start(&[SiteRegion::new("north", 1, 1)], SHORT).await;
     for number in 0..FORMER {
-        site.register_former(0, &format!("a-former-{number}"));
+        site.register_stale(0, &format!("a-former-{number}"));
     }
     wait_until("the node knows them", async || {
         site.log(0).matches("a-former-").count() >= FORMER
@@ -131,8 +131,8 @@
         let answer = site.call(0, "/plain/x", &attempt).send().await.unwrap();
         assert_ne!(answer.status(), StatusCode::BAD_GATEWAY);
     }
-    let sight = site.replicas[0].0.sight();
-    let arrivals = sight.misdirected + sight.runs.values().sum::<u32>();
+    let observations = site.replicas[0].0.observations();
+    let arrivals = observations.misdirected + observations.runs.values().sum::<u32>();
     let bound = CALLS / 5 + 54;
     assert!(arrivals <= CALLS + bound, "{arrivals} arrivals of {CALLS}");
 }
@@ -150,7 +150,7 @@
     )
     .await;
     for (replica, _) in &site.replicas {
-        replica.behave(ReplicaBehaviour::Fail);
+        replica.set_behaviour(ReplicaBehaviour::Fail);
     }
     for number in 0..4 {
         let attempt = format!("h{number}");
@@ -190,10 +190,10 @@
     let mut resumed = 0;
     for number in 0..6 {
         for (replica, _) in &site.replicas {
-            replica.behave(ReplicaBehaviour::Serve);
+            replica.set_behaviour(ReplicaBehaviour::Serve);
         }
         let (broken, _) = &site.replicas[number % 2];
-        broken.behave(ReplicaBehaviour::BreakAfter(5));
+        broken.set_behaviour(ReplicaBehaviour::BreakAfter(5));
         let attempt = format!("s{number}");
         let answer = site.call(0, "/stream/x", &attempt).send().await.unwrap();
         let ids = event_ids(&answer.text().await.unwrap());
@@ -209,7 +209,7 @@
 async fn lost_answer_of_what_may_run_once() {
     let site = SiteCluster::start(&[SiteRegion::new("north", 1, 2)], SHORT).await;
     for (replica, _) in &site.replicas {
-        replica.behave(ReplicaBehaviour::LoseAnswer);
+        replica.set_behaviour(ReplicaBehaviour::LoseAnswer);
     }
     for number in 0..5 {
         let attempt = format!("o{number}");
@@ -225,9 +225,9 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn deadline_while_a_replica_is_silent() {
     let site = SiteCluster::start(&[SiteRegion::new("north", 1, 1)], SHORT).await;
-    site.replicas[0].0.behave(ReplicaBehaviour::Mute);
+    site.replicas[0].0.set_behaviour(ReplicaBehaviour::Mute);
     let patience = Duration::from_millis(400);
-    let call = site.call_within(0, "/once/x", "q1", patience);
+    let call = site.call_with_timeout(0, "/once/x", "q1", patience);
     let answer = call.send().await.unwrap();
     assert_eq!(answer.status(), StatusCode::GATEWAY_TIMEOUT);
     assert_eq!(answer.headers()["x-zinnia-execution"], "unknown");
@@ -237,7 +237,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn refusal_of_a_full_replica_is_passed_on() {
     let site = SiteCluster::start(&[SiteRegion::new("north", 1, 1)], SHORT).await;
-    site.replicas[0].0.behave(ReplicaBehaviour::Shed);
+    site.replicas[0].0.set_behaviour(ReplicaBehaviour::Shed);
     let answer = site.call(0, "/once/x", "f1").send().await.unwrap();
     assert_eq!(answer.status(), StatusCode::SERVICE_UNAVAILABLE);
     assert!(answer.headers().contains_key("retry-after"));
@@ -249,13 +249,13 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn repeat_a_failed_answer_elsewhere() {
     let site = SiteCluster::start(&[SiteRegion::new("north", 1, 2)], SHORT).await;
-    site.replicas[0].0.behave(ReplicaBehaviour::Fail);
+    site.replicas[0].0.set_behaviour(ReplicaBehaviour::Fail);
     for number in 0..6 {
         let attempt = format!("r{number}");
         let answer = site.call(0, "/plain/x", &attempt).send().await.unwrap();
         assert_eq!(answer.status(), StatusCode::OK);
     }
-    site.replicas[1].0.behave(ReplicaBehaviour::Fail);
+    site.replicas[1].0.set_behaviour(ReplicaBehaviour::Fail);
     let answer = site.call(0, "/plain/x", "r9").send().await.unwrap();
     assert_eq!(answer.status(), StatusCode::INTERNAL_SERVER_ERROR);
     assert!(answer.headers().contains_key("x-server-seal"));
@@ -270,7 +270,7 @@
     assert!(answer.chunk().await.unwrap().is_some());
     drop(answer);
     wait_until("the replica sees that the caller left", async || {
-        site.replicas[0].0.sight().left == 1
+        site.replicas[0].0.observations().closed_early == 1
     })
     .await;
 }
@@ -303,7 +303,7 @@
 async fn start_while_the_store_is_down() {
     let mut site = SiteCluster::start(&[SiteRegion::new("north", 2, 1)], SHORT).await;
     site.kill(0);
-    site.switch.set(ServiceMode::Down);
+    site.store_faults.set(ServiceMode::Down);
     site.spawn(0);
     wait_until(
         "the node serves by what its peer knows",
@@ -323,7 +323,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn serve_while_the_store_is_away() {
     let site = SiteCluster::start(&[SiteRegion::new("north", 1, 1)], SHORT).await;
-    site.switch.set(ServiceMode::Down);
+    site.store_faults.set(ServiceMode::Down);
     wait_until("the node notices the outage", async || {
         site.log(0).contains("store-lost")
     })
@@ -333,7 +333,7 @@
         let answer = site.call(0, "/plain/x", &attempt).send().await.unwrap();
         assert_eq!(answer.status(), StatusCode::OK);
     }
-    site.switch.set(ServiceMode::Up);
+    site.store_faults.set(ServiceMode::Up);
     wait_until("the node notices the end", async || {
         site.log(0).contains("store-back")
     })
@@ -349,13 +349,13 @@
         site.log(0).contains("\"leaving\":true")
     })
     .await;
-    let before = site.replicas[0].0.sight().runs.len();
+    let before = site.replicas[0].0.observations().runs.len();
     for number in 0..20 {
         let attempt = format!("l{number}");
         let answer = site.call(0, "/plain/x", &attempt).send().await.unwrap();
         assert_eq!(answer.status(), StatusCode::OK);
     }
-    assert_eq!(site.replicas[0].0.sight().runs.len(), before);
+    assert_eq!(site.replicas[0].0.observations().runs.len(), before);
 }
 
 /// The store dropped its history in the middle of changes, and a node that was waiting for them
@@ -364,7 +364,7 @@
 async fn desired_state_survives_forgotten_history() {
     let site = SiteCluster::start(&[SiteRegion::new("north", 2, 1)], SHORT).await;
     site.configure(5, &["fresh"]);
-    site.store.forget_history();
+    site.store.compact_history();
     for index in 0..2 {
         wait_until("the new route is in force", async || {
             let answer = site.call(index, "/fresh/x", "n1").send().await.unwrap();
@@ -454,7 +454,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn serve_the_first_caller_of_a_start() {
     let mut site = SiteCluster::start(&[SiteRegion::new("north", 1, 1)], SHORT).await;
-    site.switch
+    site.store_faults
         .set(ServiceMode::Slow(Duration::from_millis(150)));
     let mut served = 0;
     for start in 0..3 {
--- a/crates/zinniahatch_lab/tests/slow_caller.rs
+++ b/crates/zinniahatch_lab/tests/slow_caller.rs
@@ -4,7 +4,7 @@
 use tokio::time::sleep;
 use zinniahatch_lab::site::SiteCluster;
 use zinniahatch_lab::site::SiteRegion;
-use zinniahatch_lab::stand::replica::StreamShape;
+use zinniahatch_lab::test_doubles::replica::StreamShape;
 
 /// More than the buffers between the replica and the caller hold, and longer than the caller's time.
 const SHAPE: StreamShape = StreamShape {
@@ -21,7 +21,7 @@
 async fn stream_cut_off_does_not_look_whole() {
     let site = SiteCluster::start(&[SiteRegion::new("north", 1, 1)], SHAPE).await;
     let attempt = "a".repeat(ID_BYTES);
-    let call = site.call_within(0, "/stream/look", &attempt, TIME);
+    let call = site.call_with_timeout(0, "/stream/look", &attempt, TIME);
     let answer = call.send().await.expect("the stream begins");
     sleep(TIME + Duration::from_secs(1)).await;
     assert!(answer.bytes().await.is_err(), "the stream looks whole");
