--- a/crates/zinniahatch_lab/tests/store_returns.rs
+++ b/crates/zinniahatch_lab/tests/store_returns.rs
@@ -9,10 +9,10 @@
 use zinniahatch_lab::site::SiteCluster;
 use zinniahatch_lab::site::SiteRegion;
 use zinniahatch_lab::site::wait_until;
-use zinniahatch_lab::stand::faults::FaultSwitch;
-use zinniahatch_lab::stand::replica::StreamShape;
-use zinniahatch_lab::stand::serve::StandServer;
-use zinniahatch_lab::stand::store::StandStore;
+use zinniahatch_lab::test_doubles::faults::FaultSwitch;
+use zinniahatch_lab::test_doubles::replica::StreamShape;
+use zinniahatch_lab::test_doubles::serve::FakeServer;
+use zinniahatch_lab::test_doubles::store::FakeStore;
 use zinniahatch_platform::CommitOutcome;
 use zinniahatch_platform::KvClient;
 use zinniahatch_platform::KvError;
@@ -28,9 +28,9 @@
     pause: Duration::from_millis(5),
 };
 
-async fn open_store() -> (StandStore, StandServer, KvClient) {
-    let store = StandStore::default();
-    let front = store.front(FaultSwitch::default()).await;
+async fn open_store() -> (FakeStore, FakeServer, KvClient) {
+    let store = FakeStore::default();
+    let front = store.start_endpoint(FaultSwitch::default()).await;
     let client = KvClient::new(&front.url());
     (store, front, client)
 }
@@ -45,13 +45,13 @@
     for number in 0..3 {
         store.write("op/config", &number.to_string());
     }
-    let copy = store.copy();
+    let copy = store.snapshot();
     store.write("op/a", "1");
     store.write("op/b", "1");
     let listing = client.items("op/", LIMIT).await.expect("it answers");
     assert_eq!(listing.revision, StoreRevision { era: 0, number: 5 });
     if before {
-        store.come_back(&copy);
+        store.restore_snapshot(&copy);
         for _ in 0..4 {
             store.write("op/config", "new");
         }
@@ -59,7 +59,7 @@
     let watch = client.changes("op/", listing.revision, LONG_WAIT);
     let other = async {
         if !before {
-            store.come_back(&copy);
+            store.restore_snapshot(&copy);
             for _ in 0..4 {
                 store.write("op/config", "new");
             }
@@ -80,14 +80,14 @@
 async fn condition_of_an_era_that_is_over_does_not_hold() {
     let (store, _front, client) = open_store().await;
     store.write("k", "1");
-    let copy = store.copy();
+    let copy = store.snapshot();
     store.write("k", "old");
     let read = client
         .item("k")
         .await
         .expect("it answers")
         .expect("it is there");
-    store.come_back(&copy);
+    store.restore_snapshot(&copy);
     store.write("k", "another's");
     client.items("other/", LIMIT).await.expect("it answers");
     let commit = StoreCommit::new()
@@ -103,12 +103,12 @@
 async fn lease_of_an_era_that_is_over_has_lapsed() {
     let (store, front, client) = open_store().await;
     store.write("k", "1");
-    let copy = store.copy();
+    let copy = store.snapshot();
     let mine = client
         .grant(Duration::from_secs(9))
         .await
         .expect("it answers");
-    store.come_back(&copy);
+    store.restore_snapshot(&copy);
     let other = KvClient::new(&front.url());
     let theirs = other
         .grant(Duration::from_secs(9))
@@ -137,8 +137,9 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn key_taken_away_stays_so_at_nodes_that_start() {
     let regions = [SiteRegion::new("north", 3, 2)];
-    let mut site = SiteCluster::start_guarded(&regions, SHAPE, &accounts(&["k1", "k2"])).await;
-    let copy = site.store.copy();
+    let mut site =
+        SiteCluster::start_with_accounts(&regions, SHAPE, &accounts(&["k1", "k2"])).await;
+    let copy = site.store.snapshot();
     site.configure_accounts(5, &accounts(&["k2"]));
     for node in 0..3 {
         wait_until("the key is refused", async || {
@@ -146,7 +147,7 @@
         })
         .await;
     }
-    site.store.come_back(&copy);
+    site.store.restore_snapshot(&copy);
     site.kill(0);
     site.spawn(0);
     wait_until("the node serves the other key", async || {
@@ -171,7 +172,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn preset_in_force_is_written_again() {
     let site = SiteCluster::start(&[SiteRegion::new("north", 2, 1)], SHAPE).await;
-    let copy = site.store.copy();
+    let copy = site.store.snapshot();
     let preset = ServingPreset {
         name: "peak".into(),
         revision: 7,
@@ -185,7 +186,7 @@
         })
         .await;
     }
-    site.store.come_back(&copy);
+    site.store.restore_snapshot(&copy);
     assert_eq!(site.store.read(PRESET_KEY), None);
     wait_until("the preset is written again", async || {
         let text = site.store.read(PRESET_KEY).unwrap_or_default();
