--- a/crates/zinniahatch_lab/src/checker.rs
+++ b/crates/zinniahatch_lab/src/checker.rs
@@ -1,4 +1,4 @@
-//! Judges a history by the rules that must always hold.
+//! Checks a recorded history against the invariants of the system.
 
 use crate::history::ExecutionRecord;
 use crate::history::HistoryData;
@@ -6,48 +6,48 @@
 use crate::history::SendRecord;
 use zinniahatch_base::prelude::*;
 
-/// Time after which a backend server that leaves gets no new work.
+/// Longest time for which a draining backend server may still be sent new requests.
 pub const MAX_DRAIN_DELAY: Duration = Duration::from_secs(3);
 
 word_enum! {
-    /// A rule that was broken.
+    /// Kind of an invariant violation.
     pub enum ViolationKind {
-        /// A bound operation ran outside its region.
+        /// An operation bound to its home region ran in another region.
         Misplaced = "misplaced",
-        /// An operation that may run once ran more than once.
+        /// An operation that may run at most once ran more than once.
         Doubled = "doubled",
-        /// A caller was told "not run" of a request that ran.
+        /// A caller was told that its request had not run, although it ran.
         FalseNotRun = "false-not-run",
-        /// A caller got another answer than its own, or a part of it as the whole.
+        /// A caller received the response to another request, or a truncated one that looked complete.
         WrongAnswer = "wrong-answer",
-        /// An answer broke off.
+        /// A response was cut off.
         CutOff = "cut-off",
-        /// A caller got no answer at all from a node that lived.
+        /// A caller received no response from a node that was alive.
         Lost = "lost",
-        /// A backend server got new work too long after it began to leave.
+        /// A backend server was sent a request more than [`MAX_DRAIN_DELAY`] after it began to drain.
         LateWork = "late-work",
-        /// A whole answer has no execution.
+        /// A complete response has no matching execution.
         Invented = "invented",
     }
 }
 
-/// One broken rule, with what shows it.
+/// One violation of an invariant, with its evidence.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Violation {
-    /// The rule.
+    /// What was violated.
     pub kind: ViolationKind,
-    /// What shows it.
+    /// The evidence.
     pub detail: Box<str>,
 }
 
-/// What a run excuses: sends to nodes that were killed may get no answer.
+/// Exemptions of a run: requests to a node that was killed may get no response.
 #[derive(Clone, Debug, Default)]
 pub struct CheckExemptions {
-    /// Spans of time in which a node was killed; a send in progress then may get no answer.
+    /// Intervals around the killing of a node; requests in flight then may get no response.
     pub killed: Vec<(Duration, Duration)>,
 }
 
-/// Judges a history.
+/// Returns all violations found in a history.
 pub fn check(data: &HistoryData, exemptions: &CheckExemptions) -> Vec<Violation> {
     let mut violations = Vec::new();
     let executions = group_by_operation(&data.executions);
@@ -72,7 +72,7 @@
     violations
 }
 
-/// Counts violations by rule.
+/// Counts violations by kind.
 pub fn count_violations(violations: &[Violation]) -> BTreeMap<&'static str, usize> {
     let mut counts = BTreeMap::new();
     for one in violations {
@@ -193,7 +193,8 @@
     table
 }
 
-/// Says whether an id at a backend server belongs to a request: the id itself, a retry or a hedge.
+/// Returns whether a request id seen by a backend server is the given one, or that of a retry (`-r`) or
+/// hedge (`-h`) of it.
 fn same_request(at_backend: &str, request: &str) -> bool {
     !request.is_empty()
         && at_backend
--- a/crates/zinniahatch_lab/src/cluster.rs
+++ b/crates/zinniahatch_lab/src/cluster.rs
@@ -1,4 +1,4 @@
-//! A whole system on loopback addresses: stand-ins in this process, daemons as processes.
+//! A complete system on loopback addresses: test doubles in this process, daemons as child processes.
 
 use crate::history::HistoryLog;
 use crate::relay::LinkState;
@@ -36,7 +36,7 @@
 use prepare::settings_text;
 use prepare::start_backends;
 
-/// Time for every node to serve.
+/// Longest time for a node to become ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(30);
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 const SECRET: &str = "lab-secret-of-the-nodes";
@@ -44,22 +44,22 @@
 static NEXT_FOLDER: AtomicU64 = AtomicU64::new(0);
 static NEXT_ADDRESS: AtomicU64 = AtomicU64::new(0);
 
-/// How a system is started.
+/// Options of a cluster.
 #[derive(Clone, Debug)]
 pub struct ClusterOptions {
-    /// How fast engines are.
+    /// Speed of the engines.
     pub speed: EngineSpeed,
-    /// How long a call of a plain service takes.
+    /// Service time of a plain service.
     pub plain_time: Duration,
-    /// Interval at which counts are copied to their merger.
+    /// Interval at which nodes send their usage counts to the node that merges them.
     pub seal: Duration,
-    /// Interval at which counts are merged into the store.
+    /// Interval at which usage counts are merged into the store.
     pub merge: Duration,
-    /// How the daemons choose a place for a request.
+    /// Rule by which the daemons place requests.
     pub route: RouteRule,
-    /// Longest time for a caller to send its body.
+    /// Longest time a caller may take to send a request body.
     pub body_timeout: Duration,
-    /// Whether one stand-in serves all backend servers of a kind, for systems of design size.
+    /// Whether all backend servers share the address of one test double, for clusters of design size.
     pub shared_backends: bool,
     /// Log level of the daemons.
     pub log_level: &'static str,
@@ -80,7 +80,7 @@
     }
 }
 
-/// One daemon.
+/// One node and its daemon process.
 pub struct NodeHandle {
     /// Its name.
     pub name: NodeId,
@@ -88,25 +88,25 @@
     pub region: RegionId,
     /// Its data centre.
     pub data_centre: DataCentreId,
-    /// Its address for callers.
+    /// Its HTTP address for callers.
     pub http: Box<str>,
-    /// Its address for control messages.
+    /// Its address for control messages of other nodes.
     pub peer: Box<str>,
     settings: PathBuf,
-    /// The file of its log.
+    /// Path of its log.
     pub log: PathBuf,
     child: Option<Child>,
 }
 
-/// A running system; its processes end when it is dropped.
+/// A running cluster; its processes are killed when it is dropped.
 pub struct LabCluster {
-    /// The user's plan, with the addresses of the stand-ins in its parts.
+    /// The user's plan, with the addresses of the test doubles in its configuration parts.
     pub plan: UserPlan,
-    /// The history that backend servers and load write.
+    /// The history that backend servers and the load generator write.
     pub history: HistoryLog,
     /// The store.
     pub store: FakeStore,
-    /// Each region's way to the store.
+    /// Faults of each region's access to the store.
     pub store_faults: BTreeMap<RegionId, FaultSwitch>,
     /// The directory and the VM list.
     pub directory: FakeDirectory,
@@ -114,11 +114,11 @@
     pub engines: BTreeMap<ReplicaId, Arc<FakeEngine>>,
     /// Every backend server by name.
     pub backends: BTreeMap<ReplicaId, Arc<FakeBackend>>,
-    /// The daemons.
+    /// The nodes.
     pub nodes: Vec<NodeHandle>,
     /// The link between each pair of regions.
     pub links: BTreeMap<(RegionId, RegionId), LinkState>,
-    /// The address of a front of the store without faults.
+    /// URL of a store endpoint without faults.
     pub store_url: String,
     backend_servers: BTreeMap<ReplicaId, FakeServer>,
     _servers: Vec<FakeServer>,
@@ -127,11 +127,11 @@
 }
 
 impl LabCluster {
-    /// Starts a system and waits until every node serves.
+    /// Starts a cluster and waits until every node is ready.
     ///
     /// # Panics
     ///
-    /// Where a stand-in or a daemon cannot be started, or a node does not serve in time.
+    /// Panics if a test double or daemon cannot be started, or a node is not ready in time.
     pub async fn start(plan: UserPlan, options: &ClusterOptions) -> Self {
         let mut cluster = Self::prepare(plan, options).await;
         for index in 0..cluster.nodes.len() {
@@ -141,11 +141,11 @@
         cluster
     }
 
-    /// Starts the stand-ins and writes the settings, but starts no daemon.
+    /// Starts the test doubles and writes the settings files, but starts no daemon.
     ///
     /// # Panics
     ///
-    /// Where a stand-in cannot be started or a file cannot be written.
+    /// Panics if a test double cannot be started or a file cannot be written.
     pub async fn prepare(mut plan: UserPlan, options: &ClusterOptions) -> Self {
         let history = HistoryLog::default();
         let store = FakeStore::default();
@@ -210,11 +210,11 @@
         }
     }
 
-    /// Gives the index of a node.
+    /// Returns the index of a node.
     ///
     /// # Panics
     ///
-    /// Where there is no such node.
+    /// Panics if there is no such node.
     pub fn index_of(&self, name: &str) -> usize {
         self.nodes
             .iter()
@@ -226,7 +226,7 @@
     ///
     /// # Panics
     ///
-    /// Where the daemon's program is not built.
+    /// Panics if the daemon's binary is not built.
     pub fn spawn(&mut self, index: usize) {
         let node = &mut self.nodes[index];
         let log = fs::OpenOptions::new()
@@ -246,11 +246,12 @@
         node.child = Some(child);
     }
 
-    /// Waits until every started node serves.
+    /// Waits until every started node is ready.
     ///
     /// # Panics
     ///
-    /// Where one does not in time, or has ended: then whoever answers at its address is a stranger.
+    /// Panics if a node is not ready in time or its process has ended. In the latter case, whatever
+    /// responds at its address is another process.
     pub async fn wait_ready(&mut self) {
         let client = reqwest::Client::new();
         for index in 0..self.nodes.len() {
@@ -273,7 +274,7 @@
         }
     }
 
-    /// Kills a node at once.
+    /// Kills a node's process.
     pub fn kill(&mut self, index: usize) {
         if let Some(mut child) = self.nodes[index].child.take() {
             let _ = child.kill();
@@ -281,22 +282,22 @@
         }
     }
 
-    /// Tells a node to stop as planned.
+    /// Sends a node SIGTERM, which starts a planned stop.
     pub fn terminate(&self, index: usize) {
         self.signal(index, "-TERM");
     }
 
-    /// Freezes a node, or lets it go on.
+    /// Freezes a node with SIGSTOP, or lets it continue with SIGCONT.
     pub fn freeze(&self, index: usize, frozen: bool) {
         self.signal(index, if frozen { "-STOP" } else { "-CONT" });
     }
 
-    /// Gives a node's process id.
+    /// Returns a node's process id.
     pub fn process(&self, index: usize) -> Option<u32> {
         self.nodes[index].child.as_ref().map(Child::id)
     }
 
-    /// Says whether a node's process has ended, and whether it ended well.
+    /// Returns whether a node's process exited successfully; `None` if it has not ended.
     pub fn ended(&mut self, index: usize) -> Option<bool> {
         let child = self.nodes[index].child.as_mut()?;
         child
@@ -306,14 +307,14 @@
             .map(|status| status.success())
     }
 
-    /// Kills a backend server at once.
+    /// Kills a backend server.
     pub fn kill_backend(&self, name: &str) {
         if let Some(server) = self.backend_servers.get(name) {
             server.kill();
         }
     }
 
-    /// Marks a backend server as leaving, at itself and on the VM list.
+    /// Marks a backend server as leaving, in its own state and on the VM list.
     pub fn leave_backend(&self, name: &str) {
         if let Some(backend) = self.backends.get(name) {
             backend.leave();
@@ -321,7 +322,7 @@
         self.directory.set_state(name, VmState::Leaving);
     }
 
-    /// Gives every link of a region.
+    /// Returns the links between a region and all others.
     pub fn links_of(&self, region: &str) -> Vec<LinkState> {
         self.links
             .iter()
@@ -349,11 +350,11 @@
     }
 }
 
-/// Gives the configuration of a plan.
+/// Builds the configuration of a plan.
 ///
 /// # Panics
 ///
-/// Where the plan is wrong.
+/// Panics if the plan is invalid.
 pub fn config_of(plan: &UserPlan) -> ClusterConfig {
     let head = ConfigHead {
         revision: 1,
@@ -363,7 +364,7 @@
     ClusterConfig::build(&head, &plan.parts).expect("the plan is right")
 }
 
-/// Says whether a node serves.
+/// Returns whether a node reports that it is ready.
 pub async fn is_ready(client: &reqwest::Client, http: &str) -> bool {
     let request = client
         .get(format!("http://{http}/readyz"))
@@ -371,7 +372,7 @@
     matches!(request.send().await, Ok(response) if response.status().is_success())
 }
 
-/// Finds the daemon's program beside this one.
+/// Returns the path of the daemon's binary, which is built into the same folder as the running one.
 pub(crate) fn daemon_path() -> PathBuf {
     let own = std::env::current_exe().expect("a running program has a path");
     let folder = own.parent().expect("a program is in a folder");
--- a/crates/zinniahatch_lab/src/cluster/prepare.rs
+++ b/crates/zinniahatch_lab/src/cluster/prepare.rs
@@ -1,4 +1,5 @@
-//! What a system needs before its daemons start: stand-ins, configuration, addresses, settings.
+//! Preparation of a cluster before its daemons start: test doubles, configuration, addresses, settings
+//! files.
 
 use super::ClusterOptions;
 use super::NEXT_ADDRESS;
@@ -30,13 +31,14 @@
 use zinniahatch_platform::VmKind;
 use zinniahatch_platform::VmState;
 
-/// Loopback hosts that a process uses in turn, and the ports on each: where they begin, how far apart those of two turns
-/// are, and turns before they come again.
+/// Allocation of loopback addresses within one process: calls rotate through `HOSTS` hosts; on each
+/// host, the search for free ports starts at `FIRST_PORT`, `PORT_STRIDE` ports higher in each round,
+/// and wraps after `STRIDES` rounds.
 const HOSTS: u64 = 100;
 const FIRST_PORT: u16 = 20_000;
 const PORT_STRIDE: u16 = 100;
 const STRIDES: u64 = 100;
-/// The first of the ports that the system gives out by itself, where it does not say.
+/// First ephemeral port, assumed if the kernel does not report its range.
 const DEFAULT_EPHEMERAL_START: u16 = 32_768;
 
 type StartedBackends = (
@@ -45,7 +47,7 @@
     BTreeMap<ReplicaId, FakeServer>,
 );
 
-/// Starts a stand-in for each backend server and writes its address into the plan.
+/// Starts a test double of each backend server and writes its address into the plan.
 pub(super) async fn start_backends(
     plan: &mut UserPlan,
     options: &ClusterOptions,
@@ -145,14 +147,15 @@
     nodes
 }
 
-/// Finds so many addresses of this machine on which nobody listens, with ports that the system gives to nobody by itself.
+/// Finds `count` unused loopback addresses, with ports below the ephemeral range.
 ///
-/// A node is started long after its addresses were found, and again after it was stopped. A socket that is open to all
-/// addresses of the machine, as those of outgoing datagrams are, would take a port of the system's own range meanwhile.
+/// A node binds its addresses long after they were chosen, and again after a restart. In the meantime,
+/// a socket bound to the wildcard address, such as one for outgoing datagrams, may take any port of the
+/// ephemeral range.
 ///
 /// # Panics
 ///
-/// Where no port is free.
+/// Panics if too few ports are free.
 pub fn free_addresses(count: usize) -> Vec<Box<str>> {
     let process = std::process::id();
     let number = NEXT_ADDRESS.fetch_add(1, Ordering::Relaxed);
@@ -172,12 +175,12 @@
     found
 }
 
-/// Tells whether nobody has a port, for connections or datagrams.
+/// Returns whether a port is unused for both TCP and UDP.
 fn is_free(host: &str, port: u16) -> bool {
     TcpListener::bind((host, port)).is_ok() && UdpSocket::bind((host, port)).is_ok()
 }
 
-/// Gives the first of the ports that the system gives out by itself.
+/// Returns the first port of the kernel's ephemeral range.
 fn ephemeral_port_start() -> u16 {
     let range = std::fs::read_to_string("/proc/sys/net/ipv4/ip_local_port_range");
     let first = range
@@ -186,7 +189,8 @@
     first.unwrap_or(DEFAULT_EPHEMERAL_START)
 }
 
-/// Starts the relays through which a node reaches those of other regions.
+/// Starts the relays through which a node reaches the nodes of other regions; returns the address
+/// translations.
 pub(super) async fn make_relays(
     config: &ClusterConfig,
     plan: &UserPlan,
--- a/crates/zinniahatch_lab/src/history.rs
+++ b/crates/zinniahatch_lab/src/history.rs
@@ -1,32 +1,32 @@
-//! The history of a run: one record for each send, answer and execution.
+//! The history of a run: one record for each attempt of a caller and each execution.
 
 use std::sync::Arc;
 use std::sync::Mutex;
 use std::sync::PoisonError;
 use zinniahatch_base::prelude::*;
 
-/// Names one intended operation of a caller, over all its sends.
+/// Identifies one intended operation of a caller across all its attempts.
 pub type OperationId = u64;
 
-/// What a caller knows after one send.
+/// Outcome of one attempt as the caller sees it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SendOutcome {
-    /// A whole answer, and whether it was the right one.
+    /// A complete response.
     Whole {
-        /// Whether the content is that of the operation.
+        /// Whether the content is the expected one of the operation.
         right: bool,
     },
-    /// A refusal or failure with the execution that it claims.
+    /// A refusal or failure, with what it says about the execution.
     Told(Execution),
-    /// The answer broke off, visibly.
+    /// The response was truncated, and the caller could tell.
     CutOff,
-    /// The answer ended as if whole, without its end mark.
+    /// The response ended normally but without its end marker.
     FalseEnd,
-    /// No connection, or a broken one before any answer.
+    /// The connection failed or closed before any response.
     NoAnswer,
 }
 
-/// One send of an operation.
+/// One attempt at an operation.
 #[derive(Clone, Debug)]
 pub struct SendRecord {
     /// The operation.
@@ -37,7 +37,7 @@
     pub home: RegionId,
     /// The service.
     pub service: ServiceId,
-    /// Whether the operation is bound to its home.
+    /// Whether the operation may run in the home region only.
     pub bound: bool,
     /// Whether the operation may run at most once.
     pub once: bool,
@@ -45,34 +45,34 @@
     pub sent_to: RegionId,
     /// The address of that entry VM.
     pub entry: Box<str>,
-    /// Whether it collects the kept answer of an earlier send, and so is no request of its own.
+    /// Whether it fetches the stored response of an earlier attempt instead of starting a request.
     pub collects: bool,
-    /// When it was meant to be sent, from the start of the run.
+    /// Intended send time, from the start of the run.
     pub scheduled: Duration,
-    /// When the end was seen, from the start of the run.
+    /// When the outcome was known, from the start of the run.
     pub ended: Duration,
-    /// Delay from the intended send to the first byte.
+    /// Delay from the intended send time to the first byte.
     pub first_byte: Option<Duration>,
-    /// The request id that the system gave.
+    /// The request id assigned by the system.
     pub request: RequestId,
-    /// The number of the result code; 0 where none was seen.
+    /// The number of the result code; 0 if none was received.
     pub code: u16,
     /// The region that served.
     pub served: RegionId,
-    /// What the caller knows.
+    /// The outcome.
     pub end: SendOutcome,
-    /// The error of the connection where it gave no answer.
+    /// The connection error, if there was no response.
     pub problem: Box<str>,
-    /// Cost by the price list, for whole answers.
+    /// Cost by the price list, for complete responses.
     pub cost: f64,
     /// Tokens generated.
     pub tokens: u64,
 }
 
 impl SendRecord {
-    /// Says whether this is a request that the system must have counted.
+    /// Returns whether the system must have counted this attempt as a request.
     ///
-    /// Collecting the kept answer of an earlier request is none.
+    /// Fetching the stored response of an earlier request does not count as one.
     pub fn is_counted(&self) -> bool {
         let ended = matches!(self.end, SendOutcome::CutOff | SendOutcome::NoAnswer);
         !self.collects && (self.code != 0 || ended)
@@ -82,30 +82,30 @@
 /// One execution at a backend server.
 #[derive(Clone, Debug)]
 pub struct ExecutionRecord {
-    /// The operation, as the request's content names it.
+    /// The operation, read from the request's content.
     pub operation: OperationId,
-    /// The request id that the system gave.
+    /// The request id assigned by the system.
     pub request: RequestId,
     /// The backend server.
     pub replica: ReplicaId,
     /// Its region.
     pub region: RegionId,
-    /// When it began, from the start of the run.
+    /// Start time, from the start of the run.
     pub began: Duration,
-    /// How long before the beginning the backend server was marked as leaving.
+    /// How long the backend server had been draining by then; `None` if it was not.
     pub leaving_for: Option<Duration>,
 }
 
-/// Everything that happened.
+/// All records of a run.
 #[derive(Debug, Default)]
 pub struct HistoryData {
-    /// Sends, in the order of their ends.
+    /// Attempts, in the order in which they ended.
     pub sends: Vec<SendRecord>,
-    /// Executions, in the order of their beginnings.
+    /// Executions, in the order in which they started.
     pub executions: Vec<ExecutionRecord>,
 }
 
-/// A history that many tasks write.
+/// A history that can be written by many tasks.
 #[derive(Clone, Debug)]
 pub struct HistoryLog {
     started: Instant,
@@ -122,17 +122,17 @@
 }
 
 impl HistoryLog {
-    /// Gives the time since the start of the run.
+    /// Returns the time elapsed since the start of the run.
     pub fn now(&self) -> Duration {
         self.started.elapsed()
     }
 
-    /// Gives the start of the run.
+    /// Returns the start of the run.
     pub fn started(&self) -> Instant {
         self.started
     }
 
-    /// Adds a send.
+    /// Adds an attempt.
     pub fn add_send(&self, record: SendRecord) {
         self.with(|data| data.sends.push(record));
     }
@@ -142,7 +142,7 @@
         self.with(|data| data.executions.push(record));
     }
 
-    /// Reads or changes the data.
+    /// Runs a closure with exclusive access to the data.
     pub fn with<T>(&self, action: impl FnOnce(&mut HistoryData) -> T) -> T {
         let mut data = self.data.lock().unwrap_or_else(PoisonError::into_inner);
         action(&mut data)
--- a/crates/zinniahatch_lab/src/lib.rs
+++ b/crates/zinniahatch_lab/src/lib.rs
@@ -1,4 +1,4 @@
-//! The lab: stand-ins for everything outside, load, experiments, and the history checker.
+//! Test lab: test doubles of all external systems, load generation, experiments and a history checker.
 
 pub mod checker;
 pub mod cluster;
--- a/crates/zinniahatch_lab/src/operator.rs
+++ b/crates/zinniahatch_lab/src/operator.rs
@@ -1,4 +1,4 @@
-//! An operator's calls of the administration API of one node.
+//! Client of a node's administration API.
 
 use crate::cluster::LabCluster;
 use reqwest::Client;
@@ -8,7 +8,7 @@
 use zinniahatch_base::prelude::*;
 use zinniahatch_report::ReportResult;
 
-/// One operator at one node.
+/// Client of one node's administration API, with the token of one operator.
 #[derive(Clone, Debug)]
 pub struct AdminClient {
     client: Client,
@@ -17,7 +17,7 @@
 }
 
 impl AdminClient {
-    /// Makes the calls of an operator with this token at a node of a system.
+    /// Creates a client of a node of the cluster.
     pub fn new(cluster: &LabCluster, node: usize, token: &str) -> Self {
         let base = format!("http://{}/admin", cluster.nodes[node].http);
         Self {
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Reads a path; `Null` where the node gave no JSON.
+    /// Sends a GET request; returns `Null` if the node does not respond with JSON.
     pub async fn get(&self, path: &str) -> Value {
         let request = self
             .client
@@ -39,7 +39,8 @@
         }
     }
 
-    /// Posts to a path; gives the status and the text, both empty where the node gave no answer.
+    /// Sends a POST request and returns status and body; 502 and the error's text if there is no
+    /// response.
     pub async fn post(&self, path: &str, body: &Value) -> (StatusCode, String) {
         let request = self
             .client
@@ -52,18 +53,18 @@
         }
     }
 
-    /// Gives the revision in force at the node.
+    /// Returns the configuration revision in force at the node.
     pub async fn revision(&self) -> Revision {
         self.get("status").await["brief"]["revision"]
             .as_u64()
             .unwrap_or(0)
     }
 
-    /// Switches the preset; gives the revision that this made.
+    /// Switches the preset and returns the resulting revision.
     ///
     /// # Errors
     ///
-    /// Gives the node's verdict where the switch was not accepted.
+    /// Returns the node's verdict if it did not accept the switch.
     pub async fn switch_preset(&self, preset: &str, change: &str) -> Result<Revision, String> {
         let ask =
             json!({"change": change, "expect_revision": self.revision().await, "preset": preset});
@@ -75,7 +76,7 @@
         revision.ok_or_else(|| format!("the switch was not accepted: {text}"))
     }
 
-    /// Reads a report.
+    /// Fetches a report.
     pub async fn report(&self, by: &str) -> Option<ReportResult> {
         serde_json::from_value(self.get(&format!("report?by={by}")).await).ok()
     }
--- a/crates/zinniahatch_lab/src/relay.rs
+++ b/crates/zinniahatch_lab/src/relay.rs
@@ -1,5 +1,5 @@
-//! A TCP relay: a slow wide-area link that can be cut, one way or both, slowed and reset, and
-//! connections that go silent.
+//! TCP relay that emulates a wide-area link and its faults: added delay, loss in one or both
+//! directions, resets, and connections that go silent.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicU64;
@@ -20,21 +20,22 @@
 use zinniahatch_base::prelude::*;
 
 const CHUNK_BYTES: usize = 16 << 10;
-/// Chunks on their way over the link in one direction of one connection.
+/// Maximum number of chunks in flight in one direction of one connection.
 const MAX_IN_FLIGHT_CHUNKS: usize = 256;
 const CUT_EPOCH: u64 = u64::MAX;
 
 /// The state of a link, shared by its relays.
 ///
-/// Connections carry the link's epoch of their opening. Raising the epoch makes those open now
-/// silent for good; a cut makes every connection silent while it lasts.
+/// Connections are numbered in the order in which they are opened. Those numbered below `silent_below`
+/// are silent: raising it beyond the latest number silences the open connections for good, and a cut
+/// silences all connections while it lasts.
 #[derive(Clone, Debug, Default)]
 pub struct LinkState {
     silent_below: Arc<AtomicU64>,
     opened: Arc<AtomicU64>,
-    /// Direction in which bytes are lost: a `LinkDirection`, or 0.
+    /// Direction in which bytes are dropped: a `LinkDirection`, or 0 for none.
     lossy_direction: Arc<AtomicU64>,
-    /// Delay beyond the link's own, in ms.
+    /// Delay added to the link's own, in ms.
     extra_delay_ms: Arc<AtomicU64>,
     reset: Arc<Notify>,
 }
@@ -42,36 +43,36 @@
 /// A direction of a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LinkDirection {
-    /// From whoever connects.
+    /// From the side that connects.
     Forward = 1,
-    /// Back to them.
+    /// To the side that connects.
     Return = 2,
 }
 
 impl LinkState {
-    /// Cuts the link: what is sent is swallowed, and nothing says so.
+    /// Cuts the link: bytes are dropped silently in both directions.
     pub fn cut(&self) {
         self.silent_below.store(CUT_EPOCH, Ordering::SeqCst);
     }
 
-    /// Heals the link for connections opened from now on; those open before stay silent.
+    /// Ends a cut for connections opened from now on; those opened before stay silent.
     pub fn heal(&self) {
         self.silence_open();
     }
 
-    /// Makes the connections that are open now silent for good.
+    /// Silences the connections that are open now for good.
     pub fn silence_open(&self) {
         let next = self.opened.load(Ordering::SeqCst) + 1;
         self.silent_below.store(next, Ordering::SeqCst);
     }
 
-    /// Loses the bytes of one direction, of open and of new connections.
+    /// Drops all bytes in one direction, on open and new connections.
     pub fn lose(&self, direction: LinkDirection) {
         self.lossy_direction
             .store(direction as u64, Ordering::SeqCst);
     }
 
-    /// Delays bytes beyond the link's own delay.
+    /// Adds a delay to the link's own.
     pub fn slow(&self, delay: Duration) {
         let millis = delay.as_millis() as u64;
         self.extra_delay_ms.store(millis, Ordering::SeqCst);
@@ -82,8 +83,10 @@
         self.reset.notify_waiters();
     }
 
-    /// Ends losses and delays. Connections that lost bytes are closed, since what came after the hole
-    /// would be taken for the rest.
+    /// Ends losses and delays.
+    ///
+    /// If the link was dropping bytes, its open connections are closed; otherwise the receiver would
+    /// take the bytes after the gap for the continuation of those before it.
     pub fn restore(&self) {
         self.extra_delay_ms.store(0, Ordering::SeqCst);
         if self.lossy_direction.swap(0, Ordering::SeqCst) != 0 {
@@ -100,7 +103,7 @@
     }
 }
 
-/// One relay to one address.
+/// A relay to one address.
 pub struct TcpRelay {
     /// Where it listens.
     pub address: Box<str>,
@@ -108,21 +111,23 @@
 }
 
 impl TcpRelay {
-    /// Relays to an address with a one-way delay.
+    /// Starts a relay to an address with the given one-way delay.
     ///
     /// # Panics
     ///
-    /// Where no port is free.
+    /// Panics if no port is free.
     pub async fn start(to: &str, delay: Duration, link: LinkState) -> Self {
         Self::start_until(to, delay, link, CancellationToken::new()).await
     }
 
-    /// Relays to an address until its process has ended; then connections end and are refused, as they are
-    /// by the machine of a process that is gone.
+    /// Starts a relay that stops when `ended` is cancelled.
+    ///
+    /// Open connections are closed and new ones refused then, as a host does after the process that
+    /// listened has ended.
     ///
     /// # Panics
     ///
-    /// Where no port is free.
+    /// Panics if no port is free.
     pub async fn start_until(
         to: &str,
         delay: Duration,
@@ -161,7 +166,7 @@
 
 async fn relay(inbound: TcpStream, to: Box<str>, delay: Duration, link: LinkState) {
     let number = link.opened.fetch_add(1, Ordering::SeqCst) + 1;
-    // The handshake crosses the link outgoing and returning.
+    // The TCP handshake takes one round trip over the link.
     sleep(delay * 2).await;
     let Ok(outbound) = TcpStream::connect(&*to).await else {
         return;
@@ -183,7 +188,7 @@
     let mut returning = tokio::spawn(forward(out_read, in_write, delay, returning));
     let _guard = AbortOnDrop([outgoing.abort_handle(), returning.abort_handle()]);
     let ended = async {
-        // A task fails only when it is aborted below.
+        // The tasks fail only if `_guard` aborts them, which happens after this.
         let _ = (&mut outgoing).await;
         let _ = (&mut returning).await;
     };
@@ -193,7 +198,7 @@
     }
 }
 
-/// Ends both directions of a connection when its relay ends, however it does.
+/// Aborts the tasks of both directions of a connection when dropped.
 struct AbortOnDrop([AbortHandle; 2]);
 
 impl Drop for AbortOnDrop {
@@ -227,7 +232,7 @@
     } = flow;
     let writer_link = link.clone();
     let writer = tokio::spawn(async move {
-        // No connection delivers what comes after a hole; one that lost bytes stays silent.
+        // TCP never delivers data after a gap, so that a connection that lost bytes stays silent.
         let mut lost_bytes = false;
         while let Some((due, bytes)) = receiver.recv().await {
             sleep_until(due).await;
@@ -239,7 +244,7 @@
                 return;
             }
         }
-        // The end of a silent connection is not passed on either.
+        // The close of a silent connection is not passed on either.
         while writer_link.is_silent(number) {
             sleep(Duration::from_secs(5)).await;
             if writer_link.silent_below.load(Ordering::SeqCst) != CUT_EPOCH {
--- a/crates/zinniahatch_lab/src/site.rs
+++ b/crates/zinniahatch_lab/src/site.rs
@@ -1,4 +1,4 @@
-//! A small system on the users' platform: the real daemon as processes, stand-ins around it.
+//! A small system on the users' platform: real daemons as processes, surrounded by test doubles.
 
 mod calls;
 mod desired;
@@ -27,34 +27,35 @@
 use tokio::time::sleep;
 use zinniahatch_base::prelude::*;
 
-/// The operators' key of the desired state.
+/// Store key to which operators write the desired state.
 const DESIRED_KEY: &str = "op/config";
 /// The host of every route.
 pub const HOST: &str = "desk.test";
-/// Pause between looks at a condition.
+/// Pause between two checks of a condition.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// Looks before a test gives up; far beyond what a busy machine takes.
+/// Number of checks before a test gives up: with the pauses, at least 60 s, far more than a busy
+/// machine needs.
 const MAX_POLLS: u32 = 3_000;
-/// How long a caller waits.
+/// Default time that a caller has.
 const CALL_TIMEOUT: Duration = Duration::from_secs(20);
-/// The signal that asks a process to stop.
+/// Number of the signal SIGTERM.
 const SIGTERM: i32 = 15;
-/// Grace of a planned stop, in seconds.
+/// Grace period of a planned stop, in seconds.
 const GRACE_SECONDS: u64 = 8;
 
 /// One region of a site.
 #[derive(Clone, Copy, Debug)]
 pub struct SiteRegion {
-    /// Its name; its one data centre is called the same with `-a`.
+    /// Its name; the name of its only data centre is the same with the suffix `-a`.
     pub name: &'static str,
-    /// Entry VMs.
+    /// Number of entry VMs.
     pub entries: usize,
-    /// Replicas of the model service.
+    /// Number of replicas of the model service.
     pub replicas: usize,
 }
 
 impl SiteRegion {
-    /// Makes a region with so many entry VMs and replicas.
+    /// Creates a region with these numbers of entry VMs and replicas.
     pub const fn new(name: &'static str, entries: usize, replicas: usize) -> Self {
         Self {
             name,
@@ -71,15 +72,15 @@
     pub name: Box<str>,
     /// Its region.
     pub region: &'static str,
-    /// Addresses: callers, readiness, control, directory, other nodes.
+    /// Listening addresses: front, readiness, control, directory, peer.
     pub addresses: Vec<Box<str>>,
     child: Option<Child>,
-    /// Length of its decision log when its process was started.
+    /// Size of its decision log when its current process was started.
     log_bytes_before: u64,
     folder: PathBuf,
 }
 
-/// A replica that has ended.
+/// A replica that was replaced or restarted.
 #[derive(Clone, Debug)]
 struct RetiredReplica {
     index: usize,
@@ -88,26 +89,26 @@
     observations: ReplicaObservations,
 }
 
-/// A whole site; its processes end when this is dropped.
+/// A complete site; its processes are killed when it is dropped.
 pub struct SiteCluster {
     /// The store.
     pub store: FakeStore,
-    /// The faults of the store.
+    /// Faults of the store.
     pub store_faults: FaultSwitch,
     /// The entry VMs.
     pub entries: Vec<SiteEntry>,
-    /// The requests that end the replicas which begin them.
+    /// The requests that crash the replicas which run them.
     pub crashing_requests: CrashingRequests,
-    /// The replicas with the region of each.
+    /// The replicas, each with its region.
     pub replicas: Vec<(FakeReplica, &'static str)>,
-    /// The link to each replica, and the relay at whose address it is registered.
+    /// The link to each replica, and the relay whose address is registered for it.
     links: Vec<(LinkState, TcpRelay)>,
     /// Each region's link to the store.
     store_links: BTreeMap<&'static str, (LinkState, TcpRelay)>,
-    /// What replicas saw that have ended.
+    /// The observations of replicas that were replaced or restarted.
     retired: Vec<RetiredReplica>,
     shape: StreamShape,
-    /// Whether keys that were taken away must run nowhere a while later.
+    /// Whether the site has client accounts, so that revoked keys must be refused after a bounded time.
     has_accounts: bool,
     server: FakeServer,
     regions: Vec<SiteRegion>,
@@ -120,18 +121,18 @@
     ///
     /// # Panics
     ///
-    /// Where a process cannot be started.
+    /// Panics if a process cannot be started.
     pub async fn start(regions: &[SiteRegion], shape: StreamShape) -> Self {
         let mut cluster = Self::prepare(regions, shape).await;
         cluster.start_entries().await;
         cluster
     }
 
-    /// Starts a site whose callers have to say who they are, and waits until every entry VM is ready.
+    /// Starts a site with client accounts, and waits until every entry VM is ready.
     ///
     /// # Panics
     ///
-    /// Where a process cannot be started.
+    /// Panics if a process cannot be started.
     pub async fn start_with_accounts(
         regions: &[SiteRegion],
         shape: StreamShape,
@@ -154,11 +155,11 @@
         self.wait_discovered().await;
     }
 
-    /// Makes everything but starts no entry VM.
+    /// Sets up everything but starts no entry VM.
     ///
     /// # Panics
     ///
-    /// Where a folder cannot be made.
+    /// Panics if a folder cannot be made.
     pub async fn prepare(regions: &[SiteRegion], shape: StreamShape) -> Self {
         let store = FakeStore::default();
         let store_faults = FaultSwitch::default();
@@ -215,7 +216,7 @@
         cluster
     }
 
-    /// Writes a desired state, as the operator does; `more` names further plain routes.
+    /// Writes a desired state, as the operator does; `more` lists additional plain routes.
     pub fn configure(&self, version: u64, more: &[&str]) {
         let state = desired_state(version, more);
         self.store.write(DESIRED_KEY, &state.to_string());
@@ -228,7 +229,7 @@
         self.store.write(DESIRED_KEY, &state.to_string());
     }
 
-    /// Writes the entry of a replica.
+    /// Writes the store entry of a replica.
     pub fn register(&self, index: usize, state: &str) {
         let (replica, region) = &self.replicas[index];
         let zone = format!("{region}-a");
@@ -238,11 +239,11 @@
         self.store.write(&key, &entry);
     }
 
-    /// Writes the entry of a replica that is cold for a while.
+    /// Writes the store entry of a replica that is cold for the time `left`.
     ///
     /// # Panics
     ///
-    /// Where an entry is no JSON.
+    /// Panics if the entry is not JSON.
     pub fn register_cold(&self, index: usize, left: Duration) {
         let (replica, region) = &self.replicas[index];
         let zone = format!("{region}-a");
@@ -253,8 +254,10 @@
         self.store.write(&key, &entry.to_string());
     }
 
-    /// Writes the entries of all replicas again, as after the return of the store from a copy, and removes those of
-    /// replicas that have ended; `state` gives what each says, none where it has no entry.
+    /// Writes the entries of all replicas again, as after a restore of the store, and removes stale
+    /// ones.
+    ///
+    /// `state` returns the state in the entry of each replica, or `None` if it has no entry.
     pub fn register_all(&self, state: impl Fn(usize) -> Option<&'static str>) {
         for key in self.store.keys("servers/") {
             let lives =
@@ -271,13 +274,13 @@
         }
     }
 
-    /// Removes the entry of a replica, as when it has left or its lease lapsed.
+    /// Removes the entry of a replica, as when it has left or its lease has expired.
     pub fn unregister(&self, index: usize) {
         let id = &self.replicas[index].0.id;
         self.store.remove(&format!("servers/{id}"));
     }
 
-    /// Ends a replica and starts another one in its place, under a new id at a new address.
+    /// Replaces a replica by another one with a new id and address.
     pub async fn replace_replica(&mut self, index: usize) {
         self.unregister(index);
         let number = self.retired.len();
@@ -286,13 +289,13 @@
         self.start_replica(index, &id).await;
     }
 
-    /// Ends a replica and starts it again under its id; it knows nothing of before.
+    /// Restarts a replica under the same id, without its former state.
     pub async fn restart_replica(&mut self, index: usize) {
         let id = self.replicas[index].0.id.clone();
         self.start_replica(index, &id).await;
     }
 
-    /// Starts another replica in the place of each that has crashed; tells which.
+    /// Replaces each replica that has crashed; returns their indices.
     pub async fn replace_crashed(&mut self) -> Vec<usize> {
         let crashed = |(replica, _): &(FakeReplica, &str)| replica.ended().is_cancelled();
         let indices: Vec<usize> = (0..self.replicas.len())
@@ -319,18 +322,18 @@
         self.register(index, "ready");
     }
 
-    /// Gives the link to a replica.
+    /// Returns the link to a replica.
     pub fn link(&self, index: usize) -> &LinkState {
         &self.links[index].0
     }
 
-    /// Gives a region's link to the store.
+    /// Returns a region's link to the store.
     pub fn store_link(&self, region: &str) -> &LinkState {
         &self.store_links[region].0
     }
 
-    /// Writes an entry under another id at a replica's address, as it lies there when the address was
-    /// given to another replica.
+    /// Writes a stale entry: that of a former replica whose address has since been assigned to this
+    /// one.
     pub fn register_stale(&self, index: usize, id: &str) {
         let (replica, region) = &self.replicas[index];
         let zone = format!("{region}-a");
@@ -339,7 +342,7 @@
             .write(&key, &replica.entry("desk", &zone, "ready"));
     }
 
-    /// Gives the store's address.
+    /// Returns the store's address.
     pub fn store_address(&self) -> &str {
         &self.server.address
     }
@@ -349,8 +352,8 @@
         let [front, readiness, control, directory, peer] = &entry.addresses[..] else {
             panic!("an entry VM has five addresses");
         };
-        // All entry VMs of a lab share one IP, so that seeds cannot name them by the port of the
-        // day; they find each other through their keys in the store.
+        // All entry VMs of a lab share one IP address and get new ports in each run, so that seeds
+        // cannot name them; they find each other through their keys in the store.
         let mut text = format!(
             "[node]\nname = {}\nregion = {}\ndata_centre = {}-a\n\n[listen]\nfront = {front}\n\
              readiness = {readiness}\ncontrol = {control}\ndirectory = {directory}\npeer = {peer}\n\
@@ -377,7 +380,7 @@
     ///
     /// # Panics
     ///
-    /// Where the daemon cannot be started.
+    /// Panics if the daemon cannot be started.
     pub fn spawn(&mut self, index: usize) {
         let name = self.entries[index].name.clone();
         let settings = self.folder.join(format!("{name}.ini"));
@@ -397,13 +400,13 @@
         self.entries[index].child = Some(child);
     }
 
-    /// Gives the path of an entry VM's decision log.
+    /// Returns the path of an entry VM's decision log.
     pub fn log_path(&self, index: usize) -> PathBuf {
         let entry = &self.entries[index];
         entry.folder.join(format!("{}.log", entry.name))
     }
 
-    /// Gives an entry VM's decision log.
+    /// Returns an entry VM's decision log.
     pub fn log(&self, index: usize) -> String {
         std::fs::read_to_string(self.log_path(index)).unwrap_or_default()
     }
@@ -411,13 +414,13 @@
     /// Kills an entry VM.
     pub fn kill(&mut self, index: usize) {
         if let Some(mut child) = self.entries[index].child.take() {
-            // It may have ended by itself; then there is nothing to kill.
+            // Fails if the process has already ended, which is fine.
             let _ = child.kill();
             let _ = child.wait();
         }
     }
 
-    /// Asks an entry VM to stop.
+    /// Sends an entry VM SIGTERM, which starts a planned stop.
     pub fn terminate(&self, index: usize) {
         self.signal(index, "-TERM");
     }
@@ -425,18 +428,18 @@
     /// Sends a signal, such as `-STOP`, to an entry VM.
     pub fn signal(&self, index: usize, signal: &str) {
         if let Some(child) = &self.entries[index].child {
-            // Where it has ended meanwhile there is nobody to tell.
+            // Fails if the process has already ended, which is fine.
             let _ = Command::new("kill")
                 .args([signal, &child.id().to_string()])
                 .status();
         }
     }
 
-    /// Gives the mask of the signals that an entry VM catches.
+    /// Returns the mask of the signals that an entry VM catches.
     ///
     /// # Panics
     ///
-    /// Where it has no process or the system does not tell.
+    /// Panics if it has no process or `/proc` does not report the mask.
     pub fn caught_signals(&self, index: usize) -> u64 {
         let child = self.entries[index].child.as_ref().expect("it has started");
         let status = std::fs::read_to_string(format!("/proc/{}/status", child.id()));
@@ -445,28 +448,30 @@
         u64::from_str_radix(line.expect("the system tells").trim(), 16).expect("it is a mask")
     }
 
-    /// Tells whether an entry VM was started and not killed.
+    /// Returns whether an entry VM was started and not killed.
     pub fn has_process(&self, index: usize) -> bool {
         self.entries[index].child.is_some()
     }
 
-    /// Gives the folder of settings and decision logs.
+    /// Returns the folder of the settings files and decision logs.
     pub fn folder(&self) -> &Path {
         &self.folder
     }
 
-    /// Keeps the folder when this is dropped, so that the logs of a failure can be read.
+    /// Keeps the folder when the site is dropped, so that the logs of a failure can be read.
     pub fn keep_logs(&mut self) {
         self.keep_folder = true;
     }
 
-    /// Tells whether an entry VM has ended, and how.
+    /// Returns whether an entry VM's process exited successfully; `None` if it has not ended.
     pub fn ended(&mut self, index: usize) -> Option<bool> {
         let child = self.entries[index].child.as_mut()?;
         child.try_wait().ok()?.map(|status| status.success())
     }
 
-    /// Tells whether an entry VM was told to stop and ended before its program began, which heeds no signal yet.
+    /// Returns whether SIGTERM killed an entry VM before its program installed the signal handler.
+    ///
+    /// Nothing in the log since its start shows that the program had not begun.
     pub fn terminated_before_start(&mut self, index: usize) -> bool {
         let entry = &mut self.entries[index];
         let status = entry.child.as_mut().map(Child::try_wait);
@@ -477,7 +482,7 @@
         status.signal() == Some(SIGTERM) && log == self.entries[index].log_bytes_before
     }
 
-    /// Waits until an entry VM says that it is ready.
+    /// Waits until an entry VM reports that it is ready.
     pub async fn wait_ready(&self, index: usize) {
         let url = format!("http://{}/readiness", self.entries[index].addresses[1]);
         let client = Client::new();
@@ -488,7 +493,7 @@
         .await;
     }
 
-    /// Waits until every entry VM knows the others.
+    /// Waits until every entry VM has discovered the others.
     async fn wait_discovered(&self) {
         for index in 0..self.entries.len() {
             for region in &self.regions {
@@ -514,12 +519,13 @@
         if self.keep_folder {
             return;
         }
-        // What is left over of a temporary folder harms nobody.
+        // Leftovers of a temporary folder do no harm.
         let _ = std::fs::remove_dir_all(&self.folder);
     }
 }
 
-/// Gives the path of the operators' command-line tool, which is built beside the daemon.
+/// Returns the path of the operators' command-line tool, which is built into the same folder as the
+/// daemon.
 pub fn tool_path() -> PathBuf {
     daemon_path().with_file_name("zinniactl")
 }
@@ -531,7 +537,7 @@
     (link, relay)
 }
 
-/// Starts a link without faults to a replica, which ends with it.
+/// Starts a link without faults to a replica; it closes when the replica crashes.
 async fn start_replica_link(replica: &FakeReplica) -> (LinkState, TcpRelay) {
     let link = LinkState::default();
     let to = replica.address.to_string();
@@ -544,7 +550,7 @@
 ///
 /// # Panics
 ///
-/// Where it never does.
+/// Panics if it does not hold in time.
 pub async fn wait_until(what: &str, mut holds: impl AsyncFnMut() -> bool) {
     for _ in 0..MAX_POLLS {
         if holds().await {
@@ -552,5 +558,5 @@
         }
         sleep(POLL_INTERVAL).await;
     }
-    panic!("waited in vain: {what}");
+    panic!("timed out waiting until {what}");
 }
--- a/crates/zinniahatch_lab/src/site/calls.rs
+++ b/crates/zinniahatch_lab/src/site/calls.rs
@@ -1,4 +1,4 @@
-//! Calls to the entry VMs of a site, and what its replicas saw of them.
+//! Requests to the entry VMs of a site, and what its replicas observed of them.
 
 use super::CALL_TIMEOUT;
 use super::HOST;
@@ -14,19 +14,21 @@
 use tokio::time::interval;
 use zinniahatch_base::prelude::*;
 
-/// Callers who call every entry VM again and again.
+/// Load of callers that send requests to every entry VM in a loop.
 #[derive(Clone, Copy, Debug)]
 pub struct SiteLoad<'a> {
-    /// The path that they call.
+    /// The path of the requests.
     pub path: &'a str,
-    /// Pause between the calls to one entry VM.
+    /// Interval between requests to one entry VM.
     pub pause: Duration,
-    /// How long each waits for an answer.
+    /// How long a caller waits for a response.
     pub timeout: Duration,
 }
 
 impl SiteCluster {
-    /// Calls every entry VM until a time has passed; gives the answers that came. `tag` begins the attempts.
+    /// Sends requests to every entry VM for a time and returns the responses received.
+    ///
+    /// The ids of the attempts start with `tag`.
     pub async fn load(&self, load: &SiteLoad<'_>, tag: &str, time: Duration) -> Vec<Response> {
         let nodes = (0..self.entries.len()).map(|node| self.load_node(node, load, tag, time));
         join_all(nodes).await.into_iter().flatten().collect()
@@ -55,7 +57,7 @@
         answers
     }
 
-    /// Asks an entry VM's directory for the addresses for a region.
+    /// Queries an entry VM's directory for the addresses of a region.
     pub async fn resolve(&self, index: usize, region: &str) -> BTreeSet<Box<str>> {
         let address = &self.entries[index].addresses[3];
         let url = format!("http://{address}/resolve?name={HOST}&region={region}&zone={region}-a");
@@ -69,12 +71,12 @@
             .collect()
     }
 
-    /// Begins a call to an entry VM, of a caller who waits long.
+    /// Prepares a request to an entry VM with the default time of a caller.
     pub fn call(&self, index: usize, path: &str, attempt: &str) -> RequestBuilder {
         self.call_with_timeout(index, path, attempt, CALL_TIMEOUT)
     }
 
-    /// Begins a call to an entry VM, of a caller who waits for so long.
+    /// Prepares a request to an entry VM whose caller says that it has the time `timeout`.
     pub fn call_with_timeout(
         &self,
         index: usize,
@@ -90,7 +92,8 @@
             .header("x-time-remaining", timeout.as_millis().to_string())
     }
 
-    /// Gives the entry VM that sent each request of a caller to each replica, from the decision logs.
+    /// Returns, by request and replica, which entry VM sent the request there, as read from the
+    /// decision logs.
     pub fn sending_nodes(&self) -> BTreeMap<(Box<str>, Box<str>), usize> {
         let mut sending_nodes = BTreeMap::new();
         for index in 0..self.entries.len() {
@@ -110,7 +113,7 @@
         sending_nodes
     }
 
-    /// Gives what each life of a replica said of its leaving and of rests, with its place and id.
+    /// Returns the notices of every replica incarnation, with its index and id.
     pub fn notice_records(&self) -> Vec<(usize, Box<str>, NoticeRecord)> {
         let running = self.replicas.iter().enumerate();
         let running =
@@ -122,7 +125,7 @@
         ended.chain(running).collect()
     }
 
-    /// Gives what reached every replica that there was, by their places.
+    /// Returns the rate-limit records of all replicas, past and present, with their indices.
     pub fn limit_records(&self) -> Vec<(usize, LimitRecord)> {
         let living = self.replicas.iter().enumerate();
         let living = living.map(|(index, (replica, _))| (index, replica.observations().limits));
@@ -131,7 +134,7 @@
         living.chain(ended).collect()
     }
 
-    /// Gives how often an attempt ran, over all replicas.
+    /// Returns how often an attempt ran, summed over all replicas, past and present.
     pub fn runs(&self, attempt: &str) -> u32 {
         let living = self
             .replicas
@@ -143,7 +146,7 @@
             .sum()
     }
 
-    /// Gives the attempts that ran on a replica outside a region.
+    /// Returns the attempts that ran on a replica outside a region.
     pub fn runs_outside(&self, region: &str) -> BTreeSet<Box<str>> {
         let living = self
             .replicas
@@ -158,7 +161,7 @@
             .collect()
     }
 
-    /// Gives the runs of every attempt, over all replicas that there were.
+    /// Returns the number of runs of every attempt, summed over all replicas, past and present.
     pub fn all_runs(&self) -> BTreeMap<Box<str>, u32> {
         let mut sum = BTreeMap::new();
         let living = self
--- a/crates/zinniahatch_lab/src/site/desired.rs
+++ b/crates/zinniahatch_lab/src/site/desired.rs
@@ -1,9 +1,9 @@
-//! What the operator of a site writes into the store.
+//! The desired state that the operator of a site writes into the store.
 
 use super::HOST;
 use serde_json::Value;
 
-/// Gives a desired state without accounts; `more` names further plain routes.
+/// Returns a desired state without client accounts; `more` lists additional plain routes.
 pub(super) fn desired_state(version: u64, more: &[&str]) -> Value {
     let route = |name: &str, kind: &str, attempts: u32, resumable: bool, homes: &[&str]| {
         serde_json::json!({"name": name, "host": HOST, "path_prefix": format!("/{name}/"),
--- a/crates/zinniahatch_lab/src/site_demo.rs
+++ b/crates/zinniahatch_lab/src/site_demo.rs
@@ -1,4 +1,5 @@
-//! A demonstration of the platform path: a small site, a load, a kill, a planned stop, a report.
+//! Demonstration on the users' platform: a small site under load, a killed node, a planned stop, a
+//! report.
 
 use crate::site::SiteCluster;
 use crate::site::SiteRegion;
@@ -15,19 +16,19 @@
 use zinniahatch_report::render_table;
 use zinniahatch_report::run_query;
 
-/// Calls of each phase.
+/// Number of requests in each phase.
 const CALLS: usize = 120;
-/// Calls in progress at once.
+/// Maximum number of requests in flight.
 const AT_ONCE: usize = 8;
-/// Routes that are called in turn.
+/// Routes, requested in turn.
 const ROUTES: [&str; 4] = ["plain", "once", "stream", "bound"];
-/// Events of a stream and the pause before each.
+/// Shape of the streams.
 const SHAPE: StreamShape = StreamShape {
     events: 10,
     pause: Duration::from_millis(5),
 };
 
-/// What callers saw in one phase.
+/// Outcomes that callers saw in one phase.
 #[derive(Debug, Default)]
 struct PhaseResult {
     answered: usize,
@@ -36,7 +37,7 @@
     broken: Vec<String>,
 }
 
-/// Runs the demonstration; gives how many promises broke.
+/// Runs the demonstration; returns the number of violations.
 pub async fn run() -> usize {
     let regions =
         [("north", 2, 2), ("south", 1, 2), ("west", 1, 0)].map(|(name, entries, replicas)| {
@@ -108,7 +109,7 @@
     result.broken.len()
 }
 
-/// Makes a call and reads its answer to the end; none where the channel broke.
+/// Sends a request and reads the response to the end; returns `None` if the connection broke.
 async fn one_call(site: &SiteCluster, entry: usize, route: &str, attempt: &str) -> Option<u16> {
     let call = site.call(entry, &format!("/{route}/x"), attempt);
     let answer = call.send().await.ok()?;
--- a/crates/zinniahatch_lab/src/test_doubles.rs
+++ b/crates/zinniahatch_lab/src/test_doubles.rs
@@ -1,4 +1,4 @@
-//! Stand-ins: the platform's services and the backend servers.
+//! Test doubles of the platform's services and of backend servers, run in-process.
 
 pub mod backend;
 pub mod crashing;
--- a/crates/zinniahatch_lab/src/test_doubles/backend.rs
+++ b/crates/zinniahatch_lab/src/test_doubles/backend.rs
@@ -1,4 +1,4 @@
-//! What all stand-ins of backend servers share: slots, leaving, faults, history.
+//! State shared by all test doubles of backend servers: slots, draining, faults, history.
 
 use crate::history::ExecutionRecord;
 use crate::history::HistoryLog;
@@ -17,36 +17,36 @@
 /// Faults of one backend server.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct BackendFaults {
-    /// Streams go silent after this many tokens, on connections that are open now.
+    /// Streams go silent after this many tokens; connections opened later are not affected.
     pub silent_after: Option<u64>,
     /// Streams break after this many tokens.
     pub break_after: Option<u64>,
-    /// Requests run, and their connection breaks instead of an answer.
+    /// Number of requests that run and whose connection breaks instead of a response.
     pub lose_answers: u32,
-    /// Requests are taken and nothing is ever answered.
+    /// Requests are accepted and never answered.
     pub frozen: bool,
-    /// Slows everything by this factor, where it is above 1.
+    /// Factor by which all processing is slowed; values up to 1 have no effect.
     pub slow: f64,
 }
 
-/// One stand-in.
+/// Test double of a backend server.
 pub struct FakeBackend {
     /// Its name.
     pub name: ReplicaId,
     /// Its region.
     pub region: RegionId,
-    /// Its slots.
+    /// Number of requests that it runs at once.
     pub slots: u16,
-    /// Where it writes what it runs.
+    /// The history to which it writes its executions.
     pub history: HistoryLog,
-    /// The right to run; as many as slots, and half as many wait inside.
+    /// One permit per slot; requests without a permit wait.
     pub permits: Arc<Semaphore>,
     leaving: Mutex<Option<Instant>>,
     faults: Mutex<BackendFaults>,
 }
 
 impl FakeBackend {
-    /// Makes a stand-in.
+    /// Creates a test double.
     pub fn new(name: &str, region: &str, slots: u16, history: HistoryLog) -> Arc<Self> {
         Arc::new(Self {
             name: name.into(),
@@ -59,7 +59,7 @@
         })
     }
 
-    /// Gives the requests running.
+    /// Returns the number of running requests.
     pub fn running(&self) -> u16 {
         self.slots
             - self
@@ -68,12 +68,12 @@
                 .min(usize::from(self.slots)) as u16
     }
 
-    /// Begins to leave: it still takes what comes, so that the history shows who sent it.
+    /// Starts to drain. It still accepts requests, so that the history shows those sent too late.
     pub fn leave(&self) {
         *lock(&self.leaving) = Some(Instant::now());
     }
 
-    /// Says whether it leaves.
+    /// Returns whether it is draining.
     pub fn is_leaving(&self) -> bool {
         lock(&self.leaving).is_some()
     }
@@ -83,12 +83,12 @@
         *lock(&self.faults) = faults;
     }
 
-    /// Gives its faults.
+    /// Returns its faults.
     pub fn faults(&self) -> BackendFaults {
         *lock(&self.faults)
     }
 
-    /// Takes one of the answers to lose, if any is left.
+    /// Returns whether to lose the next response, and counts it if so.
     pub fn take_answer_loss(&self) -> bool {
         let mut faults = lock(&self.faults);
         let lost = faults.lose_answers > 0;
@@ -96,7 +96,7 @@
         lost
     }
 
-    /// Writes an execution down.
+    /// Records an execution in the history.
     pub fn record_execution(&self, operation: u64, request: &str) {
         let leaving_for = lock(&self.leaving).map(|at| at.elapsed());
         self.history.add_execution(ExecutionRecord {
@@ -110,7 +110,7 @@
     }
 }
 
-/// Gives a header's text.
+/// Returns the value of a header; empty if it is missing or not text.
 pub(crate) fn header(request: &Request, name: &str) -> String {
     request
         .headers()
@@ -129,7 +129,7 @@
     }
 }
 
-/// Refuses a request that did not run.
+/// Refuses a request without running it.
 pub(crate) fn refuse(response: &mut Response, leaving: bool) {
     response.status_code(StatusCode::SERVICE_UNAVAILABLE);
     set_header(response, "x-not-run", "1");
@@ -138,7 +138,7 @@
     }
 }
 
-/// Breaks the connection in the middle of an answer.
+/// Breaks the connection in the middle of a response.
 pub(crate) fn abort_response(response: &mut Response) {
     let broken = futures_util::stream::once(async {
         Err::<bytes::Bytes, _>(std::io::Error::other("broken"))
--- a/crates/zinniahatch_lab/src/test_doubles/crashing.rs
+++ b/crates/zinniahatch_lab/src/test_doubles/crashing.rs
@@ -1,4 +1,4 @@
-//! Requests that end each replica which begins to run them.
+//! Requests that crash each replica that runs them.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -6,19 +6,19 @@
 use std::sync::PoisonError;
 use zinniahatch_base::prelude::*;
 
-/// What repeats of a request have in common, whatever their ids.
+/// The content of a request, which its repeats share whatever their ids.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RequestContent {
     /// The path.
     pub path: Box<str>,
-    /// The caller's credential, empty where it sends none.
+    /// The caller's credential; empty if it sends none.
     pub caller: Box<str>,
     /// The body.
     pub body: Vec<u8>,
 }
 
 impl RequestContent {
-    /// Makes the content of a call without a body, of a caller without a credential.
+    /// Creates the content of a request with neither body nor credential.
     pub fn from_path(path: &str) -> Self {
         Self {
             path: path.into(),
@@ -27,7 +27,8 @@
     }
 }
 
-/// The fatal requests of a site, and how many replicas ended under each; shared by its replicas.
+/// The crashing requests of a site with the number of replicas that each has crashed; shared by all
+/// replicas.
 #[derive(Clone, Debug, Default)]
 pub struct CrashingRequests(Arc<Mutex<BTreeMap<RequestContent, u32>>>);
 
@@ -36,12 +37,13 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Makes a request fatal from now on.
+    /// Makes a request a crashing one from now on.
     pub fn add(&self, content: RequestContent) {
         self.lock().entry(content).or_default();
     }
 
-    /// Counts the end of a replica if the request that it begins is fatal; tells whether it is.
+    /// Counts a crash if the request that a replica starts to run is a crashing one; returns whether it
+    /// is.
     pub(crate) fn count_crash(&self, content: &RequestContent) -> bool {
         self.lock()
             .get_mut(content)
@@ -49,12 +51,12 @@
             .is_some()
     }
 
-    /// Gives how many replicas have ended under a request.
+    /// Returns the number of replicas that a request has crashed.
     pub fn crashes(&self, content: &RequestContent) -> u32 {
         self.lock().get(content).copied().unwrap_or(0)
     }
 
-    /// Gives the fatal requests.
+    /// Returns the crashing requests.
     pub fn contents(&self) -> Vec<RequestContent> {
         self.lock().keys().cloned().collect()
     }
--- a/crates/zinniahatch_lab/src/test_doubles/directory.rs
+++ b/crates/zinniahatch_lab/src/test_doubles/directory.rs
@@ -1,4 +1,4 @@
-//! The directory for clients and the lagging list of VMs.
+//! Test double of the directory for clients and of the VM list.
 
 use crate::test_doubles::faults::FaultEffect;
 use crate::test_doubles::faults::FaultSwitch;
@@ -18,17 +18,17 @@
 use zinniahatch_platform::ListedVm;
 use zinniahatch_platform::VmState;
 
-/// Time after which an entry that was not published again lapses.
+/// Time after which an entry expires unless it is published again.
 const ENTRY_TTL: Duration = Duration::from_secs(40);
 
 type StoredEntries = BTreeMap<NodeId, (Instant, DirectoryEntry)>;
 
-/// The directory and the list.
+/// The directory and the VM list.
 #[derive(Clone, Default)]
 pub struct FakeDirectory {
     entries: Arc<Mutex<StoredEntries>>,
     vms: Arc<Mutex<BTreeMap<Box<str>, ListedVm>>>,
-    /// Faults of both.
+    /// Faults of both services.
     pub faults: FaultSwitch,
 }
 
@@ -46,19 +46,19 @@
         FakeServer::start(router).await
     }
 
-    /// Puts a VM on the list.
+    /// Adds a VM to the list.
     pub fn list_vm(&self, vm: ListedVm) {
         lock(&self.vms).insert(vm.name.clone(), vm);
     }
 
-    /// Changes a VM's state on the list.
+    /// Changes the state of a VM on the list.
     pub fn set_state(&self, name: &str, state: VmState) {
         if let Some(vm) = lock(&self.vms).get_mut(name) {
             vm.state = state;
         }
     }
 
-    /// Gives the entries that have not lapsed.
+    /// Returns the entries that have not expired.
     pub fn entries(&self) -> Vec<DirectoryEntry> {
         lock(&self.entries)
             .values()
--- a/crates/zinniahatch_lab/src/test_doubles/engine.rs
+++ b/crates/zinniahatch_lab/src/test_doubles/engine.rs
@@ -1,4 +1,5 @@
-//! A model engine: continuous batching, a prefix cache, streams that resume and cancel, orders.
+//! Test double of a model engine: continuous batching, a prefix cache, resumable and cancellable
+//! streams, orders.
 
 use crate::test_doubles::backend::FakeBackend;
 use crate::test_doubles::backend::header;
@@ -32,23 +33,23 @@
 const MAX_BODY_BYTES: usize = 8 << 20;
 const PREFIX_BYTES: usize = 512;
 const BYTES_PER_TOKEN: u64 = 4;
-/// Events of one chunk.
+/// Maximum number of events in one chunk of a stream.
 const MAX_CHUNK_EVENTS: u64 = 256;
-/// Finished runs that can still be resumed.
+/// Number of runs kept for resumption, running or finished.
 const MAX_RETAINED_RUNS: usize = 512;
-/// Longer than any caller waits.
+/// How long a silent stream stays open; longer than any caller waits.
 const SILENT_TIME: Duration = Duration::from_secs(300);
 
-/// How fast an engine is.
+/// Speed of an engine.
 #[derive(Clone, Copy, Debug)]
 pub struct EngineSpeed {
-    /// Prompt tokens read in a second.
+    /// Prompt tokens processed per second (prefill).
     pub prefill: f64,
-    /// Time between tokens when alone.
+    /// Time between generated tokens when the batch is otherwise empty.
     pub token: Duration,
-    /// Part by which a full batch slows each token.
+    /// Fraction by which a full batch slows each token.
     pub batch_cost: f64,
-    /// Prefixes that fit the cache.
+    /// Capacity of the prefix cache, in prefixes.
     pub cache: usize,
 }
 
@@ -76,7 +77,7 @@
     content: String,
 }
 
-/// One run: how many events it has, of how many.
+/// A run of a request: the events produced so far, out of a fixed total.
 struct EngineRun {
     operation: u64,
     from: u64,
@@ -86,12 +87,12 @@
     cancelled: watch::Sender<bool>,
 }
 
-/// Runs by id, and their order.
+/// Runs by id, and their ids in the order of their start.
 type RetainedRuns = (BTreeMap<Box<str>, Arc<EngineRun>>, VecDeque<Box<str>>);
 
-/// One engine.
+/// Test double of a model engine.
 pub struct FakeEngine {
-    /// What it shares with other backend servers.
+    /// The state common to all backend servers.
     pub backend: Arc<FakeBackend>,
     speed: EngineSpeed,
     checks_fencing: bool,
@@ -104,7 +105,7 @@
 }
 
 impl FakeEngine {
-    /// Makes an engine.
+    /// Creates an engine; `checks_fencing` rejects orders with an older fencing token.
     pub fn new(backend: Arc<FakeBackend>, speed: EngineSpeed, checks_fencing: bool) -> Arc<Self> {
         Arc::new(Self {
             backend,
@@ -132,17 +133,18 @@
         FakeServer::start(router).await
     }
 
-    /// Gives the orders received: when, which, and whether it was accepted.
+    /// Returns the orders received: the time, the order, and whether it was accepted.
     pub fn orders(&self) -> Vec<(Duration, ModelOrder, bool)> {
         lock(&self.orders).clone()
     }
 
-    /// Gives the model loaded.
+    /// Returns the loaded model.
     pub fn model(&self) -> ModelId {
         lock(&self.model).clone()
     }
 
-    /// Finds a prefix in the cache and moves or puts it to the front.
+    /// Moves a prefix to the front of the LRU cache, or adds it there; returns how many of its tokens
+    /// were cached.
     fn touch_cache(&self, prefix: ShortTag, tokens: u64) -> u64 {
         let mut cache = lock(&self.cache);
         let known = cache
@@ -223,7 +225,7 @@
     }
 }
 
-/// Makes the tokens of a run, one at a time, at the speed that the batch allows.
+/// Produces the tokens of a run one at a time, at the speed that the batch allows.
 async fn generate(engine: Arc<FakeEngine>, run: Arc<EngineRun>, prefill: Duration) {
     let Ok(_permit) = Arc::clone(&engine.backend.permits).acquire_owned().await else {
         return;
@@ -231,7 +233,7 @@
     let mut cancelled = run.cancelled.subscribe();
     let slow = engine.backend.faults().slow.max(1.0);
     let mut next = tokio::time::Instant::now() + prefill.mul_f64(slow);
-    // One event for each token and one for the usage.
+    // One event per token and one for the usage.
     for produced in run.from..=run.total {
         tokio::select! {
             () = sleep_until(next) => {}
@@ -246,7 +248,7 @@
     }
 }
 
-/// A stream of a run's events.
+/// State of one stream of a run's events.
 struct RunStream {
     run: Arc<EngineRun>,
     produced: watch::Receiver<u64>,
@@ -355,7 +357,7 @@
             return;
         };
         let produced = run.produced.subscribe();
-        // Faults hit the connections that were open; new ones work.
+        // Faults affect only the connections that were open; resumed streams work.
         let state = RunStream {
             run,
             produced,
--- a/crates/zinniahatch_lab/src/test_doubles/faults.rs
+++ b/crates/zinniahatch_lab/src/test_doubles/faults.rs
@@ -1,4 +1,4 @@
-//! Faults that a platform service can be given.
+//! Fault injection into the test doubles of platform services.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -6,24 +6,24 @@
 use tokio::time::sleep;
 use zinniahatch_base::prelude::*;
 
-/// Longer than any client waits.
+/// How long a silent service holds a request; longer than any client waits.
 const SILENT_TIME: Duration = Duration::from_secs(30);
 
-/// How a service behaves.
+/// Behaviour of a service.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ServiceMode {
-    /// As it should.
+    /// It works.
     #[default]
     Up,
-    /// It refuses at once.
+    /// It refuses requests at once.
     Down,
-    /// It takes calls and never answers; nothing takes effect.
+    /// It accepts requests and never responds; none takes effect.
     Silent,
-    /// It answers after this delay.
+    /// It responds after this delay.
     Slow(Duration),
 }
 
-/// The switch of one service, or of one region's way to it.
+/// Switch for the faults of one service, or of one region's access to it.
 #[derive(Clone, Debug, Default)]
 pub struct FaultSwitch {
     state: Arc<Mutex<SwitchState>>,
@@ -35,14 +35,14 @@
     lose_answers: u32,
 }
 
-/// What a handler does with a call.
+/// What a handler does with a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FaultEffect {
-    /// Answer it.
+    /// Respond.
     Answer,
     /// Refuse it.
     Refuse,
-    /// Let it take effect, if it is a write, and lose the answer.
+    /// Execute the write and lose the response.
     LoseAnswer,
 }
 
@@ -52,12 +52,12 @@
         self.lock().mode = mode;
     }
 
-    /// Loses the answers of the next writes, after they took effect.
+    /// Loses the responses to the next `count` writes, after they took effect.
     pub fn lose_answers(&self, count: u32) {
         self.lock().lose_answers = count;
     }
 
-    /// Decides the fate of a call, after the delay that the mode asks for.
+    /// Returns what to do with a request, after the delay of the current mode.
     pub async fn effect(&self, write: bool) -> FaultEffect {
         let mode = self.lock().mode;
         match mode {
--- a/crates/zinniahatch_lab/src/test_doubles/limit_record.rs
+++ b/crates/zinniahatch_lab/src/test_doubles/limit_record.rs
@@ -1,55 +1,55 @@
-//! The rate limits that a replica announced, and whether what reached it kept to them.
+//! Rate limits that a replica announced, checked against the requests that reached it.
 
 use zinniahatch_base::prelude::*;
 
-/// The span in which requests are counted.
+/// Length of the sliding window in which requests are counted.
 const WINDOW: Duration = Duration::from_secs(4);
-/// Times that what the limit allows in a window.
+/// Tolerance factor on the requests that the limit allows in a window.
 const OVERRUN_FACTOR: f64 = 1.5;
-/// Requests beyond that.
+/// Requests tolerated in addition.
 const SLACK: f64 = 5.0;
 
-/// A window with more requests than the limit allows.
+/// A window with more requests than the limit and the tolerance allow.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct BrokenWindow {
-    /// When it ended, after the limit was first announced.
+    /// End of the window, from the first announcement of the limit.
     pub ended: Duration,
-    /// Requests in it.
+    /// Requests in the window.
     pub requests: usize,
-    /// Requests that the limit allows.
+    /// Requests that the limit and the tolerance allow.
     pub allowed: f64,
 }
 
-/// The rate limits that a replica announced, and the arrivals of requests.
+/// The rate limits that a replica announced, and the arrival times of requests.
 #[derive(Clone, Debug, Default)]
 pub struct LimitRecord {
-    /// Each change, with its time.
+    /// Changes of the limit with their times; `None` lifts it.
     announced: Vec<(Instant, Option<RequestRate>)>,
     arrivals: Vec<Instant>,
 }
 
 impl LimitRecord {
-    /// Notes that a limit is named from now on, or none.
+    /// Records that the replica announces a limit from `now` on, or none.
     pub fn record_limit(&mut self, rate: Option<RequestRate>, now: Instant) {
         self.announced.push((now, rate));
     }
 
-    /// Notes a request.
+    /// Records a request.
     pub fn record_arrival(&mut self, now: Instant) {
         self.arrivals.push(now);
     }
 
-    /// Gives the limit that is named now.
+    /// Returns the limit that is announced now.
     pub fn rate(&self) -> Option<RequestRate> {
         self.announced.last().and_then(|(_, rate)| *rate)
     }
 
-    /// Gives the requests that arrived since a moment.
+    /// Returns the number of requests that arrived since `from`.
     pub fn arrivals_since(&self, from: Instant) -> usize {
         self.arrivals.iter().filter(|at| **at >= from).count()
     }
 
-    /// Gives the most requests in any span of so long since a moment.
+    /// Returns the largest number of requests in any interval of length `span` since `from`.
     pub fn max_within(&self, span: Duration, from: Instant) -> usize {
         let arrivals: Vec<&Instant> = self.arrivals.iter().filter(|at| **at >= from).collect();
         let counts = arrivals.iter().enumerate().map(|(index, end)| {
@@ -61,8 +61,10 @@
         counts.max().unwrap_or(0)
     }
 
-    /// Finds the first window that has more requests than the limit allows, of those that end later than `grace`
-    /// after the limit was first named and before it is lifted, and that nothing excuses.
+    /// Finds the first window with more requests than allowed.
+    ///
+    /// Only windows that end later than `grace` after the limit was first announced and before it is
+    /// lifted count, and only those for which `excused` returns `false`.
     pub fn broken_window(
         &self,
         grace: Duration,
@@ -84,7 +86,7 @@
         None
     }
 
-    /// Looks at the windows that end at `begin` or later, in a span in which one limit was announced.
+    /// Checks the windows that end at `begin` or later, while one limit was in force.
     fn broken_between(
         &self,
         first: Instant,
@@ -115,7 +117,7 @@
         None
     }
 
-    /// Sums up what the limits that were named allow between two moments.
+    /// Returns the number of requests that the announced limits allow between two times.
     fn allowed(&self, start: Instant, end: Instant) -> f64 {
         let mut sum = 0.0;
         for (index, (from, rate)) in self.announced.iter().enumerate() {
--- a/crates/zinniahatch_lab/src/test_doubles/notice_record.rs
+++ b/crates/zinniahatch_lab/src/test_doubles/notice_record.rs
@@ -1,20 +1,20 @@
-//! What a replica told of its leaving and of its rests, and whether what reached it kept to that.
+//! Drain and backoff notices that a replica sent, checked against the requests that reached it.
 
 use zinniahatch_base::prelude::*;
 
-/// Time after which a node must keep to a rest that it was told of.
+/// Time within which a node must react to a backoff notice.
 const REACTION_TIME: Duration = Duration::from_millis(500);
-/// Requests from one node in a rest that break no promise.
+/// Requests that one node may send during a backoff without violating it.
 const BACKOFF_SLACK: usize = 2;
 
-/// What an answer said.
+/// A notice in a response.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Notice {
     Leaving,
     Backoff(Duration),
 }
 
-/// An answer that said something.
+/// A response with a notice.
 #[derive(Clone, Debug)]
 struct SentNotice {
     at: Instant,
@@ -22,18 +22,18 @@
     notice: Notice,
 }
 
-/// Requests that reached a replica though it had told their node otherwise.
+/// Requests that reached a replica in spite of a notice to the node that sent them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BrokenNotice {
     /// The node.
     pub node: usize,
-    /// Time from the answer that said so to the last of the requests.
+    /// Time from the response with the notice to the last of the requests.
     pub after: Duration,
-    /// The requests.
+    /// Number of requests.
     pub requests: usize,
 }
 
-/// The notices of one life of a replica, and the requests that reached it.
+/// The notices sent by one incarnation of a replica, and the requests that reached it.
 #[derive(Clone, Debug, Default)]
 pub struct NoticeRecord {
     sent: Vec<SentNotice>,
@@ -41,17 +41,17 @@
 }
 
 impl NoticeRecord {
-    /// Notes a request of a caller.
+    /// Records a request of a caller.
     pub(crate) fn record_arrival(&mut self, attempt: &str, now: Instant) {
         self.arrivals.push((now, attempt.into()));
     }
 
-    /// Notes an answer that said that the replica leaves.
+    /// Records a response that announced that the replica is leaving.
     pub(crate) fn record_leaving(&mut self, attempt: &str, now: Instant) {
         self.record(attempt, Notice::Leaving, now);
     }
 
-    /// Notes an answer that asked for a rest.
+    /// Records a response that asked for a backoff.
     pub(crate) fn record_backoff(&mut self, attempt: &str, backoff: Duration, now: Instant) {
         self.record(attempt, Notice::Backoff(backoff), now);
     }
@@ -64,20 +64,21 @@
         });
     }
 
-    /// Gives the answers that asked for a rest.
+    /// Returns the number of responses that asked for a backoff.
     pub fn backoffs(&self) -> usize {
         let notices = self.sent.iter().map(|sent| sent.notice);
         notices.filter(|notice| *notice != Notice::Leaving).count()
     }
 
-    /// Gives the requests of callers that arrived since a moment.
+    /// Returns the number of callers' requests that arrived since `from`.
     pub fn arrivals_since(&self, from: Instant) -> usize {
         self.arrivals.iter().filter(|(at, _)| *at >= from).count()
     }
 
-    /// Finds a request that came later than `bound` after its node had been told that the replica leaves.
+    /// Finds a request that arrived more than `bound` after the node that sent it had been told that
+    /// the replica is leaving.
     ///
-    /// `node_of` names the node that sent an attempt; `excused` tells whether something befell it in a span.
+    /// `node_of` returns the node that sent an attempt; `excused` returns whether a fault hit that node in an interval.
     pub fn leaving_violation(
         &self,
         bound: Duration,
@@ -102,7 +103,10 @@
         })
     }
 
-    /// Finds a rest in which more requests than two came from the node that was asked for it.
+    /// Finds a backoff during which the node that was asked for it sent more than `BACKOFF_SLACK`
+    /// requests.
+    ///
+    /// The first `REACTION_TIME` does not count.
     pub fn backoff_violation(
         &self,
         node_of: impl Fn(&str) -> Option<usize>,
--- a/crates/zinniahatch_lab/src/test_doubles/plain.rs
+++ b/crates/zinniahatch_lab/src/test_doubles/plain.rs
@@ -1,4 +1,4 @@
-//! A plain service.
+//! Test double of a plain service.
 
 use crate::test_doubles::backend::FakeBackend;
 use crate::test_doubles::backend::abort_response;
@@ -19,10 +19,10 @@
 use zinniahatch_platform::EngineLoad;
 
 const MAX_BODY_BYTES: usize = 8 << 20;
-/// Longer than any caller waits.
+/// How long a frozen service holds a request; longer than any caller waits.
 const FROZEN_TIME: Duration = Duration::from_secs(300);
 
-/// Starts a plain service whose calls take this long.
+/// Starts a plain service that takes `service_time` for each request.
 pub async fn start_plain(backend: Arc<FakeBackend>, service_time: Duration) -> FakeServer {
     let router = Router::new()
         .push(Router::with_path("load").get(LoadHandler(Arc::clone(&backend))))
--- a/crates/zinniahatch_lab/src/test_doubles/replica.rs
+++ b/crates/zinniahatch_lab/src/test_doubles/replica.rs
@@ -1,7 +1,7 @@
-//! A replica on the users' platform: plain calls and streams, with faults that can be switched.
+//! Test double of a replica on the users' platform: plain requests and streams, with switchable faults.
 //!
-//! It speaks the platform's published protocol on a plain socket, so that it can break off, answer
-//! twice or stay silent at any byte.
+//! It implements the platform's published protocol on a plain socket, so that it can disconnect,
+//! respond twice or go silent at any byte.
 
 use super::crashing::CrashingRequests;
 use super::crashing::RequestContent;
@@ -25,77 +25,77 @@
 use tokio_util::sync::CancellationToken;
 use zinniahatch_base::prelude::*;
 
-/// Headers of a request at most.
+/// Maximum number of headers of a request.
 const MAX_HEADERS: usize = 64;
-/// Bytes read at once.
+/// Size of a read, in bytes.
 const READ_BYTES: usize = 16 << 10;
 
-/// How a replica behaves.
+/// Behaviour of a replica.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ReplicaBehaviour {
-    /// As it should.
+    /// It works.
     #[default]
     Serve,
-    /// It refuses every request as full.
+    /// It refuses every request because it is full.
     Shed,
-    /// It runs every request and answers with a failure.
+    /// It runs every request and responds with a failure.
     Fail,
-    /// It runs every request and closes the channel without an answer.
+    /// It runs every request and closes the connection without a response.
     LoseAnswer,
-    /// It breaks off each stream inside an event, after so many whole ones.
+    /// It cuts off each stream inside an event, after this many complete ones.
     BreakAfter(u32),
-    /// It takes requests and answers nothing.
+    /// It accepts requests and never responds.
     Mute,
 }
 
-/// What a replica saw.
+/// What a replica observed.
 #[derive(Clone, Debug, Default)]
 pub struct ReplicaObservations {
-    /// Runs of each attempt.
+    /// Number of runs of each attempt.
     pub runs: BTreeMap<Box<str>, u32>,
-    /// The account that each attempt was run for, where one was named.
+    /// The account for which each attempt was run, if the request named one.
     pub accounts: BTreeMap<Box<str>, Box<str>>,
-    /// Requests that bore a caller's credential.
+    /// Number of requests that carried a caller's credential.
     pub credentials: u32,
-    /// When it last began to run a request.
+    /// When it last started to run a request.
     pub last_run: Option<Instant>,
-    /// Streams whose caller's side closed the channel before the end.
+    /// Number of streams whose connection the other side closed before the end.
     pub closed_early: u32,
-    /// Requests that expected another replica.
+    /// Number of requests that were meant for another replica.
     pub misdirected: u32,
-    /// The rate limits that it named, and all requests that reached it.
+    /// The rate limits that it announced, and all requests that reached it.
     pub limits: LimitRecord,
-    /// What its answers said of its leaving and its rests, and the requests of callers that reached it.
+    /// Its drain and backoff notices, and the callers' requests that reached it.
     pub notices: NoticeRecord,
 }
 
 #[derive(Debug, Default)]
 struct FakeReplicaState {
     behaviour: ReplicaBehaviour,
-    /// Whether its answers say that it leaves.
+    /// Whether its responses announce that it is leaving.
     leaving: bool,
-    /// The name of a header of whole answers that no page names.
+    /// Name of an undocumented header in complete responses.
     extra_header: Option<Box<str>>,
-    /// The value of `Retry-After` of the answers that turn a request away.
+    /// The value of `Retry-After` in refusals.
     backoff: Option<Box<str>>,
     observations: ReplicaObservations,
 }
 
-/// How long a stream is.
+/// Length and pace of a stream.
 #[derive(Clone, Copy, Debug)]
 pub struct StreamShape {
-    /// Events.
+    /// Number of events.
     pub events: u32,
-    /// Pause before each.
+    /// Pause before each event.
     pub pause: Duration,
 }
 
-/// A running replica; it ends when this is dropped.
+/// A running replica; it stops when dropped.
 #[derive(Debug)]
 pub struct FakeReplica {
-    /// Its id, which a later start may bear again.
+    /// Its id, which a restarted replica may reuse.
     pub id: Box<str>,
-    /// When it started, in Unix milliseconds.
+    /// Start time, in Unix milliseconds.
     pub started_ms: u64,
     /// Where it listens.
     pub address: SocketAddrV4,
@@ -105,11 +105,11 @@
 }
 
 impl FakeReplica {
-    /// Starts a replica on a free port; it ends when it begins a fatal request.
+    /// Starts a replica on a free port; it crashes when it runs a crashing request.
     ///
     /// # Panics
     ///
-    /// Where no port is free.
+    /// Panics if no port is free.
     pub async fn start(id: &str, shape: StreamShape, crashing: &CrashingRequests) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0")
             .await
@@ -146,12 +146,12 @@
         }
     }
 
-    /// Ends it as a crash does: connections end in the middle of answers, new ones are refused.
+    /// Crashes the replica: connections close in the middle of responses, new ones are refused.
     pub fn crash(&self) {
         self.ended.cancel();
     }
 
-    /// Gives what is cancelled when it ends.
+    /// Returns the token that is cancelled when it crashes.
     pub fn ended(&self) -> &CancellationToken {
         &self.ended
     }
@@ -161,7 +161,7 @@
         lock(&self.state).behaviour = behaviour;
     }
 
-    /// Names a rate limit in every answer from now on, or none.
+    /// Announces a rate limit in every response from now on, or none.
     pub fn set_rate_limit(&self, rate: Option<RequestRate>) {
         lock(&self.state)
             .observations
@@ -169,32 +169,32 @@
             .record_limit(rate, Instant::now());
     }
 
-    /// Says in every answer from now on that it leaves.
+    /// Announces in every response from now on that it is leaving.
     pub fn announce_leaving(&self) {
         lock(&self.state).leaving = true;
     }
 
-    /// Adds a header that no page names to whole answers.
+    /// Adds an undocumented header to complete responses.
     pub fn add_header(&self, name: &str) {
         lock(&self.state).extra_header = Some(name.into());
     }
 
-    /// Asks for a rest, in seconds, in every answer that turns a request away, or for none.
+    /// Asks for a backoff, in seconds, in every refusal from now on, or for none.
     pub fn request_backoff(&self, backoff: Option<&str>) {
         lock(&self.state).backoff = backoff.map(Box::from);
     }
 
-    /// Gives what it saw so far.
+    /// Returns what it observed so far.
     pub fn observations(&self) -> ReplicaObservations {
         lock(&self.state).observations.clone()
     }
 
-    /// Gives its entry in the platform's store.
+    /// Returns its entry in the platform's store.
     pub fn entry(&self, service: &str, zone: &str, state: &str) -> String {
         self.entry_at(&self.address.to_string(), service, zone, state)
     }
 
-    /// Gives its entry with the address of a relay to it.
+    /// Returns its entry in the platform's store with another address, such as that of a relay.
     pub fn entry_at(&self, address: &str, service: &str, zone: &str, state: &str) -> String {
         serde_json::json!({"service": service, "address": address,
             "zone": zone, "version": "v1", "slots": 8, "state": state, "cold_left_ms": 0,
@@ -227,11 +227,11 @@
     ended: CancellationToken,
 }
 
-/// A request as the replica reads it.
+/// A request as parsed by the replica.
 struct ReplicaRequest {
     content: RequestContent,
     attempt: Box<str>,
-    /// The account that asks, as the entry VM names it.
+    /// The client account named by the entry VM.
     account: Option<Box<str>>,
     expected: Option<Box<str>>,
     last_event: u32,
@@ -247,7 +247,7 @@
         }
     }
 
-    /// Answers a request; tells whether the channel goes on.
+    /// Responds to a request; returns whether the connection stays open.
     async fn answer(&self, stream: &mut TcpStream, request: &ReplicaRequest) -> bool {
         lock(&self.state)
             .observations
@@ -313,13 +313,13 @@
         }
     }
 
-    /// Gives the header that names the rate limit; nothing while there is none.
+    /// Returns the header line that announces the rate limit; empty if there is none.
     fn limit_line(&self) -> String {
         let rate = lock(&self.state).observations.limits.rate();
         rate.map_or_else(String::new, |rate| format!("Server-Limit: {rate}\r\n"))
     }
 
-    /// Gives the header that says that it leaves; nothing while it does not.
+    /// Returns the header line that announces that it is leaving; empty if it is not.
     fn leaving_line(&self, attempt: &str) -> &'static str {
         let mut state = lock(&self.state);
         if !state.leaving {
@@ -330,13 +330,13 @@
         "Server-Leaving: 1\r\n"
     }
 
-    /// Gives a header that no page names; nothing while it has none.
+    /// Returns the undocumented header line; empty if there is none.
     fn extra_header_line(&self) -> String {
         let name = lock(&self.state).extra_header.clone();
         name.map_or_else(String::new, |name| format!("{name}: 1\r\n"))
     }
 
-    /// Gives the header that asks for a rest; nothing while it asks for none.
+    /// Returns the header line that asks for a backoff; empty if it asks for none.
     fn backoff_line(&self, attempt: &str) -> String {
         let mut state = lock(&self.state);
         let Some(backoff) = state.backoff.clone() else {
@@ -387,14 +387,14 @@
         stream.write_all(text.as_bytes()).await.is_ok()
     }
 
-    /// Begins a stream and ends in the middle of it, with all others that run.
+    /// Starts a stream and crashes in the middle of it, which breaks all other responses too.
     async fn crash_during(&self, stream: &mut TcpStream, request: &ReplicaRequest) -> bool {
         let head = format!(
             "{}X-Server-Seal: {}\r\nTransfer-Encoding: chunked\r\n\r\n",
             self.head(request, "200 OK"),
             self.id
         );
-        // The end follows in any case.
+        // The crash follows whether or not this succeeds.
         let _ = stream.write_all(head.as_bytes()).await;
         sleep(self.shape.pause).await;
         self.ended.cancel();
@@ -425,7 +425,7 @@
             if behaviour == ReplicaBehaviour::BreakAfter(id - request.last_event - 1) {
                 let torn = &event[..event.len() / 2];
                 let chunk = format!("{:x}\r\n{torn}\r\n", torn.len());
-                // The break itself is the point; whether its bytes arrive does not matter.
+                // The connection breaks next; whether these bytes arrive does not matter.
                 let _ = stream.write_all(chunk.as_bytes()).await;
                 return false;
             }
@@ -438,7 +438,7 @@
         stream.write_all(b"0\r\n\r\n").await.is_ok()
     }
 
-    /// Waits before an event; `false` where the other side closed the channel meanwhile.
+    /// Waits before an event; returns `false` if the other side closed the connection meanwhile.
     async fn pause(&self, stream: &mut TcpStream) -> bool {
         let mut byte = [0_u8; 1];
         tokio::select! {
--- a/crates/zinniahatch_lab/src/test_doubles/serve.rs
+++ b/crates/zinniahatch_lab/src/test_doubles/serve.rs
@@ -1,4 +1,4 @@
-//! Starting a stand-in's server on a port of the operating system's choice.
+//! HTTP server of a test double, on a port chosen by the operating system.
 
 use salvo::Listener;
 use salvo::Router;
@@ -6,9 +6,9 @@
 use salvo::conn::TcpListener;
 use tokio::task::JoinHandle;
 
-/// A running stand-in; it ends when this is dropped.
+/// A running HTTP server; it stops when dropped.
 pub struct FakeServer {
-    /// Its address, `IP:port`.
+    /// Its address as `IP:port`.
     pub address: Box<str>,
     task: JoinHandle<()>,
 }
@@ -18,7 +18,7 @@
     ///
     /// # Panics
     ///
-    /// Where no port is free.
+    /// Panics if no port is free.
     pub async fn start(router: Router) -> Self {
         let acceptor = TcpListener::new("127.0.0.1:0")
             .try_bind()
@@ -34,12 +34,12 @@
         }
     }
 
-    /// Gives the address as a URL.
+    /// Returns the address as a URL.
     pub fn url(&self) -> String {
         format!("http://{}", self.address)
     }
 
-    /// Stops at once; open connections break.
+    /// Stops the server at once; open connections break.
     pub fn kill(&self) {
         self.task.abort();
     }
--- a/crates/zinniahatch_lab/src/test_doubles/store.rs
+++ b/crates/zinniahatch_lab/src/test_doubles/store.rs
@@ -1,7 +1,6 @@
-//! The platform's key-value service: items, ranges, watches, transactions, leases.
+//! Test double of the platform's key-value store: items, ranges, watches, transactions, leases.
 //!
-//! It speaks the platform's published protocol, so that tests drive the real programs through the
-//! real adapter.
+//! It implements the platform's published protocol, so that tests exercise the real client.
 
 mod endpoint;
 mod wire;
@@ -35,9 +34,9 @@
 use wire::item_body;
 use zinniahatch_base::prelude::*;
 
-/// Largest value.
+/// Maximum size of a value, in bytes.
 const MAX_VALUE_BYTES: usize = 1 << 20;
-/// Entries of one transaction at most.
+/// Maximum number of entries of one transaction.
 const MAX_TRANSACTION_ENTRIES: usize = 32;
 
 #[derive(Clone, Debug)]
@@ -52,19 +51,19 @@
 struct StoredChange {
     key: Box<str>,
     revision: u64,
-    /// None where the key was removed.
+    /// `None` if the key was removed.
     value: Option<StoredValue>,
 }
 
 #[derive(Clone, Debug, Default)]
 struct StoreData {
-    /// How often it has come back from a copy.
+    /// Number of restores from a snapshot.
     era: u64,
     revision: u64,
     values: BTreeMap<Box<str>, StoredValue>,
     leases: BTreeMap<u64, (Instant, Duration)>,
     history: Vec<StoredChange>,
-    /// Revision up to which the history is dropped.
+    /// Revision up to which the history is compacted.
     compacted: u64,
 }
 
@@ -103,11 +102,11 @@
     }
 }
 
-/// A copy of the whole store, from which it may come back.
+/// Snapshot of the whole store, from which it can be restored.
 #[derive(Clone, Debug)]
 pub struct StoreSnapshot(StoreData);
 
-/// The store's state, shared by its fronts.
+/// The store, shared by its endpoints.
 #[derive(Clone, Default)]
 pub struct FakeStore {
     data: Arc<Mutex<StoreData>>,
@@ -117,7 +116,7 @@
 }
 
 impl FakeStore {
-    /// Opens a front: an address with its own faults, such as one region's way to the store.
+    /// Starts an endpoint: an address with its own faults, such as one region's access to the store.
     pub async fn start_endpoint(&self, switch: FaultSwitch) -> FakeServer {
         let share = || EndpointHandler {
             store: self.clone(),
@@ -134,7 +133,7 @@
         FakeServer::start(router).await
     }
 
-    /// Gives the calls so far, and how many of them were writes.
+    /// Returns the number of requests so far, and how many of them were writes.
     pub fn calls(&self) -> (u64, u64) {
         (
             self.calls.load(Ordering::Relaxed),
@@ -142,13 +141,13 @@
         )
     }
 
-    /// Lets every lease lapse now.
+    /// Expires all leases now.
     pub fn expire_leases(&self) {
         self.lock().leases.clear();
         self.drop_expired();
     }
 
-    /// Drops the history: watches from before it get 410.
+    /// Compacts the history: watches from earlier revisions get status 410.
     pub fn compact_history(&self) {
         let mut data = self.lock();
         data.revision += 1;
@@ -158,7 +157,7 @@
         self.changed.notify_waiters();
     }
 
-    /// Writes a value as the operator or a replica does, without a call that counts.
+    /// Writes a value as the operator or a replica does, without counting a request.
     pub fn write(&self, key: &str, value: &str) {
         let mut data = self.lock();
         data.revision += 1;
@@ -167,7 +166,7 @@
         self.changed.notify_waiters();
     }
 
-    /// Removes a value as the operator or a replica does.
+    /// Removes a value as the operator or a replica does, without counting a request.
     pub fn remove(&self, key: &str) {
         let mut data = self.lock();
         data.revision += 1;
@@ -176,20 +175,22 @@
         self.changed.notify_waiters();
     }
 
-    /// Gives a value, for tests.
+    /// Returns a value without counting a request.
     pub fn read(&self, key: &str) -> Option<Box<str>> {
         self.drop_expired();
         self.lock().values.get(key).map(|value| value.value.clone())
     }
 
-    /// Makes a copy, from which the store may come back later.
+    /// Takes a snapshot, from which the store can be restored later.
     pub fn snapshot(&self) -> StoreSnapshot {
         self.drop_expired();
         StoreSnapshot(self.lock().clone())
     }
 
-    /// Comes back from a copy: what was written since is gone, leases too, and revisions go back. The leases of the
-    /// copy run anew.
+    /// Restores a snapshot.
+    ///
+    /// Later writes and leases are lost, and the revision goes back. The leases in the snapshot are
+    /// renewed.
     pub fn restore_snapshot(&self, copy: &StoreSnapshot) {
         let mut data = self.lock();
         let era = data.era + 1;
@@ -203,7 +204,7 @@
         self.changed.notify_waiters();
     }
 
-    /// Gives the keys below a prefix.
+    /// Returns the keys with a prefix.
     pub fn keys(&self, prefix: &str) -> Vec<Box<str>> {
         let data = self.lock();
         let keys = data.values.keys();
@@ -212,12 +213,12 @@
             .collect()
     }
 
-    /// Gives how often the store has come back from a copy.
+    /// Returns the number of restores from a snapshot.
     pub fn era(&self) -> u64 {
         self.lock().era
     }
 
-    /// Gives a copy of the values, to be restored later.
+    /// Returns a copy of all values, to be restored later.
     pub fn copy_values(&self) -> BTreeMap<Box<str>, Box<str>> {
         self.lock()
             .values
@@ -226,7 +227,7 @@
             .collect()
     }
 
-    /// Puts a copy back, as a restored backup does.
+    /// Replaces all values with a copy, as restoring a backup does.
     pub fn restore_values(&self, copy: BTreeMap<Box<str>, Box<str>>) {
         let mut data = self.lock();
         data.values.clear();
@@ -264,7 +265,8 @@
         self.changed.notify_waiters();
     }
 
-    /// Gives the changes below a prefix after a revision; none where they were dropped.
+    /// Returns the changes of keys with a prefix after a revision; `None` if the history does not reach
+    /// that far.
     fn events(&self, prefix: &str, after: u64) -> Option<EventsBody> {
         let data = self.lock();
         if after < data.compacted || after > data.revision {
--- a/crates/zinniahatch_lab/src/test_doubles/store/endpoint.rs
+++ b/crates/zinniahatch_lab/src/test_doubles/store/endpoint.rs
@@ -1,4 +1,4 @@
-//! The store's calls over HTTP, with the faults of one front.
+//! HTTP handlers of the store, with the faults of one endpoint.
 
 use super::FakeStore;
 use super::TransactionError;
@@ -23,11 +23,11 @@
 use tokio::time::timeout;
 use zinniahatch_base::prelude::*;
 
-/// Largest body: a value as text, and what stands around it.
+/// Maximum size of a request body: the largest value in Base64 and the rest of the request.
 const MAX_BODY_BYTES: usize = 2 << 20;
-/// Header by which each answer says how often the store has come back from a copy.
+/// Response header with the number of restores from a snapshot.
 const ERA_HEADER: &str = "store-era";
-/// Items of one page; few, so that tests meet more than one.
+/// Number of items on one page; small, so that tests need more than one page.
 const PAGE_ITEMS: usize = 50;
 
 #[derive(Clone)]
@@ -37,7 +37,7 @@
 }
 
 impl EndpointHandler {
-    /// Counts the call and decides its effect; `None` where it was refused.
+    /// Counts the request and returns the fault to apply; `None` if the request was refused.
     async fn begin(&self, write: bool, response: &mut Response) -> Option<FaultEffect> {
         self.store.calls.fetch_add(1, Ordering::Relaxed);
         self.store
@@ -45,7 +45,7 @@
             .fetch_add(u64::from(write), Ordering::Relaxed);
         let effect = self.switch.effect(write).await;
         let era = self.store.era().to_string();
-        // A number always is a header's value.
+        // A number is always a valid header value.
         let _ = response.add_header(ERA_HEADER, era, true);
         if effect == FaultEffect::Refuse {
             response.status_code(StatusCode::SERVICE_UNAVAILABLE);
@@ -56,7 +56,7 @@
     }
 }
 
-/// Ends a call: with its answer, or with a broken connection after it took effect.
+/// Finishes a request: with its response, or with a broken connection if the response is to be lost.
 fn finish(effect: FaultEffect, response: &mut Response, body: impl Serialize + Send) {
     match effect {
         FaultEffect::Answer => response.render(Json(body)),
--- a/crates/zinniahatch_lab/src/test_doubles/store/wire.rs
+++ b/crates/zinniahatch_lab/src/test_doubles/store/wire.rs
@@ -1,4 +1,4 @@
-//! Bodies of the platform's calls, as the stand-in store reads and writes them.
+//! JSON bodies of the platform's store protocol.
 
 use super::StoredValue;
 use base64::Engine;
--- a/crates/zinniahatch_lab/src/users.rs
+++ b/crates/zinniahatch_lab/src/users.rs
@@ -1,21 +1,21 @@
-//! The two users' systems as they are today.
+//! The systems of the two example users, Amiantis and Aqsu, built from `examples/`.
 
 use zinniahatch_base::prelude::*;
 use zinniahatch_config::PartTexts;
 use zinniahatch_config::split_accounts;
 
-/// One region of a user.
+/// One region of a user's system.
 #[derive(Clone, Debug)]
 pub struct RegionPlan {
     /// The region.
     pub region: RegionId,
     /// Its data centre.
     pub data_centre: DataCentreId,
-    /// Its entry VMs.
+    /// Number of entry VMs.
     pub entries: usize,
 }
 
-/// One caller with its API key.
+/// A caller and its API key.
 #[derive(Clone, Debug)]
 pub struct CallerPlan {
     /// Its account.
@@ -35,7 +35,7 @@
     pub regions: Vec<RegionPlan>,
     /// The parts of the configuration.
     pub parts: PartTexts,
-    /// The preset in force at first.
+    /// The initial preset.
     pub preset: &'static str,
     /// The model service.
     pub engine: &'static str,
@@ -43,11 +43,11 @@
     pub plain: &'static str,
     /// Callers.
     pub callers: Vec<CallerPlan>,
-    /// The token of the operator who may do everything.
+    /// Token of the operator with all permissions.
     pub chief: String,
-    /// The token of the operator who may switch presets.
+    /// Token of the operator who may switch presets.
     pub shift: String,
-    /// The token of the manager who reads reports.
+    /// Token of the manager who may read reports.
     pub reader: String,
 }
 
@@ -107,7 +107,7 @@
     }
 }
 
-/// Gives Amiantis' system: three regions, seven entry VMs.
+/// Returns Amiantis' system: three regions, seven entry VMs.
 pub fn amiantis() -> UserPlan {
     let callers = [
         ("camara-lisboa", "lisboa", "obras-lisboa"),
@@ -134,7 +134,7 @@
     }
 }
 
-/// Gives Aqsu's system: three regions, seven entry VMs.
+/// Returns Aqsu's system: three regions, seven entry VMs.
 pub fn aqsu() -> UserPlan {
     let callers = [
         ("almaty-wholesale", "almaty", "buyer-almaty"),
--- a/crates/zinniahatch_lab/tests/accounts.rs
+++ b/crates/zinniahatch_lab/tests/accounts.rs
@@ -40,7 +40,7 @@
     code.and_then(|code| code.to_str().ok()).unwrap_or_default()
 }
 
-/// Gives the account that an attempt was run for, and whether any replica saw a credential.
+/// Returns the account that an attempt was run for, and whether any replica saw a credential.
 fn seen(site: &SiteCluster, attempt: &str) -> (Option<Box<str>>, bool) {
     let mut account = None;
     let mut shown = false;
@@ -52,9 +52,9 @@
     (account, shown)
 }
 
-/// A caller named another account than its key's in the header by which replicas are told, and the key went on to
-/// them. Replicas are told the account of the key, at every way on which a request leaves: here, by another region,
-/// and once more after a replica's failure; none of them sees a key.
+/// A caller named another account than its key's in the header by which replicas are told, and the key
+/// went on to them. Replicas are told the account of the key, at every way on which a request leaves:
+/// here, by another region, and once more after a replica's failure; none of them sees a key.
 #[tokio::test(flavor = "multi_thread")]
 async fn replicas_are_told_the_account_of_the_key() {
     let accounts = json!([account("acme", &["k1", "k2"]), account("other", &["k3"])]);
@@ -84,7 +84,8 @@
     }
 }
 
-/// Requests without a key, with one that nobody has, or with something that is none: refused at once, not run.
+/// Requests without a key, with one that nobody has, or with something that is none: refused at once,
+/// not run.
 #[test_case(None; "missing")]
 #[test_case(Some("Token nobodys"); "unknown")]
 #[test_case(Some("Bearer k1"); "other_scheme")]
@@ -108,8 +109,8 @@
     );
 }
 
-/// The homes of route and account both bind: an account at home in the south may not use a route of the north, and
-/// its other requests are served in the south, wherever they come in.
+/// The homes of route and account both bind: an account at home in the south may not use a route of the
+/// north, and its other requests are served in the south, wherever they come in.
 #[tokio::test(flavor = "multi_thread")]
 async fn homes_of_the_account_bind() {
     let mut homed = account("acme", &["k1"]);
@@ -137,8 +138,8 @@
     assert!(site.runs_outside("south").is_empty());
 }
 
-/// A key is taken away while one of its streams runs. The stream's replica breaks off, and the stream must not go on
-/// at another; no new request runs at any node.
+/// A key is taken away while one of its streams runs. The stream's replica breaks off, and the stream
+/// must not go on at another; no new request runs at any node.
 #[tokio::test(flavor = "multi_thread")]
 async fn key_taken_away_resumes_nothing() {
     let accounts = json!([account("acme", &["k1", "k2"])]);
@@ -167,8 +168,9 @@
     );
 }
 
-/// The store is silent for everybody and nobody can know which keys are taken away. Keys count for less than the
-/// bound; then their requests are refused as not run, with a time to come back, and served again with the store.
+/// The store is silent for everybody and nobody can know which keys are taken away. Keys count for less
+/// than the bound; then their requests are refused as not run, with a time to come back, and served
+/// again with the store.
 #[tokio::test(flavor = "multi_thread")]
 async fn silent_store_ends_the_trust_in_keys() {
     let accounts = json!([account("acme", &["k1"])]);
@@ -213,8 +215,9 @@
     }
 }
 
-/// A region's way to the store is cut, and to nothing else. Its nodes hear of proofs from the others and go on for
-/// longer than the bound; a key that is taken away meanwhile runs nowhere once the bound is over.
+/// A region's way to the store is cut, and to nothing else. Its nodes hear of proofs from the others
+/// and go on for longer than the bound; a key that is taken away meanwhile runs nowhere once the bound
+/// is over.
 #[tokio::test(flavor = "multi_thread")]
 async fn region_without_the_store_lives_on_proofs_of_others() {
     let accounts = json!([account("acme", &["k1", "k2"])]);
@@ -248,8 +251,8 @@
     );
 }
 
-/// A node is frozen while a key is taken away, and wakes later than the bound. What it believed before must not count
-/// for the first request that it reads.
+/// A node is frozen while a key is taken away, and wakes later than the bound. What it believed before
+/// must not count for the first request that it reads.
 #[tokio::test(flavor = "multi_thread")]
 async fn node_that_wakes_does_not_trust_what_it_knew() {
     let accounts = json!([account("acme", &["k1", "k2"])]);
@@ -274,9 +277,9 @@
     .await;
 }
 
-/// An account may send ten requests a second and ten at once, and sends hundreds to all nodes of two regions. All
-/// nodes together let pass what is allowed and little more; who is refused is told when there is room, and nobody
-/// else is refused.
+/// An account may send ten requests a second and ten at once, and sends hundreds to all nodes of two
+/// regions. All nodes together let pass what is allowed and little more; who is refused is told when
+/// there is room, and nobody else is refused.
 #[tokio::test(flavor = "multi_thread")]
 async fn allowance_holds_over_all_nodes() {
     const RATE: f64 = 10.0;
--- a/crates/zinniahatch_lab/tests/addresses.rs
+++ b/crates/zinniahatch_lab/tests/addresses.rs
@@ -14,7 +14,8 @@
 /// Sockets that are open to all addresses of the machine, with ports from the system.
 const SOCKETS: usize = 200;
 
-/// Guards against a node that cannot start, since somebody was given its port between the choice and the start.
+/// Guards against a node that cannot start, since somebody was given its port between the choice and
+/// the start.
 #[test]
 fn free_addresses_stay_free_beside_sockets_open_to_all() {
     let mut held = Vec::new();
--- a/crates/zinniahatch_lab/tests/crashing_request.rs
+++ b/crates/zinniahatch_lab/tests/crashing_request.rs
@@ -46,10 +46,11 @@
 }
 
 /// Callers saw streams of all kinds break off, many times in a row, and were refused because hardly a
-/// replica was left. One caller's query ended each replica that began it; it came again under a new id at
-/// other nodes and in other regions, and each took it for a fresh one. The log showed one digest of path,
-/// caller and body on every crash, as `channel-broke ... replica=i-bad67beeee ran_ms=83 began=true`, while
-/// no attempt's id stood on more than two. What ran beside it must go on being served.
+/// replica was left. One caller's query ended each replica that began it; it came again under a new id
+/// at other nodes and in other regions, and each took it for a fresh one. The log showed one digest of
+/// path, caller and body on every crash, as `channel-broke ... replica=i-bad67beeee ran_ms=83
+/// began=true`, while no attempt's id stood on more than two. What ran beside it must go on being
+/// served.
 #[tokio::test(flavor = "multi_thread")]
 async fn fatal_request_ends_few_replicas() {
     const REPEATS: usize = 12;
@@ -134,8 +135,8 @@
     assert_eq!(site.runs(&attempt), 0);
 }
 
-/// All nodes lost power after a request had ended three replicas, and with them what they knew of it. The
-/// caller came again, and three more replicas would have ended. The store keeps what must last.
+/// All nodes lost power after a request had ended three replicas, and with them what they knew of it.
+/// The caller came again, and three more replicas would have ended. The store keeps what must last.
 #[tokio::test(flavor = "multi_thread")]
 async fn hold_outlives_all_nodes() {
     let mut site = start_site().await;
@@ -182,9 +183,9 @@
     assert_eq!(other.status(), StatusCode::OK);
 }
 
-/// A request ends replicas whatever its route promises: one that may run once is never sent again by a node, and
-/// its caller's repeats end one replica each; a plain one is tried twice; a bound one ends those of its home alone.
-/// Every node tells each of them at once, and none ran in vain.
+/// A request ends replicas whatever its route promises: one that may run once is never sent again by a
+/// node, and its caller's repeats end one replica each; a plain one is tried twice; a bound one ends
+/// those of its home alone. Every node tells each of them at once, and none ran in vain.
 #[test_case("/plain/fatal"; "plain")]
 #[test_case("/once/fatal"; "once")]
 #[test_case("/bound/fatal"; "bound")]
@@ -201,8 +202,8 @@
     }
 }
 
-/// A region without replicas hands every request to others. The node that serves sees the replica end, and
-/// the node that the caller asks hands the request on to the next region.
+/// A region without replicas hands every request to others. The node that serves sees the replica end,
+/// and the node that the caller asks hands the request on to the next region.
 #[tokio::test(flavor = "multi_thread")]
 async fn fatal_request_is_held_where_it_is_handed_over() {
     let regions = [("north", 2), ("south", 0), ("west", 2)].map(|(name, replicas)| SiteRegion {
@@ -221,8 +222,8 @@
     }
 }
 
-/// Two callers send the same body to the same path, and it ends replicas for one of them alone, as when an
-/// engine fails on what it keeps of the one's session. The other is served.
+/// Two callers send the same body to the same path, and it ends replicas for one of them alone, as when
+/// an engine fails on what it keeps of the one's session. The other is served.
 #[tokio::test(flavor = "multi_thread")]
 async fn hold_is_of_one_caller() {
     let mut site = start_site().await;
@@ -238,9 +239,9 @@
     check_held(&site, 0, &fatal).await;
 }
 
-/// A region lost all its replicas at once, four times. Callers' requests were on them each time, and one
-/// that all callers make stood on every one of them; all were served as soon as replicas were back. None of
-/// them was the cause, and none may be taken for it.
+/// A region lost all its replicas at once, four times. Callers' requests were on them each time, and
+/// one that all callers make stood on every one of them; all were served as soon as replicas were back.
+/// None of them was the cause, and none may be taken for it.
 #[tokio::test(flavor = "multi_thread")]
 async fn losses_of_other_cause_harm_no_request() {
     const LOSSES: usize = 4;
--- a/crates/zinniahatch_lab/tests/operators.rs
+++ b/crates/zinniahatch_lab/tests/operators.rs
@@ -33,8 +33,8 @@
     run.await.unwrap().expect("zinniactl is built")
 }
 
-/// An operator switched to the preset for peaks. The two nodes of each region that follow it took it over;
-/// the others had it only when they were restarted.
+/// An operator switched to the preset for peaks. The two nodes of each region that follow it took it
+/// over; the others had it only when they were restarted.
 #[tokio::test(flavor = "multi_thread")]
 async fn switch_reaches_every_node() {
     let site = site().await;
@@ -77,7 +77,8 @@
     assert!(String::from_utf8_lossy(&unknown.stderr).contains("left_out"));
 }
 
-/// Nobody knew which requests a day had lost and why; the tool counts each once, at the node that was asked.
+/// Nobody knew which requests a day had lost and why; the tool counts each once, at the node that was
+/// asked.
 #[tokio::test(flavor = "multi_thread")]
 async fn losses_count_by_cause() {
     let site = site().await;
--- a/crates/zinniahatch_lab/tests/replica_limit.rs
+++ b/crates/zinniahatch_lab/tests/replica_limit.rs
@@ -54,8 +54,8 @@
     assert_eq!(served.count(), answers.len());
 }
 
-/// Guards against a way on which requests reach a limited replica past its limit: sent once more, resumed, or handed
-/// over by a region without replicas.
+/// Guards against a way on which requests reach a limited replica past its limit: sent once more,
+/// resumed, or handed over by a region without replicas.
 #[test_case("/plain/look", ReplicaBehaviour::Fail; "sent_once_more")]
 #[test_case("/stream/look", ReplicaBehaviour::BreakAfter(1); "resumed")]
 #[test_case("/stream/look", ReplicaBehaviour::Serve; "handed_over")]
@@ -92,8 +92,8 @@
     Freeze,
 }
 
-/// Guards against a process that starts or wakes and takes the part of others of a limit, and against the loss of
-/// what is known of it with a process.
+/// Guards against a process that starts or wakes and takes the part of others of a limit, and against
+/// the loss of what is known of it with a process.
 #[test_case(NodeFault::Stop; "stopped")]
 #[test_case(NodeFault::Kill; "killed")]
 #[test_case(NodeFault::Freeze; "frozen")]
@@ -121,8 +121,8 @@
     check_limits(&site);
 }
 
-/// Guards against requests that wait for replicas which will not take them, and against a refusal that names no
-/// time to come back.
+/// Guards against requests that wait for replicas which will not take them, and against a refusal that
+/// names no time to come back.
 #[tokio::test(flavor = "multi_thread")]
 async fn limited_replicas_refuse_at_once() {
     let site = SiteCluster::start(&[SiteRegion::new("north", 2, 2)], SHAPE).await;
--- a/crates/zinniahatch_lab/tests/replica_notices.rs
+++ b/crates/zinniahatch_lab/tests/replica_notices.rs
@@ -48,8 +48,8 @@
     Lapsed,
 }
 
-/// Guards against requests to a replica that has said in an answer that it leaves, whatever the store says and on
-/// whichever way they come.
+/// Guards against requests to a replica that has said in an answer that it leaves, whatever the store
+/// says and on whichever way they come.
 #[test_case("/plain/look", ReplicaBehaviour::Serve, StoreWord::Silent; "store_silent")]
 #[test_case("/plain/look", ReplicaBehaviour::Serve, StoreWord::Ready; "store_says_ready")]
 #[test_case("/plain/look", ReplicaBehaviour::Serve, StoreWord::Lapsed; "entry_lapsed")]
@@ -84,8 +84,8 @@
     assert_eq!(broken, None);
 }
 
-/// Guards against requests to a replica in the time for which it wants none from this node, on whichever way they
-/// come.
+/// Guards against requests to a replica in the time for which it wants none from this node, on
+/// whichever way they come.
 #[test_case("/plain/look", ReplicaBehaviour::Serve; "first_sends")]
 #[test_case("/plain/look", ReplicaBehaviour::Fail; "sent_once_more")]
 #[test_case("/stream/look", ReplicaBehaviour::BreakAfter(1); "resumed")]
@@ -113,7 +113,8 @@
     assert!(rests > 0);
 }
 
-/// Guards against requests that wait for replicas which want none, and against a time to come back that is not theirs.
+/// Guards against requests that wait for replicas which want none, and against a time to come back that
+/// is not theirs.
 #[tokio::test(flavor = "multi_thread")]
 async fn resting_replicas_refuse_at_once() {
     let site = SiteCluster::start(&[SiteRegion::new("north", 1, 2)], SHAPE).await;
--- a/crates/zinniahatch_lab/tests/site.rs
+++ b/crates/zinniahatch_lab/tests/site.rs
@@ -1,4 +1,4 @@
-//! The entry VM on the users' platform, as real processes among stand-ins that fail.
+//! The entry VM on the users' platform, as real processes among test doubles that fail.
 
 use reqwest::StatusCode;
 use std::sync::atomic::AtomicU32;
@@ -22,7 +22,7 @@
     pause: Duration::from_millis(50),
 };
 
-/// Gives the ids of the events in a stream's text, checking that none is torn.
+/// Returns the ids of the events in a stream's text, checking that none is torn.
 fn event_ids(text: &str) -> Vec<u32> {
     text.split_terminator("\n\n")
         .map(|event| {
@@ -448,9 +448,10 @@
     assert_eq!(answer.status(), StatusCode::OK);
 }
 
-/// All entry VMs lost power; their callers came back with the power, and for the moment in which a node reads
-/// the store each was refused with its last retry. Here the store takes 150 ms for each call, so that a
-/// fresh node never knows its routes when the first caller comes; of three starts one at least serves that one.
+/// All entry VMs lost power; their callers came back with the power, and for the moment in which a node
+/// reads the store each was refused with its last retry. Here the store takes 150 ms for each call, so
+/// that a fresh node never knows its routes when the first caller comes; of three starts one at least
+/// serves that one.
 #[tokio::test(flavor = "multi_thread")]
 async fn serve_the_first_caller_of_a_start() {
     let mut site = SiteCluster::start(&[SiteRegion::new("north", 1, 1)], SHORT).await;
@@ -473,8 +474,8 @@
     assert!(served > 0, "every first caller was refused");
 }
 
-/// The settings file was announced as changed although nothing in it had changed. A summary in progress must go on
-/// to its end, the node stays ready, and its log says that nothing is new.
+/// The settings file was announced as changed although nothing in it had changed. A summary in progress
+/// must go on to its end, the node stays ready, and its log says that nothing is new.
 #[tokio::test(flavor = "multi_thread")]
 async fn reload_without_a_change_disturbs_nobody() {
     let site = SiteCluster::start(&[SiteRegion::new("north", 1, 1)], LONG).await;
@@ -495,7 +496,7 @@
     assert_eq!(ids, (1..=60).collect::<Vec<u32>>());
 }
 
-/// Gives the last way of the news of a node's work, as its log says.
+/// Returns the last way of the news of a node's work, as its log says.
 fn work_path(site: &SiteCluster, index: usize) -> String {
     let lines = site.log(index);
     let last = lines.lines().rfind(|line| line.contains("work-path"));
@@ -506,8 +507,8 @@
     fields["path"].as_str().unwrap_or_default().to_owned()
 }
 
-/// The node that gathered its region's news of open work died. The others went on telling it alone, and nobody
-/// knew what they had placed. They notice that it passes nothing on, and agree on another.
+/// The node that gathered its region's news of open work died. The others went on telling it alone, and
+/// nobody knew what they had placed. They notice that it passes nothing on, and agree on another.
 #[tokio::test(flavor = "multi_thread")]
 async fn collector_that_died_is_left() {
     let mut site = SiteCluster::start(&[SiteRegion::new("north", 10, 2)], SHORT).await;
--- a/crates/zinniahatch_lab/tests/store_returns.rs
+++ b/crates/zinniahatch_lab/tests/store_returns.rs
@@ -1,4 +1,5 @@
-//! The store comes back from an older copy: what the client makes of its answers, and what nodes write again.
+//! The store comes back from an older copy: what the client makes of its answers, and what nodes write
+//! again.
 
 use std::time::Duration;
 use test_case::test_case;
@@ -35,8 +36,9 @@
     (store, front, client)
 }
 
-/// A watch waits for what follows revision 5. The store comes back at revision 3 and counts up again, past 5. The watch
-/// would have slept through 4 and 5 of the new era, in which an operator took a key away.
+/// A watch waits for what follows revision 5. The store comes back at revision 3 and counts up again,
+/// past 5. The watch would have slept through 4 and 5 of the new era, in which an operator took a key
+/// away.
 #[test_case(false; "while_it_waits")]
 #[test_case(true; "before_it_asks")]
 #[tokio::test]
@@ -74,8 +76,8 @@
     assert_eq!(again.revision, StoreRevision { era: 1, number: 7 });
 }
 
-/// A node read a value at revision 4 and writes it under that condition. The store has come back meanwhile, and its
-/// revision 4 is somebody else's write, which the condition would let pass.
+/// A node read a value at revision 4 and writes it under that condition. The store has come back
+/// meanwhile, and its revision 4 is somebody else's write, which the condition would let pass.
 #[tokio::test]
 async fn condition_of_an_era_that_is_over_does_not_hold() {
     let (store, _front, client) = open_store().await;
@@ -97,8 +99,8 @@
     assert_eq!(store.read("k").as_deref(), Some("another's"));
 }
 
-/// A node's lease was given after the copy was made; its number goes to another node after the return. Renewed as its
-/// own, it would keep the other's key alive, and its own would never come back.
+/// A node's lease was given after the copy was made; its number goes to another node after the return.
+/// Renewed as its own, it would keep the other's key alive, and its own would never come back.
 #[tokio::test]
 async fn lease_of_an_era_that_is_over_has_lapsed() {
     let (store, front, client) = open_store().await;
@@ -124,7 +126,7 @@
     serde_json::json!([{"name": "acme", "api_keys": keys}])
 }
 
-/// Gives the status that a node answers with; 0 where it does not listen yet.
+/// Returns the status that a node answers with; 0 where it does not listen yet.
 async fn code_of(site: &SiteCluster, node: usize, key: &str) -> u16 {
     let call = site.call(node, "/plain/x", "a");
     let call = call.header("authorization", format!("Token {key}"));
@@ -132,8 +134,8 @@
     answer.map_or(0, |answer| answer.status().as_u16())
 }
 
-/// A key is taken away, and the store comes back from a copy that still has it. A node that starts just then finds it
-/// there, and must not serve it: the others follow the newer version, and say so.
+/// A key is taken away, and the store comes back from a copy that still has it. A node that starts just
+/// then finds it there, and must not serve it: the others follow the newer version, and say so.
 #[tokio::test(flavor = "multi_thread")]
 async fn key_taken_away_stays_so_at_nodes_that_start() {
     let regions = [SiteRegion::new("north", 3, 2)];
@@ -167,8 +169,8 @@
     }
 }
 
-/// An operator's switch was acknowledged and in force, and the store comes back from a copy without it. It stays in
-/// force, and the nodes write it again.
+/// An operator's switch was acknowledged and in force, and the store comes back from a copy without it.
+/// It stays in force, and the nodes write it again.
 #[tokio::test(flavor = "multi_thread")]
 async fn preset_in_force_is_written_again() {
     let site = SiteCluster::start(&[SiteRegion::new("north", 2, 1)], SHAPE).await;
