--- a/crates/zinniahatch_lab/src/cluster.rs
+++ b/crates/zinniahatch_lab/src/cluster.rs
@@ -219,7 +219,7 @@
         self.nodes
             .iter()
             .position(|node| &*node.name == name)
-            .expect("the node is planned")
+            .expect("the cluster has a node of this name")
     }
 
     /// Starts a node's process.
@@ -361,7 +361,7 @@
         preset: plan.preset.into(),
         ..ConfigHead::default()
     };
-    ClusterConfig::build(&head, &plan.parts).expect("the plan is right")
+    ClusterConfig::build(&head, &plan.parts).expect("the plan is a valid configuration")
 }
 
 /// Returns whether a node reports that it is ready.
@@ -375,7 +375,7 @@
 /// Returns the path of the daemon's binary, which is built into the same folder as the running one.
 pub(crate) fn daemon_path() -> PathBuf {
     let own = std::env::current_exe().expect("a running program has a path");
-    let folder = own.parent().expect("a program is in a folder");
+    let folder = own.parent().expect("the binary is in a folder");
     let folder = if folder.ends_with("deps") {
         folder.parent().unwrap_or(folder)
     } else {
--- a/crates/zinniahatch_lab/src/cluster/prepare.rs
+++ b/crates/zinniahatch_lab/src/cluster/prepare.rs
@@ -64,7 +64,7 @@
         let region = config
             .topology
             .region_of(&entry.data_centre)
-            .expect("the plan is checked");
+            .expect("the topology lists the data centre");
         let backend = FakeBackend::new(name, region, entry.slots, history.clone());
         let shared = shared_url.as_ref().filter(|_| options.shared_backends);
         let url = if let Some(url) = shared {
@@ -138,8 +138,8 @@
                 name,
                 region: region.region.clone(),
                 data_centre: region.data_centre.clone(),
-                http: ports.next().expect("enough ports were taken"),
-                peer: ports.next().expect("enough ports were taken"),
+                http: ports.next().expect("enough addresses were found"),
+                peer: ports.next().expect("enough addresses were found"),
                 child: None,
             });
         }
@@ -171,7 +171,7 @@
         .take(count)
         .map(|port| format!("{host}:{port}").into())
         .collect();
-    assert_eq!(found.len(), count, "ports are free");
+    assert_eq!(found.len(), count, "enough ports are free");
     found
 }
 
--- a/crates/zinniahatch_lab/src/site.rs
+++ b/crates/zinniahatch_lab/src/site.rs
@@ -441,11 +441,15 @@
     ///
     /// Panics if it has no process or `/proc` does not report the mask.
     pub fn caught_signals(&self, index: usize) -> u64 {
-        let child = self.entries[index].child.as_ref().expect("it has started");
+        let child = self.entries[index]
+            .child
+            .as_ref()
+            .expect("the entry VM has a process");
         let status = std::fs::read_to_string(format!("/proc/{}/status", child.id()));
-        let status = status.expect("the system tells");
+        let status = status.expect("the process has a status");
         let line = status.lines().find_map(|line| line.strip_prefix("SigCgt:"));
-        u64::from_str_radix(line.expect("the system tells").trim(), 16).expect("it is a mask")
+        u64::from_str_radix(line.expect("the status lists the mask").trim(), 16)
+            .expect("the mask is hexadecimal")
     }
 
     /// Returns whether an entry VM was started and not killed.
@@ -502,7 +506,7 @@
                     .filter(|entry| entry.region == region.name)
                     .map(|entry| entry.addresses[0].clone())
                     .collect();
-                wait_until("the entry VMs know each other", async || {
+                wait_until("the entry VMs have discovered each other", async || {
                     self.resolve(index, region.name).await == fronts
                 })
                 .await;
@@ -558,5 +562,5 @@
         }
         sleep(POLL_INTERVAL).await;
     }
-    panic!("timed out waiting until {what}");
+    panic!("waited in vain: {what}");
 }
--- a/crates/zinniahatch_lab/src/users.rs
+++ b/crates/zinniahatch_lab/src/users.rs
@@ -188,7 +188,7 @@
             parts.insert((*name).into(), (*text).into());
             continue;
         }
-        let shards = split_accounts(name, text).expect("the example accounts are right");
+        let shards = split_accounts(name, text).expect("the example accounts are valid");
         parts.extend(shards.into_iter().map(|(shard, text)| (shard, text.into())));
     }
     parts
--- a/crates/zinniahatch_lab/tests/accounts.rs
+++ b/crates/zinniahatch_lab/tests/accounts.rs
@@ -1,4 +1,5 @@
-//! Client accounts on real processes: whose request runs, for whom, and when a key no longer counts.
+//! Client accounts with real processes: which requests run, for which account, and when a revoked
+//! key stops working.
 
 use reqwest::Response;
 use reqwest::StatusCode;
@@ -14,7 +15,7 @@
 use zinniahatch_lab::test_doubles::replica::ReplicaBehaviour;
 use zinniahatch_lab::test_doubles::replica::StreamShape;
 
-/// Time after which a key that was taken away must run nowhere, as the settings of a guarded site say.
+/// Time after which a revoked key must not work at any node, as set for sites with accounts.
 const REVOKE: Duration = Duration::from_secs(5);
 const SHORT: StreamShape = StreamShape {
     events: 12,
@@ -40,7 +41,7 @@
     code.and_then(|code| code.to_str().ok()).unwrap_or_default()
 }
 
-/// Returns the account that an attempt was run for, and whether any replica saw a credential.
+/// Returns the account for which an attempt ran, and whether any replica received a credential.
 fn seen(site: &SiteCluster, attempt: &str) -> (Option<Box<str>>, bool) {
     let mut account = None;
     let mut shown = false;
@@ -52,9 +53,9 @@
     (account, shown)
 }
 
-/// A caller named another account than its key's in the header by which replicas are told, and the key
-/// went on to them. Replicas are told the account of the key, at every way on which a request leaves:
-/// here, by another region, and once more after a replica's failure; none of them sees a key.
+/// Guards against a forged account and leaked keys. A caller names another account in the header
+/// meant for replicas. On every path (same node, forwarded from another region, retried after a
+/// failure), replicas must receive the account of the key and never the key.
 #[tokio::test(flavor = "multi_thread")]
 async fn replicas_are_told_the_account_of_the_key() {
     let accounts = json!([account("acme", &["k1", "k2"]), account("other", &["k3"])]);
@@ -76,7 +77,7 @@
         replica.set_behaviour(ReplicaBehaviour::Fail);
     }
     send(&site, 0, "/plain/x", "a3", "k3").await;
-    assert!(site.runs("a3") > 1, "it is tried once more");
+    assert!(site.runs("a3") > 1, "the request is retried");
     assert_eq!(seen(&site, "a3"), (Some("other".into()), false));
     for node in 0..3 {
         let log = site.log(node);
@@ -84,8 +85,8 @@
     }
 }
 
-/// Requests without a key, with one that nobody has, or with something that is none: refused at once,
-/// not run.
+/// Guards against running requests with a missing, unknown or malformed key. They are refused at
+/// once as not run.
 #[test_case(None; "missing")]
 #[test_case(Some("Token nobodys"); "unknown")]
 #[test_case(Some("Bearer k1"); "other_scheme")]
@@ -109,10 +110,11 @@
     );
 }
 
-/// The homes of route and account both bind: an account at home in the south may not use a route of the
-/// north, and its other requests are served in the south, wherever they come in.
+/// Guards against ignoring the home regions of the account, which apply together with those of the
+/// route: an account homed in the south may not use a route bound to the north, and its other
+/// requests are served in the south wherever they arrive.
 #[tokio::test(flavor = "multi_thread")]
-async fn homes_of_the_account_bind() {
+async fn home_regions_of_the_account_are_enforced() {
     let mut homed = account("acme", &["k1"]);
     homed["home_regions"] = json!(["south"]);
     let regions = [
@@ -127,7 +129,7 @@
             answer
                 .text()
                 .await
-                .expect("it is whole")
+                .expect("the response is complete")
                 .ends_with("@i-south-0")
         );
         let answer = send(&site, node, "/bound/x", "b", "k1").await;
@@ -138,10 +140,11 @@
     assert!(site.runs_outside("south").is_empty());
 }
 
-/// A key is taken away while one of its streams runs. The stream's replica breaks off, and the stream
-/// must not go on at another; no new request runs at any node.
+/// Guards against resuming a stream whose key was revoked while it ran. When its replica breaks
+/// off, the stream must not continue on another replica, and no node may run new requests with the
+/// key.
 #[tokio::test(flavor = "multi_thread")]
-async fn key_taken_away_resumes_nothing() {
+async fn revoked_key_resumes_no_stream() {
     let accounts = json!([account("acme", &["k1", "k2"])]);
     let site =
         SiteCluster::start_with_accounts(&[SiteRegion::new("north", 2, 2)], LONG, &accounts).await;
@@ -159,7 +162,7 @@
     for index in 0..2 {
         site.link(index).reset_open();
     }
-    // The caller sees that it is not whole.
+    // The caller can tell that the stream is truncated.
     assert!(answer.text().await.is_err());
     assert_eq!(site.runs("s"), 1);
     assert_eq!(
@@ -168,11 +171,11 @@
     );
 }
 
-/// The store is silent for everybody and nobody can know which keys are taken away. Keys count for less
-/// than the bound; then their requests are refused as not run, with a time to come back, and served
-/// again with the store.
+/// Guards against accepting keys that may have been revoked while the store is silent for all
+/// nodes. Keys are accepted for less than the bound; then requests are refused as not run, with a
+/// Retry-After, and served again once the store responds.
 #[tokio::test(flavor = "multi_thread")]
-async fn silent_store_ends_the_trust_in_keys() {
+async fn keys_expire_while_the_store_is_silent() {
     let accounts = json!([account("acme", &["k1"])]);
     let regions = [
         SiteRegion::new("north", 2, 1),
@@ -199,7 +202,7 @@
     })
     .await;
     assert!(last_served < REVOKE, "{last_served:?}");
-    // A route that needs no key is served all the same.
+    // A route that needs no key is still served.
     let open = site
         .call(0, "/open/x", "o")
         .send()
@@ -215,11 +218,11 @@
     }
 }
 
-/// A region's way to the store is cut, and to nothing else. Its nodes hear of proofs from the others
-/// and go on for longer than the bound; a key that is taken away meanwhile runs nowhere once the bound
-/// is over.
+/// Guards against refusing requests in a region that has lost only its connection to the store. Its
+/// nodes receive freshness proofs from the others and serve for longer than the bound, but a key
+/// revoked meanwhile must not work after the bound.
 #[tokio::test(flavor = "multi_thread")]
-async fn region_without_the_store_lives_on_proofs_of_others() {
+async fn region_without_store_access_uses_proofs_of_others() {
     let accounts = json!([account("acme", &["k1", "k2"])]);
     let regions = [
         SiteRegion::new("north", 2, 1),
@@ -228,7 +231,7 @@
     let site = SiteCluster::start_with_accounts(&regions, SHORT, &accounts).await;
     site.store_link("north").cut();
     let cut = Instant::now();
-    wait_until("the bound is over twice", async || {
+    wait_until("twice the bound has passed", async || {
         let answer = send(&site, 0, "/plain/x", "x", "k2").await;
         assert_eq!(answer.status(), StatusCode::OK, "{}", result(&answer));
         cut.elapsed() > REVOKE * 2
@@ -236,7 +239,7 @@
     .await;
     site.configure_accounts(3, &json!([account("acme", &["k2"])]));
     let taken = Instant::now();
-    wait_until("the bound is over", async || {
+    wait_until("the bound has passed", async || {
         let late = taken.elapsed() > REVOKE;
         for node in 0..2 {
             let answer = send(&site, node, "/plain/x", "late", "k1").await;
@@ -251,10 +254,10 @@
     );
 }
 
-/// A node is frozen while a key is taken away, and wakes later than the bound. What it believed before
-/// must not count for the first request that it reads.
+/// Guards against a frozen node that accepts a key revoked in the meantime when it resumes later
+/// than the bound: its former state must not count for the first request that it reads.
 #[tokio::test(flavor = "multi_thread")]
-async fn node_that_wakes_does_not_trust_what_it_knew() {
+async fn resumed_node_does_not_accept_revoked_keys() {
     let accounts = json!([account("acme", &["k1", "k2"])]);
     let site =
         SiteCluster::start_with_accounts(&[SiteRegion::new("north", 2, 1)], SHORT, &accounts).await;
@@ -265,7 +268,7 @@
     site.signal(0, "-STOP");
     site.configure_accounts(3, &json!([account("acme", &["k2"])]));
     let taken = Instant::now();
-    wait_until("the bound is over", async || taken.elapsed() > REVOKE).await;
+    wait_until("the bound has passed", async || taken.elapsed() > REVOKE).await;
     let woken = send(&site, 0, "/plain/x", "late", "k1");
     let wake = async { site.signal(0, "-CONT") };
     let (answer, ()) = tokio::join!(woken, wake);
@@ -277,9 +280,10 @@
     .await;
 }
 
-/// An account may send ten requests a second and ten at once, and sends hundreds to all nodes of two
-/// regions. All nodes together let pass what is allowed and little more; who is refused is told when
-/// there is room, and nobody else is refused.
+/// Guards against exceeding the rate limit of an account across nodes. An account with 10 requests
+/// per second and a burst of 10 sends hundreds to all nodes of two regions. All nodes together must
+/// let hardly more pass than allowed, refusals must carry a Retry-After, and other accounts must
+/// not be refused.
 #[tokio::test(flavor = "multi_thread")]
 async fn allowance_holds_over_all_nodes() {
     const RATE: f64 = 10.0;
@@ -308,11 +312,12 @@
         assert_eq!(site.runs(&attempt), 0);
         let after = answer.headers()["retry-after"]
             .to_str()
-            .expect("it is text");
-        retry = Some(after.parse::<f64>().expect("it is a number"));
+            .expect("the header is text");
+        retry = Some(after.parse::<f64>().expect("the header is a number"));
     }
     let allowed = RATE * since.elapsed().as_secs_f64() + RATE;
-    // Of each region one more may pass before the other hears of it, and one at each node at once.
+    // One more request per region may pass before the other region learns of it, and one per node at
+    // the same time.
     assert!(
         f64::from(passed) <= allowed * 1.1 + 7.0,
         "{passed} of {allowed}"
@@ -322,7 +327,7 @@
         send(&site, 0, "/plain/x", "o", "k2").await.status(),
         StatusCode::OK
     );
-    wait_until("there is room again", async || {
+    wait_until("the account may send again", async || {
         send(&site, 0, "/plain/x", "r", "k1").await.status() == StatusCode::OK
     })
     .await;
--- a/crates/zinniahatch_lab/tests/addresses.rs
+++ b/crates/zinniahatch_lab/tests/addresses.rs
@@ -1,4 +1,4 @@
-//! The addresses that the lab gives to processes which bind them later.
+//! Tests of the addresses that the lab assigns to processes, which bind them later.
 
 use std::net::TcpListener;
 use std::net::UdpSocket;
@@ -11,19 +11,19 @@
 use zinniahatch_lab::test_doubles::replica::StreamShape;
 use zinniahatch_lab::users;
 
-/// Sockets that are open to all addresses of the machine, with ports from the system.
+/// Number of sockets bound to the wildcard address, with ephemeral ports.
 const SOCKETS: usize = 200;
 
-/// Guards against a node that cannot start, since somebody was given its port between the choice and
-/// the start.
+/// Guards against a node that cannot start because another process was given its port between the
+/// choice of the address and the start.
 #[test]
-fn free_addresses_stay_free_beside_sockets_open_to_all() {
-    let mut held = Vec::new();
+fn free_addresses_avoid_wildcard_sockets() {
+    let mut sockets = Vec::new();
     let mut system: Vec<u16> = Vec::new();
     for _ in 0..SOCKETS {
         let socket = UdpSocket::bind("0.0.0.0:0").unwrap();
         system.push(socket.local_addr().unwrap().port());
-        held.push(socket);
+        sockets.push(socket);
     }
     let least = system.iter().min().unwrap();
     let most = system.iter().max().unwrap();
@@ -35,20 +35,20 @@
     }
 }
 
-/// Guards against a stranger at a node's address that is taken for the node.
+/// Guards against taking another process that listens at the address of a node for the node.
 #[tokio::test(flavor = "multi_thread")]
 #[should_panic(expected = "does not serve")]
-async fn stranger_is_not_taken_for_a_node() {
+async fn other_process_is_not_taken_for_a_node() {
     let mut plan = users::aqsu();
     plan.regions.truncate(1);
     plan.regions[0].entries = 1;
     let mut cluster = LabCluster::prepare(plan, &ClusterOptions::default()).await;
-    let _stranger = TcpListener::bind(&*cluster.nodes[0].http).unwrap();
+    let _listener = TcpListener::bind(&*cluster.nodes[0].http).unwrap();
     cluster.spawn(0);
     cluster.wait_ready().await;
 }
 
-/// Guards against an entry VM that goes on without one of its addresses.
+/// Guards against an entry VM that keeps running although one of its addresses is taken.
 #[tokio::test(flavor = "multi_thread")]
 async fn taken_address_ends_an_entry_vm() {
     let shape = StreamShape {
@@ -57,7 +57,7 @@
     };
     let mut site = SiteCluster::prepare(&[SiteRegion::new("north", 1, 0)], shape).await;
     let address = site.entries[0].addresses[0].to_string();
-    let _stranger = TcpListener::bind(&address).unwrap();
+    let _listener = TcpListener::bind(&address).unwrap();
     site.spawn(0);
     wait_until("the entry VM ends", async || site.ended(0).is_some()).await;
     assert_eq!(site.ended(0), Some(false));
--- a/crates/zinniahatch_lab/tests/cold_replica.rs
+++ b/crates/zinniahatch_lab/tests/cold_replica.rs
@@ -1,4 +1,4 @@
-//! Replicas that are cold, with real entry VMs.
+//! Tests of cold replicas, with real entry VMs.
 
 use futures_util::future::join_all;
 use std::time::Duration;
@@ -10,15 +10,15 @@
 use zinniahatch_lab::test_doubles::replica::ReplicaBehaviour;
 use zinniahatch_lab::test_doubles::replica::StreamShape;
 
-/// Requests that the desired state lets all nodes together send a cold replica in a second.
-const MOST: usize = 3;
+/// Requests per second to a cold replica that the desired state allows all nodes together.
+const MAX_REQUESTS: usize = 3;
 const NODES: usize = 10;
 const SHAPE: StreamShape = StreamShape {
     events: 3,
     pause: Duration::from_millis(10),
 };
 
-/// Guards against probes from all nodes at once to a replica that comes back cold.
+/// Guards against probes by all nodes at once of a replica that returns cold.
 #[tokio::test(flavor = "multi_thread")]
 async fn cold_replica_is_probed_by_few() {
     let site = SiteCluster::start(&[SiteRegion::new("north", NODES, 1)], SHAPE).await;
@@ -30,13 +30,13 @@
     });
     let measured = async {
         for node in 0..NODES {
-            wait_until("the node probes", async || {
+            wait_until("the node probes the replica", async || {
                 site.log(node).contains("\"probe\"")
             })
             .await;
         }
         site.register_cold(0, Duration::from_secs(60));
-        // What was under way when the entry was written is over.
+        // Requests in flight when the entry was written have ended by then.
         sleep(Duration::from_secs(1)).await;
         let from = Instant::now();
         sleep(Duration::from_secs(5)).await;
@@ -47,5 +47,5 @@
         _ = join_all(calls) => panic!("the silent replica answered"),
         most = measured => most,
     };
-    assert!(most <= MOST, "{most} requests in a second");
+    assert!(most <= MAX_REQUESTS, "{most} requests in a second");
 }
--- a/crates/zinniahatch_lab/tests/crashing_request.rs
+++ b/crates/zinniahatch_lab/tests/crashing_request.rs
@@ -1,4 +1,4 @@
-//! Requests that end each replica which begins them, and crashes that no request caused.
+//! Requests that crash each replica that runs them, and crashes with other causes.
 
 use reqwest::StatusCode;
 use std::time::Duration;
@@ -9,8 +9,9 @@
 use zinniahatch_lab::test_doubles::crashing::RequestContent;
 use zinniahatch_lab::test_doubles::replica::StreamShape;
 
-/// Replicas that may end under one request before it is known everywhere, and tries that may follow.
-const MOST_ENDS: u32 = 3 + 3;
+/// Replicas that a request may crash: three before all nodes know of it, and three by attempts
+/// already under way.
+const MAX_CRASHES: u32 = 3 + 3;
 const SHAPE: StreamShape = StreamShape {
     events: 12,
     pause: Duration::from_millis(20),
@@ -25,7 +26,7 @@
     SiteCluster::start(&regions, SHAPE).await
 }
 
-/// Waits until a node serves, by its own region's replicas or others.
+/// Waits until a node serves requests, with replicas of its own region or others.
 async fn wait_serves(site: &SiteCluster, node: usize, tag: &str) {
     let mut tries = 0;
     wait_until("the node serves", async || {
@@ -37,7 +38,7 @@
     .await;
 }
 
-/// Sends a request and gives the status of an answer that arrived whole.
+/// Sends a request and returns the status of a complete response.
 async fn send(site: &SiteCluster, node: usize, path: &str, attempt: &str) -> Option<StatusCode> {
     let answer = site.call(node, path, attempt).send().await.ok()?;
     let status = answer.status();
@@ -45,12 +46,12 @@
     Some(status)
 }
 
-/// Callers saw streams of all kinds break off, many times in a row, and were refused because hardly a
-/// replica was left. One caller's query ended each replica that began it; it came again under a new id
-/// at other nodes and in other regions, and each took it for a fresh one. The log showed one digest of
-/// path, caller and body on every crash, as `channel-broke ... replica=i-bad67beeee ran_ms=83
-/// began=true`, while no attempt's id stood on more than two. What ran beside it must go on being
-/// served.
+/// Guards against a request that crashes replica after replica. Its caller repeats it under new ids
+/// at other nodes and regions, so that no attempt id is seen on more than two crashes; only the
+/// digest of path, caller and body recurs, in log lines like `channel-broke ...
+/// replica=i-bad67beeee ran_ms=83 began=true`. Other callers lose their streams and are refused
+/// because hardly any replica is left. The request must be quarantined, and those that ran beside
+/// it must still be served.
 #[tokio::test(flavor = "multi_thread")]
 async fn fatal_request_ends_few_replicas() {
     const REPEATS: usize = 12;
@@ -72,8 +73,11 @@
         );
         site.replace_crashed().await;
     }
-    let ends = site.crashing_requests.crashes(&fatal);
-    assert!(ends <= MOST_ENDS, "{ends} replicas ended under one request");
+    let crashes = site.crashing_requests.crashes(&fatal);
+    assert!(
+        crashes <= MAX_CRASHES,
+        "{crashes} replicas crashed by one request"
+    );
     for node in 0..nodes {
         wait_serves(&site, node, "after").await;
         for number in [0, 1] {
@@ -84,8 +88,8 @@
     }
 }
 
-/// Sends a request to nodes in turn until the first of them tells that it is held.
-async fn make_held(site: &mut SiteCluster, content: &RequestContent, nodes: &[usize]) {
+/// Sends a crashing request to nodes in turn until one responds that it is quarantined.
+async fn provoke_quarantine(site: &mut SiteCluster, content: &RequestContent, nodes: &[usize]) {
     site.crashing_requests.add(content.clone());
     let mut repeat = 0;
     loop {
@@ -101,9 +105,10 @@
     }
 }
 
-/// Waits until a node believes that some request is held, from the line on which a start of its begins.
-async fn wait_believes(site: &SiteCluster, node: usize, from: usize) {
-    wait_until("the node knows the request", async || {
+/// Waits until a node's log, from line `from` on (the start of its current process), shows a
+/// quarantined request.
+async fn wait_quarantined(site: &SiteCluster, node: usize, from: usize) {
+    wait_until("the node knows the quarantined request", async || {
         let log = site.log(node);
         let lines = log.lines().skip(from);
         lines
@@ -113,8 +118,9 @@
     .await;
 }
 
-/// Checks that a node tells at once that a request is held, and for how long, and that no replica ends.
-async fn check_held(site: &SiteCluster, node: usize, content: &RequestContent) {
+/// Checks that a node refuses a quarantined request at once, with a Retry-After, and that no
+/// replica runs it.
+async fn check_quarantined(site: &SiteCluster, node: usize, content: &RequestContent) {
     let before = site.crashing_requests.crashes(content);
     let attempt = format!("held-{node}");
     let answer = site
@@ -135,14 +141,14 @@
     assert_eq!(site.runs(&attempt), 0);
 }
 
-/// All nodes lost power after a request had ended three replicas, and with them what they knew of it.
-/// The caller came again, and three more replicas would have ended. The store keeps what must last.
+/// Guards against losing quarantines when all nodes lose power, after which a repeat of the request
+/// would crash three more replicas. They are persisted in the store.
 #[tokio::test(flavor = "multi_thread")]
 async fn hold_outlives_all_nodes() {
     let mut site = start_site().await;
     let fatal = RequestContent::from_path("/stream/fatal");
-    make_held(&mut site, &fatal, &[0, 2]).await;
-    wait_until("the store keeps the request", async || {
+    provoke_quarantine(&mut site, &fatal, &[0, 2]).await;
+    wait_until("the quarantine is persisted in the store", async || {
         (0..site.entries.len()).any(|node| site.log(node).contains("quarantine-kept"))
     })
     .await;
@@ -158,23 +164,23 @@
     }
     for (node, from) in lines.into_iter().enumerate() {
         site.wait_ready(node).await;
-        wait_believes(&site, node, from).await;
-        check_held(&site, node, &fatal).await;
+        wait_quarantined(&site, node, from).await;
+        check_quarantined(&site, node, &fatal).await;
     }
 }
 
-/// A node slept while the others learned of a request that ends replicas; no datagram reached it. Its
-/// neighbours' cards tell that they know something else.
+/// Guards against a node that was frozen while the others learned of a crashing request and so
+/// received no datagram about it. The heartbeats of its neighbours show that their state differs.
 #[tokio::test(flavor = "multi_thread")]
-async fn node_that_slept_learns_of_the_hold() {
+async fn resumed_node_learns_of_the_quarantine() {
     const SLEEPER: usize = 5;
     let mut site = start_site().await;
     let fatal = RequestContent::from_path("/stream/fatal");
     site.signal(SLEEPER, "-STOP");
-    make_held(&mut site, &fatal, &[0, 1, 2]).await;
+    provoke_quarantine(&mut site, &fatal, &[0, 1, 2]).await;
     site.signal(SLEEPER, "-CONT");
-    wait_believes(&site, SLEEPER, 0).await;
-    check_held(&site, SLEEPER, &fatal).await;
+    wait_quarantined(&site, SLEEPER, 0).await;
+    check_quarantined(&site, SLEEPER, &fatal).await;
     let other = site
         .call(SLEEPER, "/stream/other", "other")
         .send()
@@ -183,9 +189,10 @@
     assert_eq!(other.status(), StatusCode::OK);
 }
 
-/// A request ends replicas whatever its route promises: one that may run once is never sent again by a
-/// node, and its caller's repeats end one replica each; a plain one is tried twice; a bound one ends
-/// those of its home alone. Every node tells each of them at once, and none ran in vain.
+/// Guards against crashing requests on every kind of route. A request that may run once is never
+/// retried by a node, and each repeat by its caller crashes one replica; a plain one is tried
+/// twice; a bound one crashes replicas of its home region only. Every node must refuse each of them
+/// at once as not run.
 #[test_case("/plain/fatal"; "plain")]
 #[test_case("/once/fatal"; "once")]
 #[test_case("/bound/fatal"; "bound")]
@@ -193,17 +200,21 @@
 async fn fatal_request_is_held_on_every_route(path: &str) {
     let mut site = start_site().await;
     let fatal = RequestContent::from_path(path);
-    make_held(&mut site, &fatal, &[0, 3, 4, 1]).await;
-    let ends = site.crashing_requests.crashes(&fatal);
-    assert!(ends <= MOST_ENDS, "{ends} replicas ended under one request");
+    provoke_quarantine(&mut site, &fatal, &[0, 3, 4, 1]).await;
+    let crashes = site.crashing_requests.crashes(&fatal);
+    assert!(
+        crashes <= MAX_CRASHES,
+        "{crashes} replicas crashed by one request"
+    );
     for node in 0..site.entries.len() {
-        wait_believes(&site, node, 0).await;
-        check_held(&site, node, &fatal).await;
+        wait_quarantined(&site, node, 0).await;
+        check_quarantined(&site, node, &fatal).await;
     }
 }
 
-/// A region without replicas hands every request to others. The node that serves sees the replica end,
-/// and the node that the caller asks hands the request on to the next region.
+/// Guards against crashing requests that are forwarded by a region without replicas. The node that
+/// serves sees the replica crash, while the node that the caller asked forwards the request to the
+/// next region.
 #[tokio::test(flavor = "multi_thread")]
 async fn fatal_request_is_held_where_it_is_handed_over() {
     let regions = [("north", 2), ("south", 0), ("west", 2)].map(|(name, replicas)| SiteRegion {
@@ -213,22 +224,26 @@
     });
     let mut site = SiteCluster::start(&regions, SHAPE).await;
     let fatal = RequestContent::from_path("/stream/fatal");
-    make_held(&mut site, &fatal, &[2, 3]).await;
-    let ends = site.crashing_requests.crashes(&fatal);
-    assert!(ends <= MOST_ENDS, "{ends} replicas ended under one request");
+    provoke_quarantine(&mut site, &fatal, &[2, 3]).await;
+    let crashes = site.crashing_requests.crashes(&fatal);
+    assert!(
+        crashes <= MAX_CRASHES,
+        "{crashes} replicas crashed by one request"
+    );
     for node in 0..site.entries.len() {
-        wait_believes(&site, node, 0).await;
-        check_held(&site, node, &fatal).await;
+        wait_quarantined(&site, node, 0).await;
+        check_quarantined(&site, node, &fatal).await;
     }
 }
 
-/// Two callers send the same body to the same path, and it ends replicas for one of them alone, as when
-/// an engine fails on what it keeps of the one's session. The other is served.
+/// Guards against quarantining the request of another caller. Two callers send the same body to the
+/// same path, and it crashes replicas for one of them only, as when an engine fails on its cached
+/// state of one session. The other caller must be served.
 #[tokio::test(flavor = "multi_thread")]
-async fn hold_is_of_one_caller() {
+async fn quarantine_applies_to_one_caller() {
     let mut site = start_site().await;
     let fatal = RequestContent::from_path("/stream/same");
-    make_held(&mut site, &fatal, &[0, 2, 4]).await;
+    provoke_quarantine(&mut site, &fatal, &[0, 2, 4]).await;
     let call = site.call(0, "/stream/same", "other-caller");
     let answer = call
         .header("authorization", "Token other")
@@ -236,12 +251,12 @@
         .await
         .unwrap();
     assert_eq!(answer.status(), StatusCode::OK);
-    check_held(&site, 0, &fatal).await;
+    check_quarantined(&site, 0, &fatal).await;
 }
 
-/// A region lost all its replicas at once, four times. Callers' requests were on them each time, and
-/// one that all callers make stood on every one of them; all were served as soon as replicas were back.
-/// None of them was the cause, and none may be taken for it.
+/// Guards against quarantining requests for crashes that they did not cause. A region loses all its
+/// replicas at once, four times, each time while the same requests run on them. All must be served
+/// once replicas are back.
 #[tokio::test(flavor = "multi_thread")]
 async fn losses_of_other_cause_harm_no_request() {
     const LOSSES: usize = 4;
@@ -252,7 +267,7 @@
         let attempts = paths.map(|path| format!("{}-{loss}", path.replace('/', "")));
         let calls = [0, 1, 2].map(|index| send(&site, index % 2, paths[index], &attempts[index]));
         let crash = async {
-            wait_until("every request has begun", async || {
+            wait_until("every request is running", async || {
                 attempts.iter().all(|attempt| site.runs(attempt) > 0)
             })
             .await;
--- a/crates/zinniahatch_lab/tests/operators.rs
+++ b/crates/zinniahatch_lab/tests/operators.rs
@@ -1,4 +1,4 @@
-//! What operators do on the platform, with the real command-line tool against real entry VMs.
+//! Operators' tasks on the platform, with the real command-line tool and real entry VMs.
 
 use std::process::Command;
 use std::process::Output;
@@ -15,7 +15,7 @@
 };
 const PRESETS: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/../../examples/presets");
 
-/// Starts a site with more nodes in a region than follow the preset in the store.
+/// Starts a site with more nodes in one region than those that follow the preset in the store.
 async fn site() -> SiteCluster {
     let regions = [("north", 4, 1), ("south", 1, 1)].map(|(name, entries, replicas)| SiteRegion {
         name,
@@ -25,7 +25,7 @@
     SiteCluster::start(&regions, SHAPE).await
 }
 
-/// Runs `zinniactl`, which is built beside the daemon.
+/// Runs `zinniactl`, which is built into the same folder as the daemon.
 async fn ctl(site: &SiteCluster, args: &[&str]) -> Output {
     let mut command = Command::new(zinniahatch_lab::site::tool_path());
     command.args(args).env("ZINNIA_STORE", site.store_address());
@@ -33,8 +33,8 @@
     run.await.unwrap().expect("zinniactl is built")
 }
 
-/// An operator switched to the preset for peaks. The two nodes of each region that follow it took it
-/// over; the others had it only when they were restarted.
+/// Guards against a preset switch that reaches only the two nodes of each region that follow it in
+/// the store, while the others apply it only after a restart.
 #[tokio::test(flavor = "multi_thread")]
 async fn switch_reaches_every_node() {
     let site = site().await;
@@ -58,14 +58,14 @@
     assert!(String::from_utf8_lossy(&refused.stderr).contains("`peak`"));
 }
 
-/// A caller complained of one request, and the engineer had nothing but its id and the logs.
+/// Checks that a single request can be explained from its id and the logs.
 #[tokio::test(flavor = "multi_thread")]
 async fn explain_tells_a_request_from_logs() {
     let site = site().await;
     let answer = site.call(0, "/plain/x", "told-1").send().await.unwrap();
     assert!(answer.status().is_success());
     let path = site.log_path(0).display().to_string();
-    wait_until("the end is logged", async || {
+    wait_until("the response is logged", async || {
         site.log(0).contains("told-1") && site.log(0).contains("answered")
     })
     .await;
@@ -77,8 +77,7 @@
     assert!(String::from_utf8_lossy(&unknown.stderr).contains("left_out"));
 }
 
-/// Nobody knew which requests a day had lost and why; the tool counts each once, at the node that was
-/// asked.
+/// Checks that lost requests are counted by cause, each once, at the node that received it.
 #[tokio::test(flavor = "multi_thread")]
 async fn losses_count_by_cause() {
     let site = site().await;
@@ -97,7 +96,7 @@
         .unwrap();
     assert!(!refused.status().is_success());
     let path = site.log_path(0).display().to_string();
-    wait_until("the ends are logged", async || {
+    wait_until("the responses are logged", async || {
         let log = site.log(0);
         log.matches("\"kind\":\"answered\"").count() >= 3 && log.contains("\"kind\":\"refused\"")
     })
--- a/crates/zinniahatch_lab/tests/replica_limit.rs
+++ b/crates/zinniahatch_lab/tests/replica_limit.rs
@@ -1,4 +1,4 @@
-//! Replicas that name a rate limit, with real entry VMs.
+//! Tests of replicas that announce a rate limit, with real entry VMs.
 
 use reqwest::Response;
 use reqwest::StatusCode;
@@ -12,11 +12,11 @@
 use zinniahatch_lab::test_doubles::replica::ReplicaBehaviour;
 use zinniahatch_lab::test_doubles::replica::StreamShape;
 
-/// Time after which the nodes must keep to a limit that was named.
+/// Time within which the nodes must apply an announced limit.
 const GRACE: Duration = Duration::from_secs(6);
-/// Time for which callers come.
+/// Duration of the load.
 const TIME: Duration = Duration::from_secs(10);
-/// Pause between the requests to one node.
+/// Interval between requests to one node.
 const PAUSE: Duration = Duration::from_millis(100);
 /// How long a caller waits.
 const CALL_TIMEOUT: Duration = Duration::from_secs(1);
@@ -25,7 +25,7 @@
     pause: Duration::from_millis(10),
 };
 
-/// Calls every node again and again until a time has passed; gives the answers that came.
+/// Sends requests to every node for a time and returns the responses received.
 async fn load(site: &SiteCluster, path: &str, tag: &str, time: Duration) -> Vec<Response> {
     let callers = SiteLoad {
         path,
@@ -43,7 +43,7 @@
     }
 }
 
-/// Guards against nodes that do not keep to the rate limit of a replica together.
+/// Guards against nodes that together exceed the rate limit of a replica.
 #[tokio::test(flavor = "multi_thread")]
 async fn limited_replica_is_sent_no_more() {
     let site = SiteCluster::start(&[SiteRegion::new("north", 3, 2)], SHAPE).await;
@@ -54,8 +54,8 @@
     assert_eq!(served.count(), answers.len());
 }
 
-/// Guards against a way on which requests reach a limited replica past its limit: sent once more,
-/// resumed, or handed over by a region without replicas.
+/// Guards against a path on which requests bypass the limit of a replica: retried, resumed, or
+/// forwarded by a region without replicas.
 #[test_case("/plain/look", ReplicaBehaviour::Fail; "sent_once_more")]
 #[test_case("/stream/look", ReplicaBehaviour::BreakAfter(1); "resumed")]
 #[test_case("/stream/look", ReplicaBehaviour::Serve; "handed_over")]
@@ -72,7 +72,7 @@
     check_limits(&site);
 }
 
-/// Guards against probes from all nodes at once to a limited replica that has gone silent.
+/// Guards against probes by all nodes at once of a rate-limited replica that has gone silent.
 #[tokio::test(flavor = "multi_thread")]
 async fn limit_holds_for_probes() {
     let site = SiteCluster::start(&[SiteRegion::new("north", 4, 2)], SHAPE).await;
@@ -84,7 +84,7 @@
     check_limits(&site);
 }
 
-/// What happens to an entry VM while a limit is in force.
+/// Fault of an entry VM while a limit is in force.
 #[derive(Clone, Copy, Debug)]
 enum NodeFault {
     Stop,
@@ -92,8 +92,8 @@
     Freeze,
 }
 
-/// Guards against a process that starts or wakes and takes the part of others of a limit, and against
-/// the loss of what is known of it with a process.
+/// Guards against a process that starts or resumes and uses the share of a limit that belongs to
+/// others, and against losing a limit together with a process that knew it.
 #[test_case(NodeFault::Stop; "stopped")]
 #[test_case(NodeFault::Kill; "killed")]
 #[test_case(NodeFault::Freeze; "frozen")]
@@ -121,8 +121,8 @@
     check_limits(&site);
 }
 
-/// Guards against requests that wait for replicas which will not take them, and against a refusal that
-/// names no time to come back.
+/// Guards against requests that wait for replicas which will not accept them, and against refusals
+/// without a Retry-After.
 #[tokio::test(flavor = "multi_thread")]
 async fn limited_replicas_refuse_at_once() {
     let site = SiteCluster::start(&[SiteRegion::new("north", 2, 2)], SHAPE).await;
@@ -146,22 +146,25 @@
     }
 }
 
-/// Guards against a limit that is kept after the replica has ceased to name it.
+/// Guards against a limit that is still applied after the replica has stopped announcing it.
 #[tokio::test(flavor = "multi_thread")]
-async fn limit_ends_where_answers_no_longer_name_it() {
+async fn limit_ends_when_responses_no_longer_announce_it() {
     let site = SiteCluster::start(&[SiteRegion::new("north", 3, 2)], SHAPE).await;
     let replica = &site.replicas[0].0;
     replica.set_rate_limit(Some(1.0));
     load(&site, "/plain/look", "limited", TIME / 4).await;
     replica.set_rate_limit(None);
-    wait_until("the replica is sent as much as the other", async || {
-        let from = Instant::now();
-        load(&site, "/plain/look", "free", Duration::from_secs(1)).await;
-        replica.observations().limits.arrivals_since(from) > 8
-    })
+    wait_until(
+        "the replica receives as much as the other one",
+        async || {
+            let from = Instant::now();
+            load(&site, "/plain/look", "free", Duration::from_secs(1)).await;
+            replica.observations().limits.arrivals_since(from) > 8
+        },
+    )
     .await;
     for node in 0..3 {
-        wait_until("the node logs the end", async || {
+        wait_until("the node logs the end of the limit", async || {
             let log = site.log(node);
             let ends = |line: &str| {
                 line.contains("\"rate-limit\"") && line.contains("\"per_second\":null")
--- a/crates/zinniahatch_lab/tests/replica_notices.rs
+++ b/crates/zinniahatch_lab/tests/replica_notices.rs
@@ -1,4 +1,5 @@
-//! Replicas that say that they leave, or ask for rest, in their answers, with real entry VMs.
+//! Tests of replicas that announce in their responses that they are leaving or need a backoff, with
+//! real entry VMs.
 
 use reqwest::Response;
 use reqwest::StatusCode;
@@ -12,22 +13,22 @@
 use zinniahatch_lab::test_doubles::replica::ReplicaBehaviour;
 use zinniahatch_lab::test_doubles::replica::StreamShape;
 
-/// Time after which a replica that leaves must get nothing more.
+/// Time after which a leaving replica must receive no more requests.
 const DRAIN_TIME: Duration = Duration::from_secs(4);
-/// Time for which callers come.
+/// Duration of the load.
 const TIME: Duration = Duration::from_secs(8);
-/// Pause between the requests to one node.
+/// Interval between requests to one node.
 const PAUSE: Duration = Duration::from_millis(60);
 /// How long a caller waits.
 const CALL_TIMEOUT: Duration = Duration::from_secs(1);
-/// The rest that replicas ask for, in seconds.
-const REST: &str = "2.5";
+/// The backoff that replicas ask for, in seconds.
+const BACKOFF_SECONDS: &str = "2.5";
 const SHAPE: StreamShape = StreamShape {
     events: 3,
     pause: Duration::from_millis(10),
 };
 
-/// Calls every node again and again until a time has passed; gives the answers that came.
+/// Sends requests to every node for a time and returns the responses received.
 async fn load(site: &SiteCluster, path: &str, tag: &str, time: Duration) -> Vec<Response> {
     let callers = SiteLoad {
         path,
@@ -37,26 +38,26 @@
     site.load(&callers, tag, time).await
 }
 
-/// What the store says while a replica leaves.
+/// What the store reports while a replica is leaving.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum StoreWord {
-    /// It answers nothing.
+enum StoreReport {
+    /// Nothing; it does not respond.
     Silent,
-    /// That the replica is ready, again and again.
+    /// That the replica is ready; the entry is written again.
     Ready,
     /// That the replica is gone, and then that it is ready.
     Lapsed,
 }
 
-/// Guards against requests to a replica that has said in an answer that it leaves, whatever the store
-/// says and on whichever way they come.
-#[test_case("/plain/look", ReplicaBehaviour::Serve, StoreWord::Silent; "store_silent")]
-#[test_case("/plain/look", ReplicaBehaviour::Serve, StoreWord::Ready; "store_says_ready")]
-#[test_case("/plain/look", ReplicaBehaviour::Serve, StoreWord::Lapsed; "entry_lapsed")]
-#[test_case("/plain/look", ReplicaBehaviour::Fail, StoreWord::Silent; "sent_once_more")]
-#[test_case("/stream/look", ReplicaBehaviour::BreakAfter(1), StoreWord::Silent; "resumed")]
+/// Guards against requests to a replica that has announced in a response that it is leaving,
+/// whatever the store reports and on whichever path they come.
+#[test_case("/plain/look", ReplicaBehaviour::Serve, StoreReport::Silent; "store_silent")]
+#[test_case("/plain/look", ReplicaBehaviour::Serve, StoreReport::Ready; "store_says_ready")]
+#[test_case("/plain/look", ReplicaBehaviour::Serve, StoreReport::Lapsed; "entry_lapsed")]
+#[test_case("/plain/look", ReplicaBehaviour::Fail, StoreReport::Silent; "sent_once_more")]
+#[test_case("/stream/look", ReplicaBehaviour::BreakAfter(1), StoreReport::Silent; "resumed")]
 #[tokio::test(flavor = "multi_thread")]
-async fn leaving_replica_is_sent_nothing(path: &str, other: ReplicaBehaviour, word: StoreWord) {
+async fn leaving_replica_is_sent_nothing(path: &str, other: ReplicaBehaviour, report: StoreReport) {
     let regions = [
         SiteRegion::new("north", 2, 2),
         SiteRegion::new("south", 1, 0),
@@ -64,15 +65,15 @@
     let site = SiteCluster::start(&regions, SHAPE).await;
     let replica = &site.replicas[0].0;
     site.replicas[1].0.set_behaviour(other);
-    if word == StoreWord::Silent {
+    if report == StoreReport::Silent {
         site.store_faults.set(ServiceMode::Silent);
     }
     replica.announce_leaving();
     load(&site, path, "first", TIME / 8).await;
-    match word {
-        StoreWord::Silent => {}
-        StoreWord::Ready => site.register(0, "ready"),
-        StoreWord::Lapsed => {
+    match report {
+        StoreReport::Silent => {}
+        StoreReport::Ready => site.register(0, "ready"),
+        StoreReport::Lapsed => {
             site.unregister(0);
             load(&site, path, "lapsed", TIME / 8).await;
             site.register(0, "ready");
@@ -84,8 +85,8 @@
     assert_eq!(broken, None);
 }
 
-/// Guards against requests to a replica in the time for which it wants none from this node, on
-/// whichever way they come.
+/// Guards against requests to a replica during the backoff that it asked this node for, on
+/// whichever path they come.
 #[test_case("/plain/look", ReplicaBehaviour::Serve; "first_sends")]
 #[test_case("/plain/look", ReplicaBehaviour::Fail; "sent_once_more")]
 #[test_case("/stream/look", ReplicaBehaviour::BreakAfter(1); "resumed")]
@@ -98,46 +99,46 @@
     ];
     let site = SiteCluster::start(&regions, SHAPE).await;
     for (replica, _) in &site.replicas {
-        replica.request_backoff(Some(REST));
+        replica.request_backoff(Some(BACKOFF_SECONDS));
     }
     site.replicas[0].0.set_behaviour(ReplicaBehaviour::Shed);
     site.replicas[1].0.set_behaviour(other);
     load(&site, path, "look", TIME).await;
-    let mut rests = 0;
+    let mut backoffs = 0;
     for (replica, _) in &site.replicas {
         let notices = replica.observations().notices;
-        rests += notices.backoffs();
+        backoffs += notices.backoffs();
         let broken = notices.backoff_violation(|_| Some(0), |_, _, _| false);
         assert_eq!(broken, None, "{}", replica.id);
     }
-    assert!(rests > 0);
+    assert!(backoffs > 0);
 }
 
-/// Guards against requests that wait for replicas which want none, and against a time to come back that
-/// is not theirs.
+/// Guards against requests that wait for replicas in backoff, and against a Retry-After that does
+/// not match their backoff.
 #[tokio::test(flavor = "multi_thread")]
-async fn resting_replicas_refuse_at_once() {
+async fn replicas_in_backoff_refuse_at_once() {
     let site = SiteCluster::start(&[SiteRegion::new("north", 1, 2)], SHAPE).await;
     for (replica, _) in &site.replicas {
-        replica.request_backoff(Some(REST));
+        replica.request_backoff(Some(BACKOFF_SECONDS));
         replica.set_behaviour(ReplicaBehaviour::Shed);
     }
-    let rest: f64 = REST.parse().unwrap();
+    let backoff: f64 = BACKOFF_SECONDS.parse().unwrap();
     let answers = load(&site, "/plain/look", "look", TIME / 2).await;
-    let mut resting = 0;
+    let mut refused = 0;
     for answer in &answers {
         assert_eq!(answer.status(), StatusCode::SERVICE_UNAVAILABLE);
         assert_eq!(header(answer, "x-zinnia-execution"), "not-run");
         if header(answer, "x-zinnia-code") != "233" {
             continue;
         }
-        resting += 1;
+        refused += 1;
         let after: f64 = header(answer, "retry-after").parse().unwrap();
-        assert!(after > 0.0 && after < rest + 3.0, "{after}");
+        assert!(after > 0.0 && after < backoff + 3.0, "{after}");
     }
     assert!(
-        resting > answers.len() / 2,
-        "{resting} of {}",
+        refused > answers.len() / 2,
+        "{refused} of {}",
         answers.len()
     );
     for (replica, _) in &site.replicas {
@@ -150,14 +151,14 @@
     .await;
 }
 
-/// Guards against a refusal that does not say that all replicas leave.
+/// Guards against a refusal whose result code does not say that all replicas are leaving.
 #[tokio::test(flavor = "multi_thread")]
 async fn leaving_replicas_refuse_by_reason() {
     let site = SiteCluster::start(&[SiteRegion::new("north", 1, 2)], SHAPE).await;
     for (replica, _) in &site.replicas {
         replica.announce_leaving();
     }
-    wait_until("the replicas are believed to leave", async || {
+    wait_until("the replicas are known to be leaving", async || {
         let answers = load(&site, "/plain/look", "look", PAUSE * 10).await;
         answers
             .iter()
@@ -166,9 +167,9 @@
     .await;
 }
 
-/// Guards against a new word of replicas that nobody notices.
+/// Guards against new response headers of replicas that go unnoticed.
 #[tokio::test(flavor = "multi_thread")]
-async fn unread_headers_are_listed() {
+async fn unknown_headers_are_logged() {
     let site = SiteCluster::start(&[SiteRegion::new("north", 1, 1)], SHAPE).await;
     site.replicas[0].0.add_header("Server-Mood");
     wait_until("the header is logged", async || {
--- a/crates/zinniahatch_lab/tests/site.rs
+++ b/crates/zinniahatch_lab/tests/site.rs
@@ -1,4 +1,4 @@
-//! The entry VM on the users' platform, as real processes among test doubles that fail.
+//! End-to-end tests on the users' platform: real entry VM processes among faulty test doubles.
 
 use reqwest::StatusCode;
 use std::sync::atomic::AtomicU32;
@@ -22,7 +22,7 @@
     pause: Duration::from_millis(50),
 };
 
-/// Returns the ids of the events in a stream's text, checking that none is torn.
+/// Parses the ids of the events in a stream, and checks that no event is torn.
 fn event_ids(text: &str) -> Vec<u32> {
     text.split_terminator("\n\n")
         .map(|event| {
@@ -36,7 +36,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn serve_on_a_calm_day() {
+async fn serve_without_faults() {
     let site = SiteCluster::start(
         &[
             SiteRegion::new("north", 2, 2),
@@ -72,7 +72,7 @@
         let name = name.split(' ').next().unwrap_or_default();
         assert!(
             page.contains(&format!("`{name}`")),
-            "{name} is not on the page"
+            "{name} is not documented"
         );
     }
     for line in site.log(0).lines() {
@@ -80,15 +80,16 @@
         let kind = fields["kind"].as_str().expect("a line has a kind");
         assert!(
             page.contains(&format!("`{kind}`")),
-            "{kind} is not on the page"
+            "{kind} is not documented"
         );
     }
 }
 
-/// A region's only replica of a service was gone and its callers were refused, though the next
-/// region's idled. One hop brings them there; what is bound to a home goes to that home alone.
+/// Guards against refusing callers when their region's only replica of a service is gone while the
+/// next region's replicas are idle. Such requests are forwarded once to another region; requests
+/// bound to a home region run only there.
 #[tokio::test(flavor = "multi_thread")]
-async fn serve_away_when_home_has_no_replica() {
+async fn serve_in_another_region_without_local_replicas() {
     let site = SiteCluster::start(
         &[
             SiteRegion::new("north", 1, 1),
@@ -111,8 +112,9 @@
     assert_eq!(event_ids(&streamed.text().await.unwrap()).len(), 12);
 }
 
-/// Many replicas were gone and their addresses in use by others, which refused what expected the former
-/// ones. Each request was tried four times, and all nodes together passed the bound of repeats.
+/// Guards against exceeding the retry bound with stale entries. When many replicas are gone and
+/// their addresses are reused, each request is refused as misdirected again and again; these
+/// retries once were up to four per request and not charged to the retry budget.
 #[tokio::test(flavor = "multi_thread")]
 async fn misdirected_requests_draw_on_the_budget() {
     const FORMER: usize = 120;
@@ -121,13 +123,13 @@
     for number in 0..FORMER {
         site.register_stale(0, &format!("a-former-{number}"));
     }
-    wait_until("the node knows them", async || {
+    wait_until("the node knows the entries", async || {
         site.log(0).matches("a-former-").count() >= FORMER
     })
     .await;
     for number in 0..CALLS {
         let attempt = format!("f{number}");
-        // Refused or answered, both are right; what counts is how often it was sent.
+        // The request may be refused or served; the test checks how often it was sent.
         let answer = site.call(0, "/plain/x", &attempt).send().await.unwrap();
         assert_ne!(answer.status(), StatusCode::BAD_GATEWAY);
     }
@@ -137,8 +139,9 @@
     assert!(arrivals <= CALLS + bound, "{arrivals} arrivals of {CALLS}");
 }
 
-/// A lookup whose answers failed ran on three replicas of the two that its route allows: the node that
-/// it was handed to tried as often as the first one could. All its tries count together.
+/// Guards against more attempts than the route allows after a request was forwarded. A node that
+/// received a forwarded request tried as often as the first node could, so that a lookup ran on
+/// three replicas instead of two. Attempts at both nodes count together.
 #[tokio::test(flavor = "multi_thread")]
 async fn handed_over_request_keeps_its_attempts() {
     let site = SiteCluster::start(
@@ -161,8 +164,8 @@
     }
 }
 
-/// The home of bound requests lost its only replica. Nobody else may serve them: they are refused
-/// at once, as not run, with a time to come back.
+/// Guards against requests bound to a home region that has lost its only replica. No other region
+/// may serve them: they are refused at once as not run, with a Retry-After.
 #[tokio::test(flavor = "multi_thread")]
 async fn refuse_bound_requests_without_their_home() {
     let site = SiteCluster::start(
@@ -182,8 +185,8 @@
     assert_eq!(site.runs("b1"), 0);
 }
 
-/// A replica crashed in the middle of a stream. The caller saw a torn event, or the same event
-/// twice, or nothing more. It must see every event once, the rest from another replica.
+/// Guards against torn, duplicate or missing events after a replica crashed in the middle of a
+/// stream. The caller must receive every event once, the rest from another replica.
 #[tokio::test(flavor = "multi_thread")]
 async fn resume_a_broken_stream() {
     let site = SiteCluster::start(&[SiteRegion::new("north", 1, 2)], SHORT).await;
@@ -200,13 +203,14 @@
         assert_eq!(ids, (1..=12).collect::<Vec<u32>>());
         resumed += u32::from(site.runs(&attempt) == 2);
     }
-    assert!(resumed > 0, "no stream met the broken replica");
+    assert!(resumed > 0, "no stream reached the broken replica");
 }
 
-/// A replica ran an entry and its answer was lost. Told "not run", the caller entered it again and
-/// it stood twice. The answer must say that the outcome is not known, and no second run follows.
+/// Guards against a double execution after a lost response. A caller who is told that its request
+/// did not run sends it again; if a replica may have run it, the response must say that the outcome
+/// is unknown, and the gateway must not retry.
 #[tokio::test(flavor = "multi_thread")]
-async fn lost_answer_of_what_may_run_once() {
+async fn lost_response_of_a_non_idempotent_request() {
     let site = SiteCluster::start(&[SiteRegion::new("north", 1, 2)], SHORT).await;
     for (replica, _) in &site.replicas {
         replica.set_behaviour(ReplicaBehaviour::LoseAnswer);
@@ -220,8 +224,8 @@
     }
 }
 
-/// A replica took an entry and never answered, and the caller's time ran out. Told "not run", it
-/// would enter it again; whether it ran is not known, and the answer must say so.
+/// Guards against reporting a request as not run when its deadline passed while a replica held it
+/// without responding. The replica may have run it, so the outcome must be reported as unknown.
 #[tokio::test(flavor = "multi_thread")]
 async fn deadline_while_a_replica_is_silent() {
     let site = SiteCluster::start(&[SiteRegion::new("north", 1, 1)], SHORT).await;
@@ -233,7 +237,8 @@
     assert_eq!(answer.headers()["x-zinnia-execution"], "unknown");
 }
 
-/// A replica that is full refuses without running; the caller is told so and when to come back.
+/// Guards against losing the refusal of a full replica: it does not run the request, and the caller
+/// must be told so, with a Retry-After.
 #[tokio::test(flavor = "multi_thread")]
 async fn refusal_of_a_full_replica_is_passed_on() {
     let site = SiteCluster::start(&[SiteRegion::new("north", 1, 1)], SHORT).await;
@@ -244,8 +249,9 @@
     assert_eq!(site.runs("f1"), 0);
 }
 
-/// A replica answers lookups with failures while its health check is good. What may be repeated is
-/// sent to another one; what the replica said is passed on unchanged where there is none.
+/// Guards against passing on failures of a replica that fails requests while its health check
+/// succeeds. Idempotent requests are retried on another replica; without one, the replica's
+/// response is passed on unchanged.
 #[tokio::test(flavor = "multi_thread")]
 async fn repeat_a_failed_answer_elsewhere() {
     let site = SiteCluster::start(&[SiteRegion::new("north", 1, 2)], SHORT).await;
@@ -261,22 +267,22 @@
     assert!(answer.headers().contains_key("x-server-seal"));
 }
 
-/// A caller closed its browser in the middle of a long answer, and the replica went on generating
-/// for nobody. It is told by the closing of its channel.
+/// Guards against a replica that keeps generating after its caller has disconnected in the middle
+/// of a stream. The node closes its connection to the replica.
 #[tokio::test(flavor = "multi_thread")]
 async fn cancel_when_the_caller_leaves() {
     let site = SiteCluster::start(&[SiteRegion::new("north", 1, 1)], LONG).await;
     let mut answer = site.call(0, "/stream/x", "c1").send().await.unwrap();
     assert!(answer.chunk().await.unwrap().is_some());
     drop(answer);
-    wait_until("the replica sees that the caller left", async || {
+    wait_until("the replica sees the disconnect", async || {
         site.replicas[0].0.observations().closed_early == 1
     })
     .await;
 }
 
-/// A planned stop cut off a summary in progress. The stream ends whole, the directory no longer
-/// names the node, and the process ends by itself.
+/// Guards against streams cut off by a planned stop. The running stream completes, the directory no
+/// longer lists the node, and the process exits by itself.
 #[tokio::test(flavor = "multi_thread")]
 async fn planned_stop_cuts_off_nothing() {
     let mut site = SiteCluster::start(&[SiteRegion::new("north", 2, 1)], LONG).await;
@@ -284,7 +290,7 @@
     let mut text = answer.chunk().await.unwrap().unwrap_or_default().to_vec();
     site.terminate(0);
     let front = site.entries[0].addresses[0].clone();
-    wait_until("the directory drops the node", async || {
+    wait_until("the directory no longer lists the node", async || {
         !site.resolve(1, "north").await.contains(&front)
     })
     .await;
@@ -297,8 +303,8 @@
     assert_eq!(site.ended(0), Some(true));
 }
 
-/// A node started while the store was down, knew no route, and answered 404 to everybody. It takes
-/// over what its peers know, and until then it says 503.
+/// Guards against 404 responses of a node that starts while the store is down and so knows no
+/// routes. It takes over the state of its peers and responds with 503 until then.
 #[tokio::test(flavor = "multi_thread")]
 async fn start_while_the_store_is_down() {
     let mut site = SiteCluster::start(&[SiteRegion::new("north", 2, 1)], SHORT).await;
@@ -306,7 +312,7 @@
     site.store_faults.set(ServiceMode::Down);
     site.spawn(0);
     wait_until(
-        "the node serves by what its peer knows",
+        "the node serves with the state of its peer",
         async || match site.call(0, "/plain/x", "d1").send().await {
             Ok(answer) => {
                 assert_ne!(answer.status(), StatusCode::NOT_FOUND);
@@ -318,13 +324,13 @@
     .await;
 }
 
-/// Entries of living replicas lapsed while the store was away, and callers were refused. They are
-/// served throughout.
+/// Guards against refusing callers during a store outage because the entries of running replicas
+/// expire. Requests are served throughout.
 #[tokio::test(flavor = "multi_thread")]
 async fn serve_while_the_store_is_away() {
     let site = SiteCluster::start(&[SiteRegion::new("north", 1, 1)], SHORT).await;
     site.store_faults.set(ServiceMode::Down);
-    wait_until("the node notices the outage", async || {
+    wait_until("the node detects the outage", async || {
         site.log(0).contains("store-lost")
     })
     .await;
@@ -334,18 +340,18 @@
         assert_eq!(answer.status(), StatusCode::OK);
     }
     site.store_faults.set(ServiceMode::Up);
-    wait_until("the node notices the end", async || {
+    wait_until("the node detects the end of the outage", async || {
         site.log(0).contains("store-back")
     })
     .await;
 }
 
-/// A replica that said it is leaving got new work, and lost it when it went.
+/// Guards against new requests to a draining replica, which are lost when it exits.
 #[tokio::test(flavor = "multi_thread")]
 async fn leaving_replica_gets_no_new_work() {
     let site = SiteCluster::start(&[SiteRegion::new("north", 1, 2)], SHORT).await;
     site.register(0, "draining");
-    wait_until("the node knows", async || {
+    wait_until("the node knows that the replica is leaving", async || {
         site.log(0).contains("\"leaving\":true")
     })
     .await;
@@ -358,10 +364,10 @@
     assert_eq!(site.replicas[0].0.observations().runs.len(), before);
 }
 
-/// The store dropped its history in the middle of changes, and a node that was waiting for them
-/// never heard. It lists anew; and an older state that is written late does not come back.
+/// Guards against a watch that misses changes because the store compacted its history in between.
+/// The node lists again; an older version of the desired state that is written late is not applied.
 #[tokio::test(flavor = "multi_thread")]
-async fn desired_state_survives_forgotten_history() {
+async fn desired_state_survives_compacted_history() {
     let site = SiteCluster::start(&[SiteRegion::new("north", 2, 1)], SHORT).await;
     site.configure(5, &["fresh"]);
     site.store.compact_history();
@@ -376,21 +382,22 @@
     site.configure(6, &["fresh", "newer"]);
     wait_until("the next version is in force", async || {
         let old = site.call(0, "/fresh/x", "n2").send().await.unwrap();
-        assert_eq!(old.status(), StatusCode::OK, "no version goes back");
+        assert_eq!(old.status(), StatusCode::OK, "no older version is applied");
         let new = site.call(0, "/newer/x", "n3").send().await.unwrap();
         new.status() == StatusCode::OK
     })
     .await;
 }
 
-/// An operator wrote a state that cannot be understood. The last good one stays in force.
+/// Guards against applying a desired state that cannot be parsed. The last valid one stays in
+/// force.
 #[tokio::test(flavor = "multi_thread")]
 async fn bad_desired_state_changes_nothing() {
     let site = SiteCluster::start(&[SiteRegion::new("north", 1, 1)], SHORT).await;
     site.store
         .write("op/config", "{\"version\": 9, \"routes\": 3}");
     site.store.write("servers/odd", "[]");
-    wait_until("the node says so", async || {
+    wait_until("the node logs the rejections", async || {
         site.log(0).matches("value-rejected").count() >= 2
     })
     .await;
@@ -398,8 +405,8 @@
     assert_eq!(answer.status(), StatusCode::OK);
 }
 
-/// Managers found fewer requests in the report than callers had made. Counts of nodes that stop as
-/// planned are all in the store; those of one that died are a named gap.
+/// Guards against usage counts missing from reports. The counts of nodes that stop as planned are
+/// all in the store.
 #[tokio::test(flavor = "multi_thread")]
 async fn counts_reach_the_store() {
     let mut site = SiteCluster::start(&[SiteRegion::new("north", 2, 1)], SHORT).await;
@@ -427,14 +434,15 @@
     assert_eq!(total, 10);
 }
 
-/// Input that is wrong or hostile: refused with the reason, and the node lives on.
+/// Guards against invalid or hostile input: it is refused with the reason, and the node keeps
+/// serving.
 #[tokio::test(flavor = "multi_thread")]
 async fn refuse_bad_input() {
     let site = SiteCluster::start(&[SiteRegion::new("north", 1, 1)], SHORT).await;
     let url = format!("http://{}/plain/x", site.entries[0].addresses[0]);
     let client = reqwest::Client::new();
-    let nameless = client.get(&url).header("host", HOST).send().await.unwrap();
-    assert_eq!(nameless.status(), StatusCode::BAD_REQUEST);
+    let without_id = client.get(&url).header("host", HOST).send().await.unwrap();
+    assert_eq!(without_id.status(), StatusCode::BAD_REQUEST);
     let large = client
         .post(&url)
         .header("host", HOST)
@@ -448,10 +456,10 @@
     assert_eq!(answer.status(), StatusCode::OK);
 }
 
-/// All entry VMs lost power; their callers came back with the power, and for the moment in which a node
-/// reads the store each was refused with its last retry. Here the store takes 150 ms for each call, so
-/// that a fresh node never knows its routes when the first caller comes; of three starts one at least
-/// serves that one.
+/// Guards against refusing the first caller of a node that has just started and still reads the
+/// store, as after a power failure of all entry VMs. The store takes 150 ms for each request here,
+/// so that a fresh node never knows its routes when the first request comes; at least one of three
+/// starts must serve that request.
 #[tokio::test(flavor = "multi_thread")]
 async fn serve_the_first_caller_of_a_start() {
     let mut site = SiteCluster::start(&[SiteRegion::new("north", 1, 1)], SHORT).await;
@@ -474,10 +482,10 @@
     assert!(served > 0, "every first caller was refused");
 }
 
-/// The settings file was announced as changed although nothing in it had changed. A summary in progress
-/// must go on to its end, the node stays ready, and its log says that nothing is new.
+/// Guards against a reload of an unchanged settings file that disturbs the node. A running stream
+/// completes, the node stays ready, and the log says that nothing changed.
 #[tokio::test(flavor = "multi_thread")]
-async fn reload_without_a_change_disturbs_nobody() {
+async fn reload_without_a_change_has_no_effect() {
     let site = SiteCluster::start(&[SiteRegion::new("north", 1, 1)], LONG).await;
     let mut answer = site.call(0, "/stream/x", "h1").send().await.unwrap();
     let mut text = answer.chunk().await.unwrap().unwrap_or_default().to_vec();
@@ -496,7 +504,7 @@
     assert_eq!(ids, (1..=60).collect::<Vec<u32>>());
 }
 
-/// Returns the last way of the news of a node's work, as its log says.
+/// Returns the latest path of a node's reports of in-flight work, from its log.
 fn work_path(site: &SiteCluster, index: usize) -> String {
     let lines = site.log(index);
     let last = lines.lines().rfind(|line| line.contains("work-path"));
@@ -507,17 +515,17 @@
     fields["path"].as_str().unwrap_or_default().to_owned()
 }
 
-/// The node that gathered its region's news of open work died. The others went on telling it alone, and
-/// nobody knew what they had placed. They notice that it passes nothing on, and agree on another.
+/// Guards against nodes that keep reporting in-flight work to a collector that has died, so that
+/// nobody learns of it. They notice that it forwards nothing and choose another one.
 #[tokio::test(flavor = "multi_thread")]
 async fn collector_that_died_is_left() {
     let mut site = SiteCluster::start(&[SiteRegion::new("north", 10, 2)], SHORT).await;
     let collector_of = |site: &SiteCluster, index: usize| {
         let path = work_path(site, index);
-        let gathers = |entry: &SiteEntry| path.contains(&*entry.addresses[4]);
-        site.entries.iter().position(gathers)
+        let is_collector = |entry: &SiteEntry| path.contains(&*entry.addresses[4]);
+        site.entries.iter().position(is_collector)
     };
-    wait_until("most nodes tell a collector", async || {
+    wait_until("most nodes report to a collector", async || {
         (0..10)
             .filter(|index| collector_of(&site, *index).is_some())
             .count()
@@ -525,11 +533,11 @@
     })
     .await;
     let asking = (0..10).find(|index| collector_of(&site, *index).is_some());
-    let asking = asking.expect("a node tells a collector");
-    let first = collector_of(&site, asking).expect("it has one");
+    let asking = asking.expect("a node reports to a collector");
+    let first = collector_of(&site, asking).expect("the node has a collector");
     site.kill(first);
     let number = AtomicU32::new(0);
-    wait_until("another one gathers", async || {
+    wait_until("another node is the collector", async || {
         let number = number.fetch_add(1, Ordering::Relaxed);
         let attempt = format!("c{number}");
         let answer = site
--- a/crates/zinniahatch_lab/tests/slow_caller.rs
+++ b/crates/zinniahatch_lab/tests/slow_caller.rs
@@ -1,4 +1,4 @@
-//! Callers that read slowly, with real entry VMs.
+//! Tests of callers that read slowly, with real entry VMs.
 
 use std::time::Duration;
 use tokio::time::sleep;
@@ -6,23 +6,27 @@
 use zinniahatch_lab::site::SiteRegion;
 use zinniahatch_lab::test_doubles::replica::StreamShape;
 
-/// More than the buffers between the replica and the caller hold, and longer than the caller's time.
+/// More than the buffers between replica and caller hold, and longer than the time of the caller.
 const SHAPE: StreamShape = StreamShape {
     events: 20_000,
     pause: Duration::from_millis(1),
 };
 /// The time that the caller says it has.
-const TIME: Duration = Duration::from_secs(3);
-/// Bytes of the attempt's id, which each event repeats.
+const CALLER_TIME: Duration = Duration::from_secs(3);
+/// Length of the attempt's id, which each event repeats.
 const ID_BYTES: usize = 8_000;
 
-/// Guards against a stream that looks whole where its time was over while its caller did not read.
+/// Guards against a truncated stream that looks complete, when the deadline passed while the caller
+/// was not reading.
 #[tokio::test(flavor = "multi_thread")]
 async fn stream_cut_off_does_not_look_whole() {
     let site = SiteCluster::start(&[SiteRegion::new("north", 1, 1)], SHAPE).await;
     let attempt = "a".repeat(ID_BYTES);
-    let call = site.call_with_timeout(0, "/stream/look", &attempt, TIME);
-    let answer = call.send().await.expect("the stream begins");
-    sleep(TIME + Duration::from_secs(1)).await;
-    assert!(answer.bytes().await.is_err(), "the stream looks whole");
+    let call = site.call_with_timeout(0, "/stream/look", &attempt, CALLER_TIME);
+    let answer = call.send().await.expect("the stream starts");
+    sleep(CALLER_TIME + Duration::from_secs(1)).await;
+    assert!(
+        answer.bytes().await.is_err(),
+        "the truncated stream looks complete"
+    );
 }
--- a/crates/zinniahatch_lab/tests/store_returns.rs
+++ b/crates/zinniahatch_lab/tests/store_returns.rs
@@ -1,5 +1,5 @@
-//! The store comes back from an older copy: what the client makes of its answers, and what nodes write
-//! again.
+//! Tests of a store that is restored from an older snapshot: how the client treats its responses,
+//! and what nodes write again.
 
 use std::time::Duration;
 use test_case::test_case;
@@ -21,7 +21,7 @@
 use zinniahatch_route::ServingPreset;
 
 const LIMIT: Duration = Duration::from_secs(2);
-/// Wait of a watch that a return must end.
+/// Long wait of a watch, which a restore must end.
 const LONG_WAIT: Duration = Duration::from_secs(20);
 
 const SHAPE: StreamShape = StreamShape {
@@ -31,26 +31,29 @@
 
 async fn open_store() -> (FakeStore, FakeServer, KvClient) {
     let store = FakeStore::default();
-    let front = store.start_endpoint(FaultSwitch::default()).await;
-    let client = KvClient::new(&front.url());
-    (store, front, client)
+    let server = store.start_endpoint(FaultSwitch::default()).await;
+    let client = KvClient::new(&server.url());
+    (store, server, client)
 }
 
-/// A watch waits for what follows revision 5. The store comes back at revision 3 and counts up again,
-/// past 5. The watch would have slept through 4 and 5 of the new era, in which an operator took a key
-/// away.
+/// Guards against a watch that misses changes after a restore. It waits for changes after revision
+/// 5; the store is restored at revision 3 and counts up past 5 again, so that the watch would skip
+/// revisions 4 and 5 of the new era, in which an operator may have revoked a key.
 #[test_case(false; "while_it_waits")]
 #[test_case(true; "before_it_asks")]
 #[tokio::test]
 async fn watch_ends_when_revisions_go_back(before: bool) {
-    let (store, _front, client) = open_store().await;
+    let (store, _server, client) = open_store().await;
     for number in 0..3 {
         store.write("op/config", &number.to_string());
     }
     let copy = store.snapshot();
     store.write("op/a", "1");
     store.write("op/b", "1");
-    let listing = client.items("op/", LIMIT).await.expect("it answers");
+    let listing = client
+        .items("op/", LIMIT)
+        .await
+        .expect("the store responds");
     assert_eq!(listing.revision, StoreRevision { era: 0, number: 5 });
     if before {
         store.restore_snapshot(&copy);
@@ -65,33 +68,43 @@
             for _ in 0..4 {
                 store.write("op/config", "new");
             }
-            // Another call of the same process meets the store first.
-            client.items("other/", LIMIT).await.expect("it answers");
+            // Another request of the same client reaches the restored store first.
+            client
+                .items("other/", LIMIT)
+                .await
+                .expect("the store responds");
         }
     };
     let (changes, ()) = tokio::join!(watch, other);
     assert_eq!(changes, Err(KvError::Compacted));
-    let again = client.items("op/", LIMIT).await.expect("it answers");
+    let again = client
+        .items("op/", LIMIT)
+        .await
+        .expect("the store responds");
     assert!(again.revision > listing.revision, "{again:?}");
     assert_eq!(again.revision, StoreRevision { era: 1, number: 7 });
 }
 
-/// A node read a value at revision 4 and writes it under that condition. The store has come back
-/// meanwhile, and its revision 4 is somebody else's write, which the condition would let pass.
+/// Guards against a conditional write that succeeds after a restore although its condition refers
+/// to the old era. A node read a value at revision 4; after the restore, revision 4 is another
+/// process's write.
 #[tokio::test]
-async fn condition_of_an_era_that_is_over_does_not_hold() {
-    let (store, _front, client) = open_store().await;
+async fn condition_on_an_old_era_fails() {
+    let (store, _server, client) = open_store().await;
     store.write("k", "1");
     let copy = store.snapshot();
     store.write("k", "old");
     let read = client
         .item("k")
         .await
-        .expect("it answers")
-        .expect("it is there");
+        .expect("the store responds")
+        .expect("the key exists");
     store.restore_snapshot(&copy);
     store.write("k", "another's");
-    client.items("other/", LIMIT).await.expect("it answers");
+    client
+        .items("other/", LIMIT)
+        .await
+        .expect("the store responds");
     let commit = StoreCommit::new()
         .expect("k", read.revision)
         .set("k", b"mine", None);
@@ -99,25 +112,29 @@
     assert_eq!(store.read("k").as_deref(), Some("another's"));
 }
 
-/// A node's lease was given after the copy was made; its number goes to another node after the return.
-/// Renewed as its own, it would keep the other's key alive, and its own would never come back.
+/// Guards against renewing a lease granted before a restore. Its number may since have been granted
+/// to another node; a renewal would keep the other node's key alive, and the own key would never be
+/// written again.
 #[tokio::test]
-async fn lease_of_an_era_that_is_over_has_lapsed() {
-    let (store, front, client) = open_store().await;
+async fn lease_of_an_old_era_has_expired() {
+    let (store, server, client) = open_store().await;
     store.write("k", "1");
     let copy = store.snapshot();
     let mine = client
         .grant(Duration::from_secs(9))
         .await
-        .expect("it answers");
+        .expect("the store responds");
     store.restore_snapshot(&copy);
-    let other = KvClient::new(&front.url());
+    let other = KvClient::new(&server.url());
     let theirs = other
         .grant(Duration::from_secs(9))
         .await
-        .expect("it answers");
+        .expect("the store responds");
     assert_eq!(mine.number, theirs.number);
-    client.items("other/", LIMIT).await.expect("it answers");
+    client
+        .items("other/", LIMIT)
+        .await
+        .expect("the store responds");
     assert_eq!(client.keep(mine).await, Ok(false));
     assert_eq!(other.keep(theirs).await, Ok(true));
 }
@@ -126,18 +143,18 @@
     serde_json::json!([{"name": "acme", "api_keys": keys}])
 }
 
-/// Returns the status that a node answers with; 0 where it does not listen yet.
-async fn code_of(site: &SiteCluster, node: usize, key: &str) -> u16 {
+/// Returns the status with which a node responds; 0 if it does not listen yet.
+async fn status_for_key(site: &SiteCluster, node: usize, key: &str) -> u16 {
     let call = site.call(node, "/plain/x", "a");
     let call = call.header("authorization", format!("Token {key}"));
     let answer = call.send().await;
     answer.map_or(0, |answer| answer.status().as_u16())
 }
 
-/// A key is taken away, and the store comes back from a copy that still has it. A node that starts just
-/// then finds it there, and must not serve it: the others follow the newer version, and say so.
+/// Guards against a node that starts after a restore, finds a revoked key in the store and accepts
+/// it. The other nodes have the newer version and tell it so.
 #[tokio::test(flavor = "multi_thread")]
-async fn key_taken_away_stays_so_at_nodes_that_start() {
+async fn revoked_key_stays_revoked_at_starting_nodes() {
     let regions = [SiteRegion::new("north", 3, 2)];
     let mut site =
         SiteCluster::start_with_accounts(&regions, SHAPE, &accounts(&["k1", "k2"])).await;
@@ -145,7 +162,7 @@
     site.configure_accounts(5, &accounts(&["k2"]));
     for node in 0..3 {
         wait_until("the key is refused", async || {
-            code_of(&site, node, "k1").await == 401
+            status_for_key(&site, node, "k1").await == 401
         })
         .await;
     }
@@ -154,23 +171,23 @@
     site.spawn(0);
     wait_until("the node serves the other key", async || {
         for node in 0..3 {
-            assert_ne!(code_of(&site, node, "k1").await, 200);
+            assert_ne!(status_for_key(&site, node, "k1").await, 200);
         }
-        code_of(&site, 0, "k2").await == 200
+        status_for_key(&site, 0, "k2").await == 200
     })
     .await;
     site.configure_accounts(5, &accounts(&["k2"]));
     for node in 0..3 {
-        wait_until("all serve", async || {
-            code_of(&site, node, "k2").await == 200
+        wait_until("all nodes serve", async || {
+            status_for_key(&site, node, "k2").await == 200
         })
         .await;
-        assert_eq!(code_of(&site, node, "k1").await, 401);
+        assert_eq!(status_for_key(&site, node, "k1").await, 401);
     }
 }
 
-/// An operator's switch was acknowledged and in force, and the store comes back from a copy without it.
-/// It stays in force, and the nodes write it again.
+/// Guards against losing an acknowledged preset switch in a restore. The preset stays in force, and
+/// the nodes write it to the store again.
 #[tokio::test(flavor = "multi_thread")]
 async fn preset_in_force_is_written_again() {
     let site = SiteCluster::start(&[SiteRegion::new("north", 2, 1)], SHAPE).await;
