--- a/crates/zinniahatch_lab/src/site.rs
+++ b/crates/zinniahatch_lab/src/site.rs
@@ -83,7 +83,7 @@
 /// A replica that was replaced or restarted.
 #[derive(Clone, Debug)]
 struct RetiredReplica {
-    index: usize,
+    position: usize,
     region: &'static str,
     id: Box<str>,
     observations: ReplicaObservations,
@@ -313,7 +313,7 @@
         self.links[index] = start_replica_link(&replica).await;
         let old = std::mem::replace(&mut self.replicas[index].0, replica);
         self.retired.push(RetiredReplica {
-            index: index,
+            position: index,
             region,
             id: old.id.clone(),
             observations: old.observations(),
@@ -475,7 +475,7 @@
 
     /// Returns whether SIGTERM killed an entry VM before its program installed the signal handler.
     ///
-    /// Nothing in the log since its start shows that the program had not begun.
+    /// An unchanged log shows that the program had not started.
     pub fn terminated_before_start(&mut self, index: usize) -> bool {
         let entry = &mut self.entries[index];
         let status = entry.child.as_mut().map(Child::try_wait);
--- a/crates/zinniahatch_lab/src/site/calls.rs
+++ b/crates/zinniahatch_lab/src/site/calls.rs
@@ -120,7 +120,7 @@
             running.map(|(index, (fake, _))| (index, fake.id.clone(), fake.observations().notices));
         let ended = self.retired.iter().map(|ended| {
             let notices = ended.observations.notices.clone();
-            (ended.index, ended.id.clone(), notices)
+            (ended.position, ended.id.clone(), notices)
         });
         ended.chain(running).collect()
     }
@@ -130,7 +130,7 @@
         let living = self.replicas.iter().enumerate();
         let living = living.map(|(index, (replica, _))| (index, replica.observations().limits));
         let ended = self.retired.iter();
-        let ended = ended.map(|ended| (ended.index, ended.observations.limits.clone()));
+        let ended = ended.map(|ended| (ended.position, ended.observations.limits.clone()));
         living.chain(ended).collect()
     }
 
--- a/crates/zinniahatch_lab/src/test_doubles/backend.rs
+++ b/crates/zinniahatch_lab/src/test_doubles/backend.rs
@@ -17,9 +17,9 @@
 /// Faults of one backend server.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct BackendFaults {
-    /// Streams go silent after this many tokens; connections opened later are not affected.
+    /// Streams go silent after this many tokens, except resumed ones.
     pub silent_after: Option<u64>,
-    /// Streams break after this many tokens.
+    /// Streams break after this many tokens, except resumed ones.
     pub break_after: Option<u64>,
     /// Number of requests that run and whose connection breaks instead of a response.
     pub lose_answers: u32,
--- a/crates/zinniahatch_lab/src/test_doubles/directory.rs
+++ b/crates/zinniahatch_lab/src/test_doubles/directory.rs
@@ -1,4 +1,4 @@
-//! Test double of the directory for clients and of the VM list.
+//! Test double of the directory for clients and of the platform's lagging VM list.
 
 use crate::test_doubles::faults::FaultEffect;
 use crate::test_doubles::faults::FaultSwitch;
--- a/crates/zinniahatch_lab/src/test_doubles/engine.rs
+++ b/crates/zinniahatch_lab/src/test_doubles/engine.rs
@@ -357,7 +357,7 @@
             return;
         };
         let produced = run.produced.subscribe();
-        // Faults affect only the connections that were open; resumed streams work.
+        // Stream faults do not apply to resumed streams.
         let state = RunStream {
             run,
             produced,
--- a/crates/zinniahatch_lab/tests/site.rs
+++ b/crates/zinniahatch_lab/tests/site.rs
@@ -112,9 +112,9 @@
     assert_eq!(event_ids(&streamed.text().await.unwrap()).len(), 12);
 }
 
-/// Guards against exceeding the retry bound with stale entries. When many replicas are gone and
-/// their addresses are reused, each request is refused as misdirected again and again; these
-/// retries once were up to four per request and not charged to the retry budget.
+/// Guards against exceeding the retry bound when many replicas are gone and their addresses are
+/// reused, so that requests are refused as misdirected. If these retries are not charged to the
+/// retry budget, each request is tried four times, and all nodes together exceed the bound.
 #[tokio::test(flavor = "multi_thread")]
 async fn misdirected_requests_draw_on_the_budget() {
     const FORMER: usize = 120;
@@ -139,9 +139,9 @@
     assert!(arrivals <= CALLS + bound, "{arrivals} arrivals of {CALLS}");
 }
 
-/// Guards against more attempts than the route allows after a request was forwarded. A node that
-/// received a forwarded request tried as often as the first node could, so that a lookup ran on
-/// three replicas instead of two. Attempts at both nodes count together.
+/// Guards against more attempts than the route allows after a request was forwarded. If the second
+/// node tries as often as the first one may, a failing lookup runs on three replicas instead of two;
+/// the attempts of both nodes count together.
 #[tokio::test(flavor = "multi_thread")]
 async fn handed_over_request_keeps_its_attempts() {
     let site = SiteCluster::start(
@@ -406,7 +406,7 @@
 }
 
 /// Guards against usage counts missing from reports. The counts of nodes that stop as planned are
-/// all in the store.
+/// all in the store; those of a node that crashed are reported as a gap.
 #[tokio::test(flavor = "multi_thread")]
 async fn counts_reach_the_store() {
     let mut site = SiteCluster::start(&[SiteRegion::new("north", 2, 1)], SHORT).await;
