--- a/crates/zinniahatch_lab/src/test_doubles/notice_record.rs
+++ b/crates/zinniahatch_lab/src/test_doubles/notice_record.rs
@@ -78,7 +78,8 @@
     /// Finds a request that arrived more than `bound` after the node that sent it had been told that
     /// the replica is leaving.
     ///
-    /// `node_of` returns the node that sent an attempt; `excused` returns whether a fault hit that node in an interval.
+    /// `node_of` returns the node that sent an attempt; `excused` returns whether a fault hit that node in
+    /// an interval.
     pub fn leaving_violation(
         &self,
         bound: Duration,
--- a/crates/zinniahatch_lab/tests/crashing_request.rs
+++ b/crates/zinniahatch_lab/tests/crashing_request.rs
@@ -48,8 +48,8 @@
 
 /// Guards against a request that crashes replica after replica. Its caller repeats it under new ids
 /// at other nodes and regions, so that no attempt id is seen on more than two crashes; only the
-/// digest of path, caller and body recurs, in log lines like `channel-broke ...
-/// replica=i-bad67beeee ran_ms=83 began=true`. Other callers lose their streams and are refused
+/// digest of path, caller and body recurs in the `channel-broke` lines of the log, such as one with
+/// `replica=i-bad67beeee ran_ms=83 began=true`. Other callers lose their streams and are refused
 /// because hardly any replica is left. The request must be quarantined, and those that ran beside
 /// it must still be served.
 #[tokio::test(flavor = "multi_thread")]
