--- a/crates/zinniahatch_lab/src/cluster/prepare.rs
+++ b/crates/zinniahatch_lab/src/cluster/prepare.rs
@@ -1,4 +1,5 @@
-//! What a system needs before its daemons start: stand-ins, configuration, addresses, settings.
+//! Preparation of a cluster before its daemons start: test doubles, configuration, addresses, settings
+//! files.
 
 use super::ClusterOptions;
 use super::NEXT_ADDRESS;
@@ -8,11 +9,11 @@
 use crate::history::HistoryLog;
 use crate::relay::LinkState;
 use crate::relay::TcpRelay;
-use crate::stand::backend::StandBackend;
-use crate::stand::directory::StandDirectory;
-use crate::stand::engine::StandEngine;
-use crate::stand::plain::start_plain;
-use crate::stand::serve::StandServer;
+use crate::test_doubles::backend::FakeBackend;
+use crate::test_doubles::directory::FakeDirectory;
+use crate::test_doubles::engine::FakeEngine;
+use crate::test_doubles::plain::start_plain;
+use crate::test_doubles::serve::FakeServer;
 use crate::users::UserPlan;
 use std::net::TcpListener;
 use std::net::UdpSocket;
@@ -30,27 +31,28 @@
 use zinniahatch_platform::VmKind;
 use zinniahatch_platform::VmState;
 
-/// Loopback hosts that a process uses in turn, and the ports on each: where they begin, how far apart those of two turns
-/// are, and turns before they come again.
+/// Allocation of loopback addresses within one process: calls rotate through `HOSTS` hosts; on each
+/// host, the search for free ports starts at `FIRST_PORT`, `PORT_STRIDE` ports higher in each round,
+/// and wraps after `STRIDES` rounds.
 const HOSTS: u64 = 100;
 const FIRST_PORT: u16 = 20_000;
-const PORTS_APART: u16 = 100;
-const ROUNDS: u64 = 100;
-/// The first of the ports that the system gives out by itself, where it does not say.
-const USUAL_SYSTEM_PORTS: u16 = 32_768;
+const PORT_STRIDE: u16 = 100;
+const STRIDES: u64 = 100;
+/// First ephemeral port, assumed if the kernel does not report its range.
+const DEFAULT_EPHEMERAL_START: u16 = 32_768;
 
 type StartedBackends = (
-    BTreeMap<ReplicaId, Arc<StandEngine>>,
-    BTreeMap<ReplicaId, Arc<StandBackend>>,
-    BTreeMap<ReplicaId, StandServer>,
+    BTreeMap<ReplicaId, Arc<FakeEngine>>,
+    BTreeMap<ReplicaId, Arc<FakeBackend>>,
+    BTreeMap<ReplicaId, FakeServer>,
 );
 
-/// Starts a stand-in for each backend server and writes its address into the plan.
+/// Starts a test double of each backend server and writes its address into the plan.
 pub(super) async fn start_backends(
     plan: &mut UserPlan,
     options: &ClusterOptions,
     history: &HistoryLog,
-    directory: &StandDirectory,
+    directory: &FakeDirectory,
 ) -> StartedBackends {
     let config = config_of(plan);
     let mut engines = BTreeMap::new();
@@ -62,15 +64,15 @@
         let region = config
             .topology
             .region_of(&entry.data_centre)
-            .expect("the plan is checked");
-        let backend = StandBackend::new(name, region, entry.slots, history.clone());
+            .expect("the topology lists the data centre");
+        let backend = FakeBackend::new(name, region, entry.slots, history.clone());
         let shared = shared_url.as_ref().filter(|_| options.shared_backends);
         let url = if let Some(url) = shared {
             url.clone()
         } else {
             let server = match config.services[&entry.service].kind {
                 ServiceKind::Engine => {
-                    let engine = StandEngine::new(
+                    let engine = FakeEngine::new(
                         Arc::clone(&backend),
                         options.speed,
                         entry.fencing == FencingRule::Checked,
@@ -136,8 +138,8 @@
                 name,
                 region: region.region.clone(),
                 data_centre: region.data_centre.clone(),
-                http: ports.next().expect("enough ports were taken"),
-                peer: ports.next().expect("enough ports were taken"),
+                http: ports.next().expect("enough addresses were found"),
+                peer: ports.next().expect("enough addresses were found"),
                 child: None,
             });
         }
@@ -145,14 +147,15 @@
     nodes
 }
 
-/// Finds so many addresses of this machine on which nobody listens, with ports that the system gives to nobody by itself.
+/// Finds `count` unused loopback addresses, with ports below the ephemeral range.
 ///
-/// A node is started long after its addresses were found, and again after it was stopped. A socket that is open to all
-/// addresses of the machine, as those of outgoing datagrams are, would take a port of the system's own range meanwhile.
+/// A node binds its addresses long after they were chosen, and again after a restart. In the meantime,
+/// a socket bound to the wildcard address, such as one for outgoing datagrams, may take any port of the
+/// ephemeral range.
 ///
 /// # Panics
 ///
-/// Where no port is free.
+/// Panics if too few ports are free.
 pub fn free_addresses(count: usize) -> Vec<Box<str>> {
     let process = std::process::id();
     let number = NEXT_ADDRESS.fetch_add(1, Ordering::Relaxed);
@@ -162,31 +165,32 @@
         (process >> 8) & 0xff,
         (process & 0xff).max(1)
     );
-    let first = FIRST_PORT + (number / HOSTS % ROUNDS) as u16 * PORTS_APART;
-    let free = (first..system_ports()).filter(|port| is_free(&host, *port));
+    let first = FIRST_PORT + (number / HOSTS % STRIDES) as u16 * PORT_STRIDE;
+    let free = (first..ephemeral_port_start()).filter(|port| is_free(&host, *port));
     let found: Vec<Box<str>> = free
         .take(count)
         .map(|port| format!("{host}:{port}").into())
         .collect();
-    assert_eq!(found.len(), count, "ports are free");
+    assert_eq!(found.len(), count, "enough ports are free");
     found
 }
 
-/// Tells whether nobody has a port, for connections or datagrams.
+/// Returns whether a port is unused for both TCP and UDP.
 fn is_free(host: &str, port: u16) -> bool {
     TcpListener::bind((host, port)).is_ok() && UdpSocket::bind((host, port)).is_ok()
 }
 
-/// Gives the first of the ports that the system gives out by itself.
-fn system_ports() -> u16 {
+/// Returns the first port of the kernel's ephemeral range.
+fn ephemeral_port_start() -> u16 {
     let range = std::fs::read_to_string("/proc/sys/net/ipv4/ip_local_port_range");
     let first = range
         .ok()
         .and_then(|range| range.split_whitespace().next()?.parse().ok());
-    first.unwrap_or(USUAL_SYSTEM_PORTS)
+    first.unwrap_or(DEFAULT_EPHEMERAL_START)
 }
 
-/// Starts the relays through which a node reaches those of other regions.
+/// Starts the relays through which a node reaches the nodes of other regions; returns the address
+/// translations.
 pub(super) async fn make_relays(
     config: &ClusterConfig,
     plan: &UserPlan,
@@ -239,7 +243,7 @@
         options.route.as_str(),
         zinniahatch_config::format_duration(options.seal),
         zinniahatch_config::format_duration(options.merge),
-        options.log_level,
+        options.log_level
     );
     if !translate.is_empty() {
         text.push_str("\n[translate]\n");
--- a/crates/zinniahatch_lab/src/lib.rs
+++ b/crates/zinniahatch_lab/src/lib.rs
@@ -1,4 +1,4 @@
-//! The lab: stand-ins for everything outside, load, experiments, and the history checker.
+//! Test lab: test doubles of all external systems, load generation, experiments and a history checker.
 
 pub mod checker;
 pub mod cluster;
@@ -11,5 +11,5 @@
 pub mod site;
 pub mod site_demo;
 pub mod soak;
-pub mod stand;
+pub mod test_doubles;
 pub mod users;
--- a/crates/zinniahatch_lab/src/stand.rs
+++ b/crates/zinniahatch_lab/src/test_doubles.rs
@@ -1,9 +1,9 @@
-//! Stand-ins: the platform's services and the backend servers.
+//! Test doubles of the platform's services and of backend servers, run in-process.
 
 pub mod backend;
+pub mod crashing;
 pub mod directory;
 pub mod engine;
-pub mod fatal;
 pub mod faults;
 pub mod limit_record;
 pub mod notice_record;
--- a/crates/zinniahatch_lab/src/stand/directory.rs
+++ b/crates/zinniahatch_lab/src/test_doubles/directory.rs
@@ -1,8 +1,8 @@
-//! The directory for clients and the lagging list of VMs.
+//! Test double of the directory for clients and of the platform's lagging VM list.
 
-use crate::stand::faults::CallFate;
-use crate::stand::faults::FaultSwitch;
-use crate::stand::serve::StandServer;
+use crate::test_doubles::faults::FaultEffect;
+use crate::test_doubles::faults::FaultSwitch;
+use crate::test_doubles::serve::FakeServer;
 use salvo::Request;
 use salvo::Response;
 use salvo::Router;
@@ -18,23 +18,23 @@
 use zinniahatch_platform::ListedVm;
 use zinniahatch_platform::VmState;
 
-/// Time after which an entry that was not published again lapses.
+/// Time after which an entry expires unless it is published again.
 const ENTRY_TTL: Duration = Duration::from_secs(40);
 
 type StoredEntries = BTreeMap<NodeId, (Instant, DirectoryEntry)>;
 
-/// The directory and the list.
+/// The directory and the VM list.
 #[derive(Clone, Default)]
-pub struct StandDirectory {
+pub struct FakeDirectory {
     entries: Arc<Mutex<StoredEntries>>,
     vms: Arc<Mutex<BTreeMap<Box<str>, ListedVm>>>,
-    /// Faults of both.
-    pub switch: FaultSwitch,
+    /// Faults of both services.
+    pub faults: FaultSwitch,
 }
 
-impl StandDirectory {
+impl FakeDirectory {
     /// Starts serving.
-    pub async fn start(&self) -> StandServer {
+    pub async fn start(&self) -> FakeServer {
         let router = Router::new()
             .push(Router::with_path("entries").get(ListHandler(self.clone())))
             .push(
@@ -43,22 +43,22 @@
                     .delete(WithdrawHandler(self.clone())),
             )
             .push(Router::with_path("vms").get(VmsHandler(self.clone())));
-        StandServer::start(router).await
+        FakeServer::start(router).await
     }
 
-    /// Puts a VM on the list.
+    /// Adds a VM to the list.
     pub fn list_vm(&self, vm: ListedVm) {
         lock(&self.vms).insert(vm.name.clone(), vm);
     }
 
-    /// Changes a VM's state on the list.
+    /// Changes the state of a VM on the list.
     pub fn set_state(&self, name: &str, state: VmState) {
         if let Some(vm) = lock(&self.vms).get_mut(name) {
             vm.state = state;
         }
     }
 
-    /// Gives the entries that have not lapsed.
+    /// Returns the entries that have not expired.
     pub fn entries(&self) -> Vec<DirectoryEntry> {
         lock(&self.entries)
             .values()
@@ -68,7 +68,7 @@
     }
 
     async fn refused(&self, response: &mut Response) -> bool {
-        let refused = self.switch.fate(false).await != CallFate::Answer;
+        let refused = self.faults.effect(false).await != FaultEffect::Answer;
         if refused {
             response.status_code(StatusCode::SERVICE_UNAVAILABLE);
         }
@@ -80,7 +80,7 @@
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-struct ListHandler(StandDirectory);
+struct ListHandler(FakeDirectory);
 
 #[handler]
 impl ListHandler {
@@ -91,7 +91,7 @@
     }
 }
 
-struct PublishHandler(StandDirectory);
+struct PublishHandler(FakeDirectory);
 
 #[handler]
 impl PublishHandler {
@@ -107,7 +107,7 @@
     }
 }
 
-struct WithdrawHandler(StandDirectory);
+struct WithdrawHandler(FakeDirectory);
 
 #[handler]
 impl WithdrawHandler {
@@ -120,7 +120,7 @@
     }
 }
 
-struct VmsHandler(StandDirectory);
+struct VmsHandler(FakeDirectory);
 
 #[handler]
 impl VmsHandler {
--- a/crates/zinniahatch_lab/src/stand/engine.rs
+++ b/crates/zinniahatch_lab/src/test_doubles/engine.rs
@@ -1,12 +1,13 @@
-//! A model engine: continuous batching, a prefix cache, streams that resume and cancel, orders.
-
-use crate::stand::backend::StandBackend;
-use crate::stand::backend::header;
-use crate::stand::backend::lock;
-use crate::stand::backend::set_header;
-use crate::stand::serve::StandServer;
-use crate::stand::text::find_operation;
-use crate::stand::text::token_at;
+//! Test double of a model engine: continuous batching, a prefix cache, resumable and cancellable
+//! streams, orders.
+
+use crate::test_doubles::backend::FakeBackend;
+use crate::test_doubles::backend::header;
+use crate::test_doubles::backend::lock;
+use crate::test_doubles::backend::set_header;
+use crate::test_doubles::serve::FakeServer;
+use crate::test_doubles::text::find_operation;
+use crate::test_doubles::text::token_at;
 use bytes::Bytes;
 use futures_util::stream;
 use salvo::Request;
@@ -29,26 +30,26 @@
 use zinniahatch_platform::EngineLoad;
 use zinniahatch_platform::ModelOrder;
 
-const BODY_LIMIT: usize = 8 << 20;
+const MAX_BODY_BYTES: usize = 8 << 20;
 const PREFIX_BYTES: usize = 512;
 const BYTES_PER_TOKEN: u64 = 4;
-/// Events of one chunk.
-const EVENTS_AT_ONCE: u64 = 256;
-/// Finished runs that can still be resumed.
-const KEPT_RUNS: usize = 512;
-/// Longer than any caller waits.
+/// Maximum number of events in one chunk of a stream.
+const MAX_CHUNK_EVENTS: u64 = 256;
+/// Number of runs kept for resumption, running or finished.
+const MAX_RETAINED_RUNS: usize = 512;
+/// How long a silent stream stays open; longer than any caller waits.
 const SILENT_TIME: Duration = Duration::from_secs(300);
 
-/// How fast an engine is.
+/// Speed of an engine.
 #[derive(Clone, Copy, Debug)]
 pub struct EngineSpeed {
-    /// Prompt tokens read in a second.
+    /// Prompt tokens processed per second (prefill).
     pub prefill: f64,
-    /// Time between tokens when alone.
+    /// Time between generated tokens when the batch is otherwise empty.
     pub token: Duration,
-    /// Part by which a full batch slows each token.
+    /// Fraction by which a full batch slows each token.
     pub batch_cost: f64,
-    /// Prefixes that fit the cache.
+    /// Capacity of the prefix cache, in prefixes.
     pub cache: usize,
 }
 
@@ -64,19 +65,19 @@
 }
 
 #[derive(Deserialize)]
-struct ChatAsk {
-    messages: Vec<ChatText>,
+struct ChatRequest {
+    messages: Vec<ChatMessage>,
     #[serde(default)]
     max_tokens: Option<u64>,
 }
 
 #[derive(Deserialize)]
-struct ChatText {
+struct ChatMessage {
     #[serde(default)]
     content: String,
 }
 
-/// One run: how many events it has, of how many.
+/// A run of a request: the events produced so far, out of a fixed total.
 struct EngineRun {
     operation: u64,
     from: u64,
@@ -86,16 +87,16 @@
     cancelled: watch::Sender<bool>,
 }
 
-/// Runs by id, and their order.
-type KeptRuns = (BTreeMap<Box<str>, Arc<EngineRun>>, VecDeque<Box<str>>);
+/// Runs by id, and their ids in the order of their start.
+type RetainedRuns = (BTreeMap<Box<str>, Arc<EngineRun>>, VecDeque<Box<str>>);
 
-/// One engine.
-pub struct StandEngine {
-    /// What it shares with other backend servers.
-    pub backend: Arc<StandBackend>,
+/// Test double of a model engine.
+pub struct FakeEngine {
+    /// The state common to all backend servers.
+    pub backend: Arc<FakeBackend>,
     speed: EngineSpeed,
     checks_fencing: bool,
-    runs: Mutex<KeptRuns>,
+    runs: Mutex<RetainedRuns>,
     cache: Mutex<VecDeque<(ShortTag, u64)>>,
     events: Mutex<(u64, VecDeque<CacheEvent>)>,
     model: Mutex<ModelId>,
@@ -103,9 +104,9 @@
     orders: Mutex<Vec<(Duration, ModelOrder, bool)>>,
 }
 
-impl StandEngine {
-    /// Makes an engine.
-    pub fn new(backend: Arc<StandBackend>, speed: EngineSpeed, checks_fencing: bool) -> Arc<Self> {
+impl FakeEngine {
+    /// Creates an engine; `checks_fencing` rejects orders with an older fencing token.
+    pub fn new(backend: Arc<FakeBackend>, speed: EngineSpeed, checks_fencing: bool) -> Arc<Self> {
         Arc::new(Self {
             backend,
             speed,
@@ -120,7 +121,7 @@
     }
 
     /// Starts serving.
-    pub async fn start(self: &Arc<Self>) -> StandServer {
+    pub async fn start(self: &Arc<Self>) -> FakeServer {
         let share = || Arc::clone(self);
         let router = Router::new()
             .push(Router::with_path("load").get(LoadHandler(share())))
@@ -129,20 +130,21 @@
             .push(Router::with_path("v1/chat/completions").post(ChatHandler(share())))
             .push(Router::with_path("v1/requests/{id}/stream").get(ResumeHandler(share())))
             .push(Router::with_path("v1/requests/{id}/cancel").post(CancelHandler(share())));
-        StandServer::start(router).await
+        FakeServer::start(router).await
     }
 
-    /// Gives the orders received: when, which, and whether it was obeyed.
+    /// Returns the orders received: the time, the order, and whether it was accepted.
     pub fn orders(&self) -> Vec<(Duration, ModelOrder, bool)> {
         lock(&self.orders).clone()
     }
 
-    /// Gives the model loaded.
+    /// Returns the loaded model.
     pub fn model(&self) -> ModelId {
         lock(&self.model).clone()
     }
 
-    /// Finds a prefix in the cache and moves or puts it to the front.
+    /// Moves a prefix to the front of the LRU cache, or adds it there; returns how many of its tokens
+    /// were cached.
     fn touch_cache(&self, prefix: ShortTag, tokens: u64) -> u64 {
         let mut cache = lock(&self.cache);
         let known = cache
@@ -151,18 +153,18 @@
             .and_then(|at| cache.remove(at));
         cache.push_front((prefix, tokens));
         if known.is_none() {
-            self.note_event(prefix, tokens);
+            self.record_event(prefix, tokens);
         }
         if cache.len() > self.speed.cache
             && let Some((evicted, _)) = cache.pop_back()
         {
-            self.note_event(evicted, 0);
+            self.record_event(evicted, 0);
         }
         known.map_or(0, |(_, cached)| cached.min(tokens))
     }
 
-    fn note_event(&self, prefix: ShortTag, tokens: u64) {
-        const KEPT_EVENTS: usize = 256;
+    fn record_event(&self, prefix: ShortTag, tokens: u64) {
+        const MAX_RETAINED_EVENTS: usize = 256;
         let mut events = lock(&self.events);
         events.0 += 1;
         let number = events.0;
@@ -171,21 +173,21 @@
             prefix: prefix.to_string().into(),
             tokens,
         });
-        if events.1.len() > KEPT_EVENTS {
+        if events.1.len() > MAX_RETAINED_EVENTS {
             events.1.pop_front();
         }
     }
 
-    fn start_run(self: &Arc<Self>, id: &str, ask: &ChatAsk, resume: u64) -> Arc<EngineRun> {
-        let text: String = ask
+    fn start_run(self: &Arc<Self>, id: &str, chat: &ChatRequest, resume: u64) -> Arc<EngineRun> {
+        let text: String = chat
             .messages
             .iter()
             .map(|message| message.content.as_str())
             .collect();
         let operation = find_operation(&text).unwrap_or(0);
-        self.backend.note_run(operation, id);
+        self.backend.record_execution(operation, id);
         let prompt = text.len() as u64 / BYTES_PER_TOKEN + 1;
-        let first = ask
+        let first = chat
             .messages
             .first()
             .map(|message| message.content.as_bytes())
@@ -195,7 +197,7 @@
         ));
         let shared = first.len() as u64 / BYTES_PER_TOKEN;
         let cached = self.touch_cache(prefix, shared);
-        let total = ask.max_tokens.unwrap_or(16);
+        let total = chat.max_tokens.unwrap_or(16);
         let usage = format!(
             "data: {{\"choices\":[],\"usage\":{{\"prompt_tokens\":{prompt},\"cached_tokens\":{cached},\"completion_tokens\":{total}}}}}\n\n"
         );
@@ -210,7 +212,7 @@
         let mut runs = lock(&self.runs);
         runs.0.insert(id.into(), Arc::clone(&run));
         runs.1.push_back(id.into());
-        if runs.1.len() > KEPT_RUNS
+        if runs.1.len() > MAX_RETAINED_RUNS
             && let Some(oldest) = runs.1.pop_front()
         {
             runs.0.remove(&oldest);
@@ -223,15 +225,15 @@
     }
 }
 
-/// Makes the tokens of a run, one at a time, at the speed that the batch allows.
-async fn generate(engine: Arc<StandEngine>, run: Arc<EngineRun>, prefill: Duration) {
-    let Ok(_room) = Arc::clone(&engine.backend.room).acquire_owned().await else {
+/// Produces the tokens of a run one at a time, at the speed that the batch allows.
+async fn generate(engine: Arc<FakeEngine>, run: Arc<EngineRun>, prefill: Duration) {
+    let Ok(_permit) = Arc::clone(&engine.backend.permits).acquire_owned().await else {
         return;
     };
     let mut cancelled = run.cancelled.subscribe();
     let slow = engine.backend.faults().slow.max(1.0);
     let mut next = tokio::time::Instant::now() + prefill.mul_f64(slow);
-    // One event for each token and one for the usage.
+    // One event per token and one for the usage.
     for produced in run.from..=run.total {
         tokio::select! {
             () = sleep_until(next) => {}
@@ -246,7 +248,7 @@
     }
 }
 
-/// A stream of a run's events.
+/// State of one stream of a run's events.
 struct RunStream {
     run: Arc<EngineRun>,
     produced: watch::Receiver<u64>,
@@ -277,7 +279,7 @@
             return Some((Err(std::io::Error::other("cancelled")), state));
         }
     }
-    let produced = (*state.produced.borrow()).min(state.next + EVENTS_AT_ONCE);
+    let produced = (*state.produced.borrow()).min(state.next + MAX_CHUNK_EVENTS);
     let mut events = String::new();
     while state.next < produced.min(state.run.total) {
         let token = token_at(state.run.operation, state.next);
@@ -306,7 +308,7 @@
     ))));
 }
 
-struct ChatHandler(Arc<StandEngine>);
+struct ChatHandler(Arc<FakeEngine>);
 
 #[handler]
 impl ChatHandler {
@@ -315,11 +317,11 @@
         let id = header(request, "x-request-id");
         let resume: u64 = header(request, "x-resume-from").parse().unwrap_or(0);
         let body = request
-            .payload_with_max_size(BODY_LIMIT)
+            .payload_with_max_size(MAX_BODY_BYTES)
             .await
             .cloned()
             .unwrap_or_default();
-        let Ok(ask) = serde_json::from_slice::<ChatAsk>(&body) else {
+        let Ok(chat) = serde_json::from_slice::<ChatRequest>(&body) else {
             response.status_code(StatusCode::BAD_REQUEST);
             return;
         };
@@ -327,7 +329,7 @@
         if faults.frozen {
             sleep(SILENT_TIME).await;
         }
-        let run = engine.start_run(&id, &ask, resume);
+        let run = engine.start_run(&id, &chat, resume);
         let produced = run.produced.subscribe();
         let state = RunStream {
             run,
@@ -342,7 +344,7 @@
     }
 }
 
-struct ResumeHandler(Arc<StandEngine>);
+struct ResumeHandler(Arc<FakeEngine>);
 
 #[handler]
 impl ResumeHandler {
@@ -355,7 +357,7 @@
             return;
         };
         let produced = run.produced.subscribe();
-        // Faults hit the connections that were open; new ones work.
+        // Stream faults do not apply to resumed streams.
         let state = RunStream {
             run,
             produced,
@@ -369,7 +371,7 @@
     }
 }
 
-struct CancelHandler(Arc<StandEngine>);
+struct CancelHandler(Arc<FakeEngine>);
 
 #[handler]
 impl CancelHandler {
@@ -387,7 +389,7 @@
     }
 }
 
-struct LoadHandler(Arc<StandEngine>);
+struct LoadHandler(Arc<FakeEngine>);
 
 #[handler]
 impl LoadHandler {
@@ -403,7 +405,7 @@
     }
 }
 
-struct EventsHandler(Arc<StandEngine>);
+struct EventsHandler(Arc<FakeEngine>);
 
 #[handler]
 impl EventsHandler {
@@ -419,7 +421,7 @@
     }
 }
 
-struct OrderHandler(Arc<StandEngine>);
+struct OrderHandler(Arc<FakeEngine>);
 
 #[handler]
 impl OrderHandler {
@@ -430,9 +432,9 @@
             return;
         };
         let mut fence = lock(&engine.fence);
-        let obeyed = !engine.checks_fencing || order.fence >= *fence;
-        lock(&engine.orders).push((engine.backend.history.now(), order.clone(), obeyed));
-        if !obeyed {
+        let accepted = !engine.checks_fencing || order.fence >= *fence;
+        lock(&engine.orders).push((engine.backend.history.now(), order.clone(), accepted));
+        if !accepted {
             response.status_code(StatusCode::PRECONDITION_FAILED);
             return;
         }
--- /dev/null
+++ b/crates/zinniahatch_lab/src/test_doubles/replica.rs
@@ -0,0 +1,501 @@
+//! Test double of a replica on the users' platform: plain requests and streams, with switchable faults.
+//!
+//! It implements the platform's published protocol on a plain socket, so that it can disconnect,
+//! respond twice or go silent at any byte.
+
+use super::crashing::CrashingRequests;
+use super::crashing::RequestContent;
+use super::limit_record::LimitRecord;
+use super::notice_record::NoticeRecord;
+use httparse::EMPTY_HEADER;
+use std::net::SocketAddr;
+use std::net::SocketAddrV4;
+use std::sync::Arc;
+use std::sync::Mutex;
+use std::sync::MutexGuard;
+use std::sync::PoisonError;
+use std::time::SystemTime;
+use std::time::UNIX_EPOCH;
+use tokio::io::AsyncReadExt;
+use tokio::io::AsyncWriteExt;
+use tokio::net::TcpListener;
+use tokio::net::TcpStream;
+use tokio::task::JoinHandle;
+use tokio::time::sleep;
+use tokio_util::sync::CancellationToken;
+use zinniahatch_base::prelude::*;
+
+/// Maximum number of headers of a request.
+const MAX_HEADERS: usize = 64;
+/// Size of a read, in bytes.
+const READ_BYTES: usize = 16 << 10;
+
+/// Behaviour of a replica.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub enum ReplicaBehaviour {
+    /// It works.
+    #[default]
+    Serve,
+    /// It refuses every request because it is full.
+    Shed,
+    /// It runs every request and responds with a failure.
+    Fail,
+    /// It runs every request and closes the connection without a response.
+    LoseAnswer,
+    /// It cuts off each stream inside an event, after this many complete ones.
+    BreakAfter(u32),
+    /// It accepts requests and never responds.
+    Mute,
+}
+
+/// What a replica observed.
+#[derive(Clone, Debug, Default)]
+pub struct ReplicaObservations {
+    /// Number of runs of each attempt.
+    pub runs: BTreeMap<Box<str>, u32>,
+    /// The account for which each attempt was run, if the request named one.
+    pub accounts: BTreeMap<Box<str>, Box<str>>,
+    /// Number of requests that carried a caller's credential.
+    pub credentials: u32,
+    /// When it last started to run a request.
+    pub last_run: Option<Instant>,
+    /// Number of streams whose connection the other side closed before the end.
+    pub closed_early: u32,
+    /// Number of requests that were meant for another replica.
+    pub misdirected: u32,
+    /// The rate limits that it announced, and all requests that reached it.
+    pub limits: LimitRecord,
+    /// Its drain and backoff notices, and the callers' requests that reached it.
+    pub notices: NoticeRecord,
+}
+
+#[derive(Debug, Default)]
+struct FakeReplicaState {
+    behaviour: ReplicaBehaviour,
+    /// Whether its responses announce that it is leaving.
+    leaving: bool,
+    /// Name of an undocumented header in complete responses.
+    extra_header: Option<Box<str>>,
+    /// The value of `Retry-After` in refusals.
+    backoff: Option<Box<str>>,
+    observations: ReplicaObservations,
+}
+
+/// Length and pace of a stream.
+#[derive(Clone, Copy, Debug)]
+pub struct StreamShape {
+    /// Number of events.
+    pub events: u32,
+    /// Pause before each event.
+    pub pause: Duration,
+}
+
+/// A running replica; it stops when dropped.
+#[derive(Debug)]
+pub struct FakeReplica {
+    /// Its id, which a restarted replica may reuse.
+    pub id: Box<str>,
+    /// Start time, in Unix milliseconds.
+    pub started_ms: u64,
+    /// Where it listens.
+    pub address: SocketAddrV4,
+    state: Arc<Mutex<FakeReplicaState>>,
+    ended: CancellationToken,
+    task: JoinHandle<()>,
+}
+
+impl FakeReplica {
+    /// Starts a replica on a free port; it crashes when it runs a crashing request.
+    ///
+    /// # Panics
+    ///
+    /// Panics if no port is free.
+    pub async fn start(id: &str, shape: StreamShape, crashing: &CrashingRequests) -> Self {
+        let listener = TcpListener::bind("127.0.0.1:0")
+            .await
+            .expect("a port is free");
+        let Ok(SocketAddr::V4(address)) = listener.local_addr() else {
+            panic!("an IPv4 address was bound");
+        };
+        let state = Arc::new(Mutex::new(FakeReplicaState::default()));
+        let serving = ReplicaServer {
+            id: id.into(),
+            shape,
+            state: Arc::clone(&state),
+            crashing: crashing.clone(),
+            ended: CancellationToken::new(),
+        };
+        let ended = serving.ended.clone();
+        let task = tokio::spawn(async move {
+            let accept = async {
+                while let Ok((stream, _)) = listener.accept().await {
+                    let serving = serving.clone();
+                    let ended = serving.ended.clone();
+                    tokio::spawn(ended.run_until_cancelled_owned(serving.run(stream)));
+                }
+            };
+            serving.ended.run_until_cancelled(accept).await;
+        });
+        Self {
+            id: id.into(),
+            started_ms: unix_millis(),
+            address,
+            state,
+            ended,
+            task,
+        }
+    }
+
+    /// Crashes the replica: connections close in the middle of responses, new ones are refused.
+    pub fn crash(&self) {
+        self.ended.cancel();
+    }
+
+    /// Returns the token that is cancelled when it crashes.
+    pub fn ended(&self) -> &CancellationToken {
+        &self.ended
+    }
+
+    /// Switches its behaviour.
+    pub fn set_behaviour(&self, behaviour: ReplicaBehaviour) {
+        lock(&self.state).behaviour = behaviour;
+    }
+
+    /// Announces a rate limit in every response from now on, or none.
+    pub fn set_rate_limit(&self, rate: Option<RequestRate>) {
+        lock(&self.state)
+            .observations
+            .limits
+            .record_limit(rate, Instant::now());
+    }
+
+    /// Announces in every response from now on that it is leaving.
+    pub fn announce_leaving(&self) {
+        lock(&self.state).leaving = true;
+    }
+
+    /// Adds an undocumented header to complete responses.
+    pub fn add_header(&self, name: &str) {
+        lock(&self.state).extra_header = Some(name.into());
+    }
+
+    /// Asks for a backoff, in seconds, in every refusal from now on, or for none.
+    pub fn request_backoff(&self, backoff: Option<&str>) {
+        lock(&self.state).backoff = backoff.map(Box::from);
+    }
+
+    /// Returns what it observed so far.
+    pub fn observations(&self) -> ReplicaObservations {
+        lock(&self.state).observations.clone()
+    }
+
+    /// Returns its entry in the platform's store.
+    pub fn entry(&self, service: &str, zone: &str, state: &str) -> String {
+        self.entry_at(&self.address.to_string(), service, zone, state)
+    }
+
+    /// Returns its entry in the platform's store with another address, such as that of a relay.
+    pub fn entry_at(&self, address: &str, service: &str, zone: &str, state: &str) -> String {
+        serde_json::json!({"service": service, "address": address,
+            "zone": zone, "version": "v1", "slots": 8, "state": state, "cold_left_ms": 0,
+            "sequence": 1, "born": self.started_ms})
+        .to_string()
+    }
+}
+
+fn unix_millis() -> u64 {
+    let since = SystemTime::now().duration_since(UNIX_EPOCH);
+    since.map_or(0, |since| since.as_millis() as u64)
+}
+
+impl Drop for FakeReplica {
+    fn drop(&mut self) {
+        self.task.abort();
+    }
+}
+
+fn lock(state: &Mutex<FakeReplicaState>) -> MutexGuard<'_, FakeReplicaState> {
+    state.lock().unwrap_or_else(PoisonError::into_inner)
+}
+
+#[derive(Clone)]
+struct ReplicaServer {
+    id: Box<str>,
+    shape: StreamShape,
+    state: Arc<Mutex<FakeReplicaState>>,
+    crashing: CrashingRequests,
+    ended: CancellationToken,
+}
+
+/// A request as parsed by the replica.
+struct ReplicaRequest {
+    content: RequestContent,
+    attempt: Box<str>,
+    /// The client account named by the entry VM.
+    account: Option<Box<str>>,
+    expected: Option<Box<str>>,
+    last_event: u32,
+}
+
+impl ReplicaServer {
+    async fn run(self, mut stream: TcpStream) {
+        let mut buffer = Vec::new();
+        while let Some(request) = read_request(&mut stream, &mut buffer).await {
+            if !self.answer(&mut stream, &request).await {
+                return;
+            }
+        }
+    }
+
+    /// Responds to a request; returns whether the connection stays open.
+    async fn answer(&self, stream: &mut TcpStream, request: &ReplicaRequest) -> bool {
+        lock(&self.state)
+            .observations
+            .limits
+            .record_arrival(Instant::now());
+        if &*request.content.path == "/health" {
+            let head = format!(
+                "HTTP/1.1 200 OK\r\nX-Instance-Id: {}\r\n{}{}Content-Length: 0\r\n\r\n",
+                self.id,
+                self.limit_line(),
+                self.leaving_line("")
+            );
+            return stream.write_all(head.as_bytes()).await.is_ok();
+        }
+        let misdirected = request
+            .expected
+            .as_deref()
+            .is_some_and(|expected| expected != &*self.id);
+        if misdirected {
+            lock(&self.state).observations.misdirected += 1;
+            return self
+                .refuse(stream, request, "421 Misdirected Request")
+                .await;
+        }
+        let behaviour = {
+            let mut state = lock(&self.state);
+            let notices = &mut state.observations.notices;
+            notices.record_arrival(&request.attempt, Instant::now());
+            state.behaviour
+        };
+        if behaviour == ReplicaBehaviour::Shed {
+            return self
+                .refuse(stream, request, "503 Service Unavailable")
+                .await;
+        }
+        if behaviour == ReplicaBehaviour::Mute {
+            std::future::pending::<()>().await;
+        }
+        {
+            let mut state = lock(&self.state);
+            *state
+                .observations
+                .runs
+                .entry(request.attempt.clone())
+                .or_default() += 1;
+            state.observations.last_run = Some(Instant::now());
+            state.observations.credentials += u32::from(!request.content.caller.is_empty());
+            if let Some(account) = &request.account {
+                let accounts = &mut state.observations.accounts;
+                accounts.insert(request.attempt.clone(), account.clone());
+            }
+        }
+        if self.crashing.count_crash(&request.content) {
+            return self.crash_during(stream, request).await;
+        }
+        match behaviour {
+            ReplicaBehaviour::LoseAnswer => false,
+            ReplicaBehaviour::Fail => self.plain(stream, request, "500 Internal Error").await,
+            _ if request.content.path.contains("/stream/") => {
+                self.events(stream, request, behaviour).await
+            }
+            _ => self.plain(stream, request, "200 OK").await,
+        }
+    }
+
+    /// Returns the header line that announces the rate limit; empty if there is none.
+    fn limit_line(&self) -> String {
+        let rate = lock(&self.state).observations.limits.rate();
+        rate.map_or_else(String::new, |rate| format!("Server-Limit: {rate}\r\n"))
+    }
+
+    /// Returns the header line that announces that it is leaving; empty if it is not.
+    fn leaving_line(&self, attempt: &str) -> &'static str {
+        let mut state = lock(&self.state);
+        if !state.leaving {
+            return "";
+        }
+        let notices = &mut state.observations.notices;
+        notices.record_leaving(attempt, Instant::now());
+        "Server-Leaving: 1\r\n"
+    }
+
+    /// Returns the undocumented header line; empty if there is none.
+    fn extra_header_line(&self) -> String {
+        let name = lock(&self.state).extra_header.clone();
+        name.map_or_else(String::new, |name| format!("{name}: 1\r\n"))
+    }
+
+    /// Returns the header line that asks for a backoff; empty if it asks for none.
+    fn backoff_line(&self, attempt: &str) -> String {
+        let mut state = lock(&self.state);
+        let Some(backoff) = state.backoff.clone() else {
+            return String::new();
+        };
+        let duration = backoff.parse().ok();
+        if let Some(duration) =
+            duration.and_then(|seconds| Duration::try_from_secs_f64(seconds).ok())
+        {
+            let notices = &mut state.observations.notices;
+            notices.record_backoff(attempt, duration, Instant::now());
+        }
+        format!("Retry-After: {backoff}\r\n")
+    }
+
+    fn head(&self, request: &ReplicaRequest, status: &str) -> String {
+        format!(
+            "HTTP/1.1 {status}\r\nX-Attempt-Id: {}\r\nKeep-Alive: timeout=5\r\n{}{}",
+            request.attempt,
+            self.limit_line(),
+            self.leaving_line(&request.attempt)
+        )
+    }
+
+    async fn refuse(&self, stream: &mut TcpStream, request: &ReplicaRequest, status: &str) -> bool {
+        let backoff = if status.starts_with("503") {
+            self.backoff_line(&request.attempt)
+        } else {
+            String::new()
+        };
+        let text = format!(
+            "{}{backoff}X-Not-Executed: 1\r\nX-Instance-Id: {}\r\nContent-Length: 0\r\n\r\n",
+            self.head(request, status),
+            self.id
+        );
+        stream.write_all(text.as_bytes()).await.is_ok()
+    }
+
+    async fn plain(&self, stream: &mut TcpStream, request: &ReplicaRequest, status: &str) -> bool {
+        let body = format!("{}@{}", request.attempt, self.id);
+        let text = format!(
+            "{}X-Server-Seal: {}\r\nX-Server-Load: 1,0,8\r\n{}Content-Length: {}\r\n\r\n{body}",
+            self.head(request, status),
+            self.id,
+            self.extra_header_line(),
+            body.len()
+        );
+        stream.write_all(text.as_bytes()).await.is_ok()
+    }
+
+    /// Starts a stream and crashes in the middle of it, which breaks all other responses too.
+    async fn crash_during(&self, stream: &mut TcpStream, request: &ReplicaRequest) -> bool {
+        let head = format!(
+            "{}X-Server-Seal: {}\r\nTransfer-Encoding: chunked\r\n\r\n",
+            self.head(request, "200 OK"),
+            self.id
+        );
+        // The crash follows whether or not this succeeds.
+        let _ = stream.write_all(head.as_bytes()).await;
+        sleep(self.shape.pause).await;
+        self.ended.cancel();
+        false
+    }
+
+    async fn events(
+        &self,
+        stream: &mut TcpStream,
+        request: &ReplicaRequest,
+        behaviour: ReplicaBehaviour,
+    ) -> bool {
+        let head = format!(
+            "{}X-Server-Seal: {}\r\nContent-Type: text/event-stream\r\n\
+             Transfer-Encoding: chunked\r\n\r\n",
+            self.head(request, "200 OK"),
+            self.id
+        );
+        if stream.write_all(head.as_bytes()).await.is_err() {
+            return false;
+        }
+        for id in request.last_event + 1..=self.shape.events {
+            if !self.pause(stream).await {
+                lock(&self.state).observations.closed_early += 1;
+                return false;
+            }
+            let event = format!("id: {id}\ndata: {}\n\n", request.attempt);
+            if behaviour == ReplicaBehaviour::BreakAfter(id - request.last_event - 1) {
+                let torn = &event[..event.len() / 2];
+                let chunk = format!("{:x}\r\n{torn}\r\n", torn.len());
+                // The connection breaks next; whether these bytes arrive does not matter.
+                let _ = stream.write_all(chunk.as_bytes()).await;
+                return false;
+            }
+            let chunk = format!("{:x}\r\n{event}\r\n", event.len());
+            if stream.write_all(chunk.as_bytes()).await.is_err() {
+                lock(&self.state).observations.closed_early += 1;
+                return false;
+            }
+        }
+        stream.write_all(b"0\r\n\r\n").await.is_ok()
+    }
+
+    /// Waits before an event; returns `false` if the other side closed the connection meanwhile.
+    async fn pause(&self, stream: &mut TcpStream) -> bool {
+        let mut byte = [0_u8; 1];
+        tokio::select! {
+            () = sleep(self.shape.pause) => true,
+            read = stream.peek(&mut byte) => matches!(read, Ok(count) if count > 0),
+        }
+    }
+}
+
+async fn read_request(stream: &mut TcpStream, buffer: &mut Vec<u8>) -> Option<ReplicaRequest> {
+    loop {
+        if let Some((mut request, used, body)) = parse_request(buffer) {
+            while buffer.len() < used + body {
+                read_some(stream, buffer).await?;
+            }
+            request.content.body = buffer[used..used + body].to_vec();
+            buffer.drain(..used + body);
+            return Some(request);
+        }
+        read_some(stream, buffer).await?;
+    }
+}
+
+async fn read_some(stream: &mut TcpStream, buffer: &mut Vec<u8>) -> Option<()> {
+    let mut bytes = vec![0; READ_BYTES];
+    let count = stream
+        .read(&mut bytes)
+        .await
+        .ok()
+        .filter(|count| *count > 0)?;
+    buffer.extend_from_slice(&bytes[..count]);
+    Some(())
+}
+
+fn parse_request(buffer: &[u8]) -> Option<(ReplicaRequest, usize, usize)> {
+    let mut lines = [EMPTY_HEADER; MAX_HEADERS];
+    let mut parsed = httparse::Request::new(&mut lines);
+    let Ok(httparse::Status::Complete(used)) = parsed.parse(buffer) else {
+        return None;
+    };
+    let text = |name: &str| {
+        let mut headers = parsed.headers.iter();
+        let header = headers.find(|header| header.name.eq_ignore_ascii_case(name))?;
+        std::str::from_utf8(header.value).ok().map(Box::<str>::from)
+    };
+    let number = |name: &str| text(name).and_then(|value| value.parse::<u32>().ok());
+    let request = ReplicaRequest {
+        content: RequestContent {
+            path: parsed.path.unwrap_or_default().into(),
+            caller: text("authorization").unwrap_or_default(),
+            body: Vec::new(),
+        },
+        attempt: text("x-attempt-id").unwrap_or_default(),
+        account: text("x-tenant"),
+        expected: text("x-expect-instance"),
+        last_event: number("last-event-id").unwrap_or(0),
+    };
+    let body = number("content-length").unwrap_or(0) as usize;
+    Some((request, used, body))
+}
--- a/crates/zinniahatch_lab/src/stand/serve.rs
+++ b/crates/zinniahatch_lab/src/test_doubles/serve.rs
@@ -1,4 +1,4 @@
-//! Starting a stand-in's server on a port of the operating system's choice.
+//! HTTP server of a test double, on a port chosen by the operating system.
 
 use salvo::Listener;
 use salvo::Router;
@@ -6,19 +6,19 @@
 use salvo::conn::TcpListener;
 use tokio::task::JoinHandle;
 
-/// A running stand-in; it ends when this is dropped.
-pub struct StandServer {
-    /// Its address, `IP:port`.
+/// A running HTTP server; it stops when dropped.
+pub struct FakeServer {
+    /// Its address as `IP:port`.
     pub address: Box<str>,
     task: JoinHandle<()>,
 }
 
-impl StandServer {
+impl FakeServer {
     /// Serves a router on a free port of the loopback interface.
     ///
     /// # Panics
     ///
-    /// Where no port is free.
+    /// Panics if no port is free.
     pub async fn start(router: Router) -> Self {
         let acceptor = TcpListener::new("127.0.0.1:0")
             .try_bind()
@@ -34,18 +34,18 @@
         }
     }
 
-    /// Gives the address as a URL.
+    /// Returns the address as a URL.
     pub fn url(&self) -> String {
         format!("http://{}", self.address)
     }
 
-    /// Stops at once; open connections break.
+    /// Stops the server at once; open connections break.
     pub fn kill(&self) {
         self.task.abort();
     }
 }
 
-impl Drop for StandServer {
+impl Drop for FakeServer {
     fn drop(&mut self) {
         self.task.abort();
     }
