--- a/crates/zinniahatch_change/src/lib.rs
+++ b/crates/zinniahatch_change/src/lib.rs
@@ -1,10 +1,10 @@
 //! Changes of configuration: accepted once, or refused with nothing changed.
 
-mod desk;
+mod updater;
 
-pub use desk::ChangeAsk;
-pub use desk::ChangeDesk;
-pub use desk::ChangeError;
-pub use desk::ChangeVerdict;
-pub use desk::HEAD_KEY;
-pub use desk::part_key;
+pub use updater::ChangeError;
+pub use updater::ChangeOutcome;
+pub use updater::ChangeRequest;
+pub use updater::ConfigUpdater;
+pub use updater::HEAD_KEY;
+pub use updater::part_key;
--- a/crates/zinniahatch_change/src/desk.rs
+++ b/crates/zinniahatch_change/src/updater.rs
@@ -21,8 +21,8 @@
 /// How the note of a change names the preset in force, beside the names of parts.
 const PRESET_MARK: &str = "preset in force";
 /// Rounds of one change; each reads the head and tries one swap.
-const MOST_ROUNDS: u32 = 8;
-const ROUND_GAP: Duration = Duration::from_millis(120);
+const MAX_ATTEMPTS: u32 = 8;
+const RETRY_DELAY: Duration = Duration::from_millis(120);
 
 /// Gives the key under which a part is kept.
 pub fn part_key(hash: &str) -> String {
@@ -31,7 +31,7 @@
 
 /// One change asked for.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub struct ChangeAsk {
+pub struct ChangeRequest {
     /// Names the change; asking again with the same id never makes it twice.
     pub change: Box<str>,
     /// The revision that the change was made against.
@@ -49,7 +49,7 @@
 
 /// What became of a change.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum ChangeVerdict {
+pub enum ChangeOutcome {
     /// It is in force from this revision on.
     Accepted(Revision),
     /// It would be accepted.
@@ -73,16 +73,16 @@
 
 /// Makes changes through the store.
 #[derive(Clone, Debug)]
-pub struct ChangeDesk<S> {
+pub struct ConfigUpdater<S> {
     store: S,
 }
 
-struct ReadHead {
+struct StoredHead {
     head: ConfigHead,
     stored: u64,
 }
 
-impl<S: StoreClient> ChangeDesk<S> {
+impl<S: StoreClient> ConfigUpdater<S> {
     /// Makes a desk on a store.
     pub fn new(store: S) -> Self {
         Self { store }
@@ -100,73 +100,73 @@
     /// Nothing was changed when an error is given.
     pub async fn apply(
         &self,
-        ask: &ChangeAsk,
+        request: &ChangeRequest,
         operator: &str,
         local: impl Fn(&str) -> Option<Box<str>>,
-    ) -> Result<ChangeVerdict, ChangeError> {
-        let mut lost_at: Option<u64> = None;
-        let mut problem: Box<str> = "no answer".into();
-        for _ in 0..MOST_ROUNDS {
+    ) -> Result<ChangeOutcome, ChangeError> {
+        let mut unconfirmed_at: Option<u64> = None;
+        let mut last_error: Box<str> = "no answer".into();
+        for _ in 0..MAX_ATTEMPTS {
             let read = match self.read_head().await {
                 Ok(read) => read,
                 Err(error) => {
-                    problem = error.to_string().into();
-                    sleep(ROUND_GAP).await;
+                    last_error = error.to_string().into();
+                    sleep(RETRY_DELAY).await;
                     continue;
                 }
             };
-            if let Some(revision) = read.head.revision_of(&ask.change) {
-                return Ok(ChangeVerdict::Accepted(revision));
+            if let Some(revision) = read.head.revision_of(&request.change) {
+                return Ok(ChangeOutcome::Accepted(revision));
             }
-            if lost_at.is_some_and(|stored| stored != read.stored) {
+            if unconfirmed_at.is_some_and(|stored| stored != read.stored) {
                 // The head moved on without the change: its swap can no longer take effect.
-                lost_at = None;
+                unconfirmed_at = None;
             }
-            if conflicts(&read.head, ask) {
-                if lost_at.is_some() {
+            if conflicts(&read.head, request) {
+                if unconfirmed_at.is_some() {
                     break;
                 }
-                return Ok(ChangeVerdict::Conflict(read.head.revision));
+                return Ok(ChangeOutcome::Conflict(read.head.revision));
             }
-            let (head, fresh) = match self.build(&read.head, ask, operator, &local).await {
+            let (head, new_parts) = match self.build(&read.head, request, operator, &local).await {
                 Ok(built) => built,
                 Err(ChangeError::StoreDown(text)) => {
-                    problem = text;
-                    sleep(ROUND_GAP).await;
+                    last_error = text;
+                    sleep(RETRY_DELAY).await;
                     continue;
                 }
                 Err(error) => return Err(error),
             };
-            if ask.check {
-                return Ok(ChangeVerdict::Checked);
+            if request.check {
+                return Ok(ChangeOutcome::Checked);
             }
-            match self.swap(&head, &fresh, read.stored).await {
-                Ok(PutOutcome::Done(_)) => return Ok(ChangeVerdict::Accepted(head.revision)),
+            match self.swap(&head, &new_parts, read.stored).await {
+                Ok(PutOutcome::Done(_)) => return Ok(ChangeOutcome::Accepted(head.revision)),
                 Ok(PutOutcome::Conflict) => {}
-                Err(StoreError::Unavailable(text)) => problem = text,
+                Err(StoreError::Unavailable(text)) => last_error = text,
                 Err(StoreError::ResponseLost(text)) => {
-                    lost_at = Some(read.stored);
-                    problem = text;
+                    unconfirmed_at = Some(read.stored);
+                    last_error = text;
                 }
             }
-            sleep(ROUND_GAP).await;
+            sleep(RETRY_DELAY).await;
         }
-        if lost_at.is_some() {
-            return Ok(ChangeVerdict::Unknown);
+        if unconfirmed_at.is_some() {
+            return Ok(ChangeOutcome::Unknown);
         }
-        Err(ChangeError::StoreDown(problem))
+        Err(ChangeError::StoreDown(last_error))
     }
 
-    async fn read_head(&self) -> Result<ReadHead, StoreError> {
+    async fn read_head(&self) -> Result<StoredHead, StoreError> {
         let Some(value) = self.store.get(HEAD_KEY).await? else {
-            return Ok(ReadHead {
+            return Ok(StoredHead {
                 head: ConfigHead::default(),
                 stored: 0,
             });
         };
         let head = serde_json::from_str(&value.value)
             .map_err(|error| StoreError::Unavailable(error.to_string().into()))?;
-        Ok(ReadHead {
+        Ok(StoredHead {
             head,
             stored: value.revision,
         })
@@ -176,24 +176,24 @@
     async fn build(
         &self,
         base: &ConfigHead,
-        ask: &ChangeAsk,
+        request: &ChangeRequest,
         operator: &str,
         local: &impl Fn(&str) -> Option<Box<str>>,
     ) -> Result<(ConfigHead, PartTexts), ChangeError> {
         let mut texts = self.read_parts(base, local).await?;
-        let mut what: Vec<&str> = ask.parts.keys().map(|name| &**name).collect();
-        if ask.preset.is_some() {
+        let mut what: Vec<&str> = request.parts.keys().map(|name| &**name).collect();
+        if request.preset.is_some() {
             what.push(PRESET_MARK);
         }
         let at = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .map_or(0, |age| age.as_secs());
-        let mut head = base.next(&ask.change, operator, at, &what.join(","));
-        let mut fresh = PartTexts::new();
-        for (name, text) in &ask.parts {
+        let mut head = base.next(&request.change, operator, at, &what.join(","));
+        let mut new_parts = PartTexts::new();
+        for (name, text) in &request.parts {
             if let Some(text) = text {
                 let hash = digest_text(text);
-                fresh.insert(hash.clone(), text.clone());
+                new_parts.insert(hash.clone(), text.clone());
                 head.parts.insert(name.clone(), hash);
                 texts.insert(name.clone(), text.clone());
             } else {
@@ -201,11 +201,11 @@
                 texts.remove(name);
             }
         }
-        if let Some(preset) = &ask.preset {
+        if let Some(preset) = &request.preset {
             head.preset.clone_from(preset);
         }
         ClusterConfig::build(&head, &texts)?;
-        Ok((head, fresh))
+        Ok((head, new_parts))
     }
 
     async fn read_parts(
@@ -238,10 +238,10 @@
     async fn swap(
         &self,
         head: &ConfigHead,
-        fresh: &PartTexts,
+        new_parts: &PartTexts,
         stored: u64,
     ) -> Result<PutOutcome, StoreError> {
-        for (hash, text) in fresh {
+        for (hash, text) in new_parts {
             // A lost answer here is no doubt about the change: the head is not swapped yet.
             self.store
                 .put(&part_key(hash), text, None, None)
@@ -255,23 +255,23 @@
 }
 
 /// Says whether a change since the expected revision touched a part that this one touches.
-fn conflicts(head: &ConfigHead, ask: &ChangeAsk) -> bool {
-    if head.revision == ask.expect_revision {
+fn conflicts(head: &ConfigHead, request: &ChangeRequest) -> bool {
+    if head.revision == request.expect_revision {
         return false;
     }
-    let since: Vec<_> = head
+    let later: Vec<_> = head
         .changes
         .iter()
-        .filter(|note| note.revision > ask.expect_revision)
+        .filter(|record| record.revision > request.expect_revision)
         .collect();
-    let known = head.revision > ask.expect_revision
-        && since.len() as u64 == head.revision - ask.expect_revision;
+    let known = head.revision > request.expect_revision
+        && later.len() as u64 == head.revision - request.expect_revision;
     if !known {
         return true;
     }
-    since.iter().any(|note| {
-        note.what.split(',').any(|name| {
-            ask.parts.contains_key(name) || (name == PRESET_MARK && ask.preset.is_some())
+    later.iter().any(|record| {
+        record.what.split(',').any(|name| {
+            request.parts.contains_key(name) || (name == PRESET_MARK && request.preset.is_some())
         })
     })
 }
--- a/crates/zinniahatch_change/tests/races.rs
+++ b/crates/zinniahatch_change/tests/races.rs
@@ -6,10 +6,10 @@
 use std::sync::Mutex;
 use std::time::Duration;
 use test_case::test_case;
-use zinniahatch_change::ChangeAsk;
-use zinniahatch_change::ChangeDesk;
 use zinniahatch_change::ChangeError;
-use zinniahatch_change::ChangeVerdict;
+use zinniahatch_change::ChangeOutcome;
+use zinniahatch_change::ChangeRequest;
+use zinniahatch_change::ConfigUpdater;
 use zinniahatch_change::HEAD_KEY;
 use zinniahatch_config::ConfigHead;
 use zinniahatch_platform::PutOutcome;
@@ -135,8 +135,8 @@
     format!("[preset]\ntitle = {title}\n[weights]\ncost = 1\ntail = 1\n[classes]\nstandard = 1\n[work]\ninteractive = 0.5\n[away]\nallowed = yes\n[waits]\nwait_limit = 60s\n[budgets]\nretry = 0.1\nhedge = 0\n").into()
 }
 
-fn ask(change: &str, expect_revision: u64, part: &str) -> ChangeAsk {
-    ChangeAsk {
+fn ask(change: &str, expect_revision: u64, part: &str) -> ChangeRequest {
+    ChangeRequest {
         change: change.into(),
         expect_revision,
         preset: (expect_revision == 0).then(|| "a".into()),
@@ -145,12 +145,12 @@
     }
 }
 
-async fn started(store: &FakeStore) -> ChangeDesk<FakeStore> {
-    let desk = ChangeDesk::new(store.clone());
+async fn started(store: &FakeStore) -> ConfigUpdater<FakeStore> {
+    let desk = ConfigUpdater::new(store.clone());
     let verdict = desk
         .apply(&ask("first", 0, "preset-a"), "test", |_| None)
         .await;
-    assert_eq!(verdict, Ok(ChangeVerdict::Accepted(1)));
+    assert_eq!(verdict, Ok(ChangeOutcome::Accepted(1)));
     desk
 }
 
@@ -168,7 +168,7 @@
     let verdict = desk
         .apply(&ask("second", 1, "preset-a"), "test", |_| None)
         .await;
-    assert_eq!(verdict, Ok(ChangeVerdict::Accepted(2)));
+    assert_eq!(verdict, Ok(ChangeOutcome::Accepted(2)));
     assert_eq!(
         store.with(|data| data.history.len()),
         2,
@@ -193,10 +193,10 @@
     ];
     let accepted = verdicts
         .iter()
-        .filter(|verdict| **verdict == ChangeVerdict::Accepted(2))
+        .filter(|verdict| **verdict == ChangeOutcome::Accepted(2))
         .count();
     assert_eq!(
-        (accepted, verdicts.contains(&ChangeVerdict::Conflict(2))),
+        (accepted, verdicts.contains(&ChangeOutcome::Conflict(2))),
         (1, true),
         "{verdicts:?}"
     );
@@ -208,11 +208,11 @@
     let desk = started(&store).await;
     assert_eq!(
         desk.apply(&ask("one", 1, "preset-b"), "x", |_| None).await,
-        Ok(ChangeVerdict::Accepted(2))
+        Ok(ChangeOutcome::Accepted(2))
     );
     assert_eq!(
         desk.apply(&ask("two", 1, "preset-c"), "y", |_| None).await,
-        Ok(ChangeVerdict::Accepted(3))
+        Ok(ChangeOutcome::Accepted(3))
     );
 }
 
@@ -249,11 +249,11 @@
     });
     let verdict = desk.apply(&asked, "x", |_| None).await;
     breaker.await.expect("the breaker ends");
-    assert_eq!(verdict, Ok(ChangeVerdict::Unknown));
+    assert_eq!(verdict, Ok(ChangeOutcome::Unknown));
     store.with(|data| data.down = false);
     assert_eq!(
         desk.apply(&asked, "x", |_| None).await,
-        Ok(ChangeVerdict::Accepted(2))
+        Ok(ChangeOutcome::Accepted(2))
     );
 }
 
@@ -306,7 +306,7 @@
                 store.with(|data| data.fates = changes.iter().flat_map(|change| change.fates.iter().map(|fate| fate_of(*fate))).collect());
                 let mut tasks = Vec::new();
                 for (index, change) in changes.iter().enumerate() {
-                    let desk = ChangeDesk::new(store.clone());
+                    let desk = ConfigUpdater::new(store.clone());
                     let name = format!("c{round}-{index}");
                     let asked = ask(&name, revision.saturating_sub(u64::from(change.behind)).max(1), &format!("preset-{}", change.part));
                     tasks.push(tokio::spawn(async move { (name, desk.apply(&asked, "x", |_| None).await) }));
@@ -322,10 +322,10 @@
             for (name, verdict) in verdicts {
                 let made: Vec<u64> = history.iter().filter(|head| head.changes.last().is_some_and(|note| *note.change == *name)).map(|head| head.revision).collect();
                 match verdict {
-                    Ok(ChangeVerdict::Accepted(revision)) => prop_assert_eq!(made, vec![revision]),
-                    Ok(ChangeVerdict::Conflict(_)) | Err(_) => prop_assert!(made.is_empty(), "{} was refused and is in force", name),
-                    Ok(ChangeVerdict::Unknown) => prop_assert!(made.len() <= 1),
-                    Ok(ChangeVerdict::Checked) => prop_assert!(false, "nothing was only checked"),
+                    Ok(ChangeOutcome::Accepted(revision)) => prop_assert_eq!(made, vec![revision]),
+                    Ok(ChangeOutcome::Conflict(_)) | Err(_) => prop_assert!(made.is_empty(), "{} was refused and is in force", name),
+                    Ok(ChangeOutcome::Unknown) => prop_assert!(made.len() <= 1),
+                    Ok(ChangeOutcome::Checked) => prop_assert!(false, "nothing was only checked"),
                 }
             }
             Ok(())
--- a/crates/zinniahatch_ctl/src/commands.rs
+++ b/crates/zinniahatch_ctl/src/commands.rs
@@ -24,10 +24,10 @@
 use serde_json::json;
 use zinniahatch_base::digest_text;
 use zinniahatch_base::prelude::*;
-use zinniahatch_change::ChangeAsk;
-use zinniahatch_change::ChangeDesk;
 use zinniahatch_change::ChangeError;
-use zinniahatch_change::ChangeVerdict;
+use zinniahatch_change::ChangeOutcome;
+use zinniahatch_change::ChangeRequest;
+use zinniahatch_change::ConfigUpdater;
 use zinniahatch_platform::KvClient;
 
 /// Runs a command and gives what to print.
@@ -126,7 +126,7 @@
             current.revision
         ));
     }
-    let ask = ChangeAsk {
+    let ask = ChangeRequest {
         change: args.change.clone().map_or_else(new_change, Box::from),
         expect_revision: args.expect_revision.unwrap_or(current.revision),
         preset: None,
@@ -139,7 +139,7 @@
 async fn run_bootstrap(args: &BootstrapArgs) -> Result<String, CtlError> {
     let parts = read_parts(&args.folder)?;
     check_parts(&parts, Some(&args.preset))?;
-    let ask = ChangeAsk {
+    let ask = ChangeRequest {
         change: new_change(),
         expect_revision: 0,
         preset: Some(args.preset.as_str().into()),
@@ -149,14 +149,14 @@
             .collect(),
         check: false,
     };
-    let desk = ChangeDesk::new(KvClient::new(&args.store));
+    let desk = ConfigUpdater::new(KvClient::new(&args.store));
     match desk.apply(&ask, "bootstrap", |_| None).await {
-        Ok(ChangeVerdict::Accepted(revision)) => Ok(accepted(Some(revision))),
-        Ok(ChangeVerdict::Checked) => Ok(accepted(None)),
-        Ok(ChangeVerdict::Conflict(revision)) => Err(CtlError::Conflict(format!(
+        Ok(ChangeOutcome::Accepted(revision)) => Ok(accepted(Some(revision))),
+        Ok(ChangeOutcome::Checked) => Ok(accepted(None)),
+        Ok(ChangeOutcome::Conflict(revision)) => Err(CtlError::Conflict(format!(
             "the store holds revision {revision} already; use config apply"
         ))),
-        Ok(ChangeVerdict::Unknown) => Err(CtlError::Unknown(
+        Ok(ChangeOutcome::Unknown) => Err(CtlError::Unknown(
             "the store's answer was lost; run the command again".to_owned(),
         )),
         Err(ChangeError::Invalid(error)) => Err(CtlError::Config(error)),
@@ -194,7 +194,7 @@
             .map(ToString::to_string)
             .ok_or_else(|| CtlError::Refused(format!("no preset `{}`", show.name))),
         PresetCommand::Switch(switch) => {
-            let ask = ChangeAsk {
+            let ask = ChangeRequest {
                 change: switch.change.map_or_else(new_change, Box::from),
                 expect_revision: switch.expect_revision.unwrap_or(current.revision),
                 preset: Some(switch.name.into()),
--- a/crates/zinniahatch_daemon/src/counts.rs
+++ b/crates/zinniahatch_daemon/src/counts.rs
@@ -55,7 +55,7 @@
         }
         for (shard, incarnation, numbers) in output.merged {
             if incarnation == core.identity.incarnation {
-                core.book().merged(shard, &numbers, Instant::now());
+                core.counts().merged(shard, &numbers, Instant::now());
             }
         }
         for (node, incarnation) in output.returns {
@@ -88,7 +88,7 @@
     let again = core.settings.merge_interval * AGAIN_INTERVALS;
     let due = {
         let control = core.control();
-        let mut book = core.book();
+        let mut book = core.counts();
         book.seal(epoch_minute());
         book.due(now, again, |shard| control.duty_owner(now, &duty(shard)))
     };
@@ -115,7 +115,7 @@
 
 /// Shows how far the own sheets are.
 fn note_states(core: &GatewayCore) {
-    let states = core.book().states();
+    let states = core.counts().states();
     let counts = [
         ("unsent", states.unsent),
         ("sent", states.sent),
--- a/crates/zinniahatch_daemon/src/pump.rs
+++ b/crates/zinniahatch_daemon/src/pump.rs
@@ -36,9 +36,9 @@
         };
         if now_revision != revision {
             revision = now_revision;
-            core.note_adopted(epoch_millis());
+            core.set_adopted_ms(epoch_millis());
         }
-        core.hand_out(decisions);
+        core.deliver_placements(decisions);
         for parcel in &output.parcels {
             transport.send(&core, parcel);
         }
--- a/crates/zinniahatch_daemon/src/stop.rs
+++ b/crates/zinniahatch_daemon/src/stop.rs
@@ -27,19 +27,19 @@
     core.wake.notify_one();
     directory::withdraw(core).await;
     sleep(LEAVE_GRACE).await;
-    core.refuse_new();
-    let finished = wait_for(core.settings.stop_timeout, || core.active() == 0).await;
+    core.start_draining();
+    let finished = wait_for(core.settings.stop_timeout, || core.in_flight() == 0).await;
     if !finished {
         warn!(
             "{} requests are cut off, because the stop timeout has passed",
-            core.active()
+            core.in_flight()
         );
     }
     hand_over(core).await;
     desk.set_closing();
     seal_and_send(core, desk);
     merge_round(core, desk).await;
-    if !wait_for(COUNT_TIME, || core.book().is_settled()).await {
+    if !wait_for(COUNT_TIME, || core.counts().is_settled()).await {
         warn!("the last counts are not in the store; their merger holds a copy");
     }
     sleep(FAREWELL).await;
@@ -63,7 +63,7 @@
     };
     heirs.sort_by_key(|(name, _)| std::cmp::Reverse(rendezvous_rank("keys", name)));
     for (name, http) in heirs {
-        if core.hand_over(&http).await {
+        if core.hand_over_keys(&http).await {
             info!("{name} took over the keys and answers");
             return;
         }
--- a/crates/zinniahatch_daemon/src/transport.rs
+++ b/crates/zinniahatch_daemon/src/transport.rs
@@ -62,7 +62,7 @@
             .frame_bytes
             .with_label_values(&["out"])
             .inc_by(bytes.len() as u64);
-        if !self.command(core.reach(&parcel.to), PeerCommand::Send(bytes)) {
+        if !self.command(core.translate_address(&parcel.to), PeerCommand::Send(bytes)) {
             let dropped = &core.counters.messages_dropped;
             dropped.with_label_values(&["queue-full"]).inc();
         }
@@ -71,7 +71,7 @@
     /// Opens a new connection to a peer that has been silent.
     pub(crate) fn redial(&mut self, core: &GatewayCore, peer: &str) {
         core.counters.redials.inc();
-        self.command(core.reach(peer), PeerCommand::Redial);
+        self.command(core.translate_address(peer), PeerCommand::Redial);
     }
 
     /// Gives a command to the sender of a peer; says whether it had room.
--- a/crates/zinniahatch_daemon/src/watch.rs
+++ b/crates/zinniahatch_daemon/src/watch.rs
@@ -67,7 +67,7 @@
         match result {
             Ok(Some(value)) => {
                 seen = value.revision;
-                core.take_head(&value).await;
+                core.apply_head(&value).await;
             }
             Ok(None) => {}
             Err(_) => {
--- a/crates/zinniahatch_gateway/src/account_change.rs
+++ b/crates/zinniahatch_gateway/src/account_change.rs
@@ -6,7 +6,7 @@
 
 /// The account as it shall be.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub(crate) struct AccountAsk {
+pub(crate) struct AccountChange {
     pub(crate) change: Box<str>,
     pub(crate) expect_revision: Revision,
     pub(crate) account: AccountId,
@@ -24,32 +24,32 @@
 }
 
 /// Gives the text of a shard with the account as asked.
-pub(crate) fn rewrite_shard(text: &str, ask: &AccountAsk) -> String {
+pub(crate) fn rewrite_shard(text: &str, change: &AccountChange) -> String {
     let mut kept = String::new();
     for section in sections(text) {
-        let own_account = section.starts_with(&format!("[account {}]", ask.account));
-        let own_caller = is_caller_of(section, &ask.account);
-        let renamed = ask
+        let own_account = section.starts_with(&format!("[account {}]", change.account));
+        let own_caller = is_caller_of(section, &change.account);
+        let renamed = change
             .callers
             .keys()
             .any(|caller| section.starts_with(&format!("[caller {caller}]")));
-        if own_account || (own_caller && (ask.remove || renamed)) {
+        if own_account || (own_caller && (change.remove || renamed)) {
             continue;
         }
         kept.push_str(section.trim_end());
         kept.push('\n');
     }
-    if ask.remove {
+    if change.remove {
         return kept;
     }
     kept.push_str(&format!(
         "[account {}]\nhome = {}\nclass = {}\nteam = {}\nin_progress_limit = {}\n",
-        ask.account, ask.home, ask.class, ask.team, ask.in_progress_limit
+        change.account, change.home, change.class, change.team, change.in_progress_limit
     ));
-    for (caller, digest) in &ask.callers {
+    for (caller, digest) in &change.callers {
         kept.push_str(&format!(
             "[caller {caller}]\naccount = {}\nkey_digest = {digest}\n",
-            ask.account
+            change.account
         ));
     }
     kept
--- a/crates/zinniahatch_gateway/src/admin.rs
+++ b/crates/zinniahatch_gateway/src/admin.rs
@@ -1,7 +1,7 @@
 //! Handlers for operators and managers.
 
-use crate::BriefStatus;
 use crate::GatewayCore;
+use crate::NodeStatus;
 use crate::admin_change::change_account;
 use crate::admin_change::change_config;
 use crate::core::epoch_seconds;
@@ -64,7 +64,7 @@
 
 #[derive(Serialize)]
 struct StatusBody {
-    brief: BriefStatus,
+    brief: NodeStatus,
     pools: Vec<PoolBody>,
     remotes: BTreeMap<DataCentreId, u64>,
     lease_lapses: u64,
@@ -105,7 +105,7 @@
 }
 
 fn status(core: &GatewayCore) -> StatusBody {
-    let brief = core.brief();
+    let brief = core.node_status();
     let control = core.control();
     let now = Instant::now();
     let pools = control
@@ -144,7 +144,7 @@
 }
 
 /// Asks every node that this one knows, in all data centres.
-async fn cluster(core: &GatewayCore) -> Vec<BriefStatus> {
+async fn cluster(core: &GatewayCore) -> Vec<NodeStatus> {
     let mut addresses: BTreeSet<Box<str>> = BTreeSet::new();
     {
         let control = core.control();
@@ -159,7 +159,7 @@
         }
     }
     addresses.insert(core.identity.http.clone());
-    let asked = addresses.iter().map(|http| core.ask_brief(http));
+    let asked = addresses.iter().map(|http| core.fetch_node_status(http));
     join_all(asked).await.into_iter().flatten().collect()
 }
 
--- a/crates/zinniahatch_gateway/src/admin_change.rs
+++ b/crates/zinniahatch_gateway/src/admin_change.rs
@@ -1,7 +1,7 @@
 //! Operators' changes: rights, the change itself, its verdict.
 
 use crate::GatewayCore;
-use crate::account_change::AccountAsk;
+use crate::account_change::AccountChange;
 use crate::account_change::rewrite_shard;
 use crate::admin::fail;
 use crate::respond::write_json;
@@ -11,18 +11,18 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use zinniahatch_base::prelude::*;
-use zinniahatch_change::ChangeAsk;
 use zinniahatch_change::ChangeError;
-use zinniahatch_change::ChangeVerdict;
+use zinniahatch_change::ChangeOutcome;
+use zinniahatch_change::ChangeRequest;
 use zinniahatch_config::OperatorEntry;
 use zinniahatch_config::OperatorRole;
 use zinniahatch_config::account_shard;
 
 /// Bytes of one change; the store holds values up to a megabyte.
-const CHANGE_LIMIT: usize = 8 << 20;
+const MAX_CHANGE_BYTES: usize = 8 << 20;
 
 #[derive(Serialize)]
-struct VerdictBody {
+struct ChangeResponse {
     verdict: &'static str,
     #[serde(skip_serializing_if = "Option::is_none")]
     revision: Option<Revision>,
@@ -36,16 +36,16 @@
     request: &mut Request,
     response: &mut Response,
 ) {
-    let Some(ask) = read_ask::<ChangeAsk>(request, response).await else {
+    let Some(change) = read_json::<ChangeRequest>(request, response).await else {
         return;
     };
-    let only_preset = ask.parts.is_empty() && ask.preset.is_some();
+    let only_preset = change.parts.is_empty() && change.preset.is_some();
     let needed = if only_preset {
         OperatorRole::Switch
     } else {
         OperatorRole::All
     };
-    if operator.role < needed && !ask.check {
+    if operator.role < needed && !change.check {
         core.counters
             .changes
             .with_label_values(&["forbidden"])
@@ -60,7 +60,7 @@
             ),
         );
     }
-    apply(core, operator, &ask, response).await;
+    apply(core, operator, &change, response).await;
 }
 
 pub(crate) async fn change_account(
@@ -69,26 +69,26 @@
     request: &mut Request,
     response: &mut Response,
 ) {
-    let Some(ask) = read_ask::<AccountAsk>(request, response).await else {
+    let Some(account_change) = read_json::<AccountChange>(request, response).await else {
         return;
     };
     let (before, text, shard) = {
         let control = core.control();
-        let shard = account_shard(&ask.account);
+        let shard = account_shard(&account_change.account);
         let text = control.ledger().texts().remove(&shard).unwrap_or_default();
         (
             control
                 .config()
                 .accounts
                 .accounts
-                .get(&ask.account)
+                .get(&account_change.account)
                 .cloned(),
             text,
             shard,
         )
     };
     let own_team = operator.team.is_empty()
-        || (ask.team == operator.team
+        || (account_change.team == operator.team
             && before.is_none_or(|account| account.team == operator.team));
     if operator.role < OperatorRole::Accounts || !own_team {
         core.counters
@@ -101,10 +101,10 @@
             "the role or the team does not suffice for this account",
         );
     }
-    let part: Box<str> = rewrite_shard(&text, &ask).into();
-    let change = ChangeAsk {
-        change: ask.change,
-        expect_revision: ask.expect_revision,
+    let part: Box<str> = rewrite_shard(&text, &account_change).into();
+    let change = ChangeRequest {
+        change: account_change.change,
+        expect_revision: account_change.expect_revision,
         preset: None,
         parts: BTreeMap::from([(shard, Some(part))]),
         check: false,
@@ -115,31 +115,31 @@
 async fn apply(
     core: &GatewayCore,
     operator: &OperatorEntry,
-    ask: &ChangeAsk,
+    change: &ChangeRequest,
     response: &mut Response,
 ) {
     let local = |hash: &str| core.control().ledger().part(hash).map(Box::from);
-    let result = core.changes.apply(ask, &operator.operator, local).await;
+    let result = core.changes.apply(change, &operator.operator, local).await;
     let (status, body) = match result {
-        Ok(ChangeVerdict::Accepted(revision)) => (
+        Ok(ChangeOutcome::Accepted(revision)) => (
             StatusCode::OK,
-            VerdictBody {
+            ChangeResponse {
                 verdict: "accepted",
                 revision: Some(revision),
                 error: None,
             },
         ),
-        Ok(ChangeVerdict::Checked) => (
+        Ok(ChangeOutcome::Checked) => (
             StatusCode::OK,
-            VerdictBody {
+            ChangeResponse {
                 verdict: "checked",
                 revision: None,
                 error: None,
             },
         ),
-        Ok(ChangeVerdict::Conflict(revision)) => (
+        Ok(ChangeOutcome::Conflict(revision)) => (
             StatusCode::CONFLICT,
-            VerdictBody {
+            ChangeResponse {
                 verdict: "conflict",
                 revision: Some(revision),
                 error: Some(
@@ -147,9 +147,9 @@
                 ),
             },
         ),
-        Ok(ChangeVerdict::Unknown) => (
+        Ok(ChangeOutcome::Unknown) => (
             StatusCode::GATEWAY_TIMEOUT,
-            VerdictBody {
+            ChangeResponse {
                 verdict: "unknown",
                 revision: None,
                 error: Some(
@@ -159,7 +159,7 @@
         ),
         Err(ChangeError::Invalid(error)) => (
             StatusCode::UNPROCESSABLE_ENTITY,
-            VerdictBody {
+            ChangeResponse {
                 verdict: "invalid",
                 revision: None,
                 error: Some(error.to_string()),
@@ -167,7 +167,7 @@
         ),
         Err(ChangeError::StoreDown(error)) => (
             StatusCode::SERVICE_UNAVAILABLE,
-            VerdictBody {
+            ChangeResponse {
                 verdict: "store-down",
                 revision: None,
                 error: Some(format!("nothing was changed: {error}")),
@@ -178,7 +178,7 @@
         .changes
         .with_label_values(&[body.verdict])
         .inc();
-    if matches!(status, StatusCode::OK) && !ask.check {
+    if matches!(status, StatusCode::OK) && !change.check {
         // The operator's next command goes to this node and must see the change.
         core.read_head().await;
     }
@@ -186,11 +186,11 @@
     write_json(response, &body);
 }
 
-async fn read_ask<T: DeserializeOwned>(
+async fn read_json<T: DeserializeOwned>(
     request: &mut Request,
     response: &mut Response,
 ) -> Option<T> {
-    let body = match request.payload_with_max_size(CHANGE_LIMIT).await {
+    let body = match request.payload_with_max_size(MAX_CHANGE_BYTES).await {
         Ok(body) => body.clone(),
         Err(error) => {
             fail(response, StatusCode::PAYLOAD_TOO_LARGE, &error.to_string());
@@ -198,7 +198,7 @@
         }
     };
     match serde_json::from_slice(&body) {
-        Ok(ask) => Some(ask),
+        Ok(parsed) => Some(parsed),
         Err(error) => {
             fail(
                 response,
--- a/crates/zinniahatch_gateway/src/admit.rs
+++ b/crates/zinniahatch_gateway/src/admit.rs
@@ -1,10 +1,10 @@
 //! First stage: from headers alone, who calls which service, and whether it may be served here.
 
 use crate::GatewayCore;
-use crate::core::ActiveGuard;
-use crate::counting::CountGuard;
+use crate::core::InFlightGuard;
 use crate::headers;
-use crate::refusal::CallRefusal;
+use crate::refusal::Refusal;
+use crate::request_count::CountGuard;
 use salvo::http::HeaderMap;
 use salvo::http::Method;
 use std::sync::Arc;
@@ -19,7 +19,7 @@
 use zinniahatch_protocol::EntryAddress;
 
 /// What is read of a request before its body.
-pub(crate) struct CallHead {
+pub(crate) struct RequestHead {
     pub(crate) method: Method,
     pub(crate) service: ServiceId,
     pub(crate) path: Box<str>,
@@ -29,26 +29,26 @@
 
 /// Who calls.
 #[derive(Clone, Debug)]
-pub(crate) struct KnownCaller {
+pub(crate) struct CallerIdentity {
     pub(crate) account: AccountId,
     pub(crate) caller: CallerId,
     pub(crate) entry: AccountEntry,
 }
 
 /// A request that may be served here; only [`admit`] and the checks of forwarded requests make one.
-pub(crate) struct AdmittedCall {
+pub(crate) struct AdmittedRequest {
     pub(crate) id: RequestId,
     pub(crate) config: Arc<ClusterConfig>,
-    pub(crate) head: CallHead,
+    pub(crate) head: RequestHead,
     pub(crate) service: ServiceEntry,
-    pub(crate) who: KnownCaller,
+    pub(crate) who: CallerIdentity,
     pub(crate) work: WorkKind,
-    pub(crate) once: bool,
+    pub(crate) at_most_once: bool,
     pub(crate) scope: AskScope,
     pub(crate) guest: bool,
     pub(crate) deadline: Instant,
     pub(crate) count: CountGuard,
-    pub(crate) active: ActiveGuard,
+    pub(crate) in_flight: InFlightGuard,
 }
 
 /// Judges a caller's request by its headers.
@@ -56,55 +56,55 @@
 /// A bound request that came to another region is refused before a byte of its body is read.
 pub(crate) fn admit(
     core: &Arc<GatewayCore>,
-    head: CallHead,
-) -> Result<AdmittedCall, Box<CallRefusal>> {
+    head: RequestHead,
+) -> Result<AdmittedRequest, Box<Refusal>> {
     let config = serving_config(core)?;
     let who = find_caller(&config, &head.headers)
         .inspect_err(|refusal| core.counters.count_result(refusal.code))?;
     let id = core.request_id();
     let mut count = CountGuard::new(core, &config, &who, &head.service, head.arrived);
-    match judge(core, &config, &head, &who) {
-        Ok((service, active)) => {
-            let once = service.is_once(head.method.as_str())
+    match check_head(core, &config, &head, &who) {
+        Ok((service, in_flight)) => {
+            let at_most_once = service.is_once(head.method.as_str())
                 || headers::text(&head.headers, headers::REPEAT) == Some("once");
             let scope = if is_bound(&service, &head) {
                 AskScope::Region
             } else {
                 AskScope::Anywhere
             };
-            let work = narrowed_work(&service, &head.headers);
-            let deadline = head.arrived + narrowed_deadline(&service, &head.headers);
-            Ok(AdmittedCall {
+            let work = effective_work(&service, &head.headers);
+            let deadline = head.arrived + effective_deadline(&service, &head.headers);
+            Ok(AdmittedRequest {
                 id,
                 config,
                 head,
                 service,
                 who,
                 work,
-                once,
+                at_most_once,
                 scope,
                 guest: false,
                 deadline,
                 count,
-                active,
+                in_flight,
             })
         }
         Err(refusal) => {
-            count.settle(refusal.code);
+            count.record_result(refusal.code);
             Err(refusal)
         }
     }
 }
 
 /// Gives the configuration if this node serves.
-pub(crate) fn serving_config(core: &GatewayCore) -> Result<Arc<ClusterConfig>, Box<CallRefusal>> {
+pub(crate) fn serving_config(core: &GatewayCore) -> Result<Arc<ClusterConfig>, Box<Refusal>> {
     let control = core.control();
     if control.is_ready() {
         return Ok(control.config());
     }
     drop(control);
     core.counters.count_result(ResultCode::NodeStarting);
-    Err(Box::new(CallRefusal::retry_after(
+    Err(Box::new(Refusal::retry_after(
         ResultCode::NodeStarting,
         Duration::from_secs(1),
     )))
@@ -114,8 +114,8 @@
 pub(crate) fn find_caller(
     config: &ClusterConfig,
     headers: &HeaderMap,
-) -> Result<KnownCaller, Box<CallRefusal>> {
-    let unknown = || Box::new(CallRefusal::new(ResultCode::BadCredential));
+) -> Result<CallerIdentity, Box<Refusal>> {
+    let unknown = || Box::new(Refusal::new(ResultCode::BadCredential));
     let token = headers::bearer(headers).ok_or_else(unknown)?;
     let caller = config
         .accounts
@@ -127,7 +127,7 @@
         .accounts
         .get(&caller.account)
         .ok_or_else(unknown)?;
-    Ok(KnownCaller {
+    Ok(CallerIdentity {
         account: caller.account.clone(),
         caller: caller.caller.clone(),
         entry: entry.clone(),
@@ -158,42 +158,42 @@
     entries
 }
 
-fn judge(
+fn check_head(
     core: &Arc<GatewayCore>,
     config: &ClusterConfig,
-    head: &CallHead,
-    who: &KnownCaller,
-) -> Result<(ServiceEntry, ActiveGuard), Box<CallRefusal>> {
+    head: &RequestHead,
+    who: &CallerIdentity,
+) -> Result<(ServiceEntry, InFlightGuard), Box<Refusal>> {
     let Some(service) = config.services.get(&head.service) else {
-        return Err(Box::new(CallRefusal::new(ResultCode::UnknownService)));
+        return Err(Box::new(Refusal::new(ResultCode::UnknownService)));
     };
     if is_bound(service, head) && who.entry.home != core.identity.region {
-        let mut refusal = CallRefusal::new(ResultCode::BoundElsewhere);
+        let mut refusal = Refusal::new(ResultCode::BoundElsewhere);
         refusal.entries = region_entries(core, config, &who.entry.home);
         return Err(Box::new(refusal));
     }
     let declared: Option<u64> =
         headers::text(&head.headers, "content-length").and_then(|text| text.parse().ok());
     if declared.is_some_and(|length| length > service.body_limit) {
-        return Err(Box::new(CallRefusal::new(ResultCode::BodyTooLarge)));
+        return Err(Box::new(Refusal::new(ResultCode::BodyTooLarge)));
     }
-    let Some(active) = core.enter(&who.account, who.entry.in_progress_limit) else {
-        return Err(Box::new(CallRefusal::retry_after(
+    let Some(in_flight) = core.try_begin(&who.account, who.entry.in_progress_limit) else {
+        return Err(Box::new(Refusal::retry_after(
             ResultCode::OverRate,
             Duration::from_secs(1),
         )));
     };
-    Ok((service.clone(), active))
+    Ok((service.clone(), in_flight))
 }
 
 /// A header may bind a request that the service leaves free, and not the other way round.
-fn is_bound(service: &ServiceEntry, head: &CallHead) -> bool {
+fn is_bound(service: &ServiceEntry, head: &RequestHead) -> bool {
     service.is_bound(head.method.as_str())
         || headers::text(&head.headers, headers::BINDING) == Some(BindingRule::Home.as_str())
 }
 
 /// A header may make interactive work long, and not the other way round.
-fn narrowed_work(service: &ServiceEntry, headers: &HeaderMap) -> WorkKind {
+fn effective_work(service: &ServiceEntry, headers: &HeaderMap) -> WorkKind {
     match service.work {
         WorkKind::Long => WorkKind::Long,
         WorkKind::Interactive => headers::text(headers, headers::WORK)
@@ -203,7 +203,7 @@
 }
 
 /// A header may bring the deadline nearer, and not farther.
-fn narrowed_deadline(service: &ServiceEntry, headers: &HeaderMap) -> Duration {
+fn effective_deadline(service: &ServiceEntry, headers: &HeaderMap) -> Duration {
     headers::text(headers, headers::DEADLINE)
         .and_then(|text| text.parse().ok())
         .map_or(service.deadline, |millis| {
--- a/crates/zinniahatch_gateway/src/body.rs
+++ b/crates/zinniahatch_gateway/src/body.rs
@@ -1,7 +1,7 @@
 //! The body: read within its limit and its time, and looked at for routing.
 
-use crate::admit::AdmittedCall;
-use crate::refusal::CallRefusal;
+use crate::admit::AdmittedRequest;
+use crate::refusal::Refusal;
 use bytes::Bytes;
 use futures_util::StreamExt;
 use salvo::Request;
@@ -15,14 +15,14 @@
 /// Bytes of the first message that make the prefix by which caches are sought.
 const PREFIX_BYTES: usize = 512;
 /// Bytes of a refused request's body that are thrown away, and the time for it.
-const DISCARD_BYTES: usize = 2 << 20;
-const DISCARD_TIME: Duration = Duration::from_secs(1);
+const MAX_DISCARD_BYTES: usize = 2 << 20;
+const DISCARD_TIMEOUT: Duration = Duration::from_secs(1);
 /// Bytes that one token takes on average, for the estimate of a prompt.
 const BYTES_PER_TOKEN: u64 = 4;
 
 /// What routing needs to know of a body.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct BodyView {
+pub(crate) struct BodyInfo {
     pub(crate) stream: bool,
     pub(crate) prefix: Option<ShortTag>,
     pub(crate) prompt: u64,
@@ -47,18 +47,18 @@
     request: &mut Request,
     limit: u64,
     time: Duration,
-) -> Result<Bytes, Box<CallRefusal>> {
+) -> Result<Bytes, Box<Refusal>> {
     let size = usize::try_from(limit).unwrap_or(usize::MAX);
     match timeout(time, request.payload_with_max_size(size)).await {
         Ok(Ok(bytes)) => Ok(bytes.clone()),
         Ok(Err(ParseError::PayloadTooLarge)) => {
-            Err(Box::new(CallRefusal::new(ResultCode::BodyTooLarge)))
+            Err(Box::new(Refusal::new(ResultCode::BodyTooLarge)))
         }
-        Ok(Err(error)) => Err(Box::new(CallRefusal::detail(
+        Ok(Err(error)) => Err(Box::new(Refusal::detail(
             ResultCode::BadRequest,
             &format!("the body cannot be read: {error}"),
         ))),
-        Err(_) => Err(Box::new(CallRefusal::new(ResultCode::BodyTooSlow))),
+        Err(_) => Err(Box::new(Refusal::new(ResultCode::BodyTooSlow))),
     }
 }
 
@@ -69,31 +69,34 @@
 pub(crate) async fn discard_body(request: &mut Request) {
     let mut body = request.take_body();
     let discard = async {
-        let mut left = DISCARD_BYTES;
+        let mut remaining = MAX_DISCARD_BYTES;
         while let Some(Ok(frame)) = body.next().await {
             let size = frame.data_ref().map_or(0, Bytes::len);
-            if size >= left {
+            if size >= remaining {
                 return;
             }
-            left -= size;
+            remaining -= size;
         }
     };
-    let _ = timeout(DISCARD_TIME, discard).await;
+    let _ = timeout(DISCARD_TIMEOUT, discard).await;
 }
 
 /// Looks at a body for routing; a model request that is not chat JSON is refused here.
-pub(crate) fn view_body(call: &AdmittedCall, body: &Bytes) -> Result<BodyView, Box<CallRefusal>> {
-    if call.service.kind == ServiceKind::Plain {
-        return Ok(BodyView::default());
+pub(crate) fn inspect_body(
+    admitted: &AdmittedRequest,
+    body: &Bytes,
+) -> Result<BodyInfo, Box<Refusal>> {
+    if admitted.service.kind == ServiceKind::Plain {
+        return Ok(BodyInfo::default());
     }
     let chat: ChatBody<'_> = serde_json::from_slice(body).map_err(|error| {
-        Box::new(CallRefusal::detail(
+        Box::new(Refusal::detail(
             ResultCode::BadRequest,
             &format!("the body is not a chat request: {error}"),
         ))
     })?;
     let Some(first) = chat.messages.first() else {
-        return Err(Box::new(CallRefusal::detail(
+        return Err(Box::new(Refusal::detail(
             ResultCode::BadRequest,
             "`messages` is empty",
         )));
@@ -105,7 +108,7 @@
         .iter()
         .map(|message| message.content.len() as u64)
         .sum();
-    Ok(BodyView {
+    Ok(BodyInfo {
         stream: chat.stream.unwrap_or(false),
         prefix: Some(tag_of(&String::from_utf8_lossy(prefix))),
         prompt: size / BYTES_PER_TOKEN + 1,
--- a/crates/zinniahatch_gateway/src/budget.rs
+++ b/crates/zinniahatch_gateway/src/budget.rs
@@ -1,7 +1,7 @@
 //! Budgets of retries and hedges, as a share of requests.
 
 /// Tokens that a quiet time saves up, so that a few failures are always retried.
-const SAVED_TOKENS: f64 = 10.0;
+const MAX_SAVED_TOKENS: f64 = 10.0;
 
 /// One budget.
 ///
@@ -15,7 +15,7 @@
 impl Default for SendBudget {
     fn default() -> Self {
         Self {
-            tokens: SAVED_TOKENS,
+            tokens: MAX_SAVED_TOKENS,
         }
     }
 }
@@ -23,7 +23,7 @@
 impl SendBudget {
     /// Notes a request, which earns its share.
     pub(crate) fn earn(&mut self, share: f64) {
-        self.tokens = (self.tokens + share).min(SAVED_TOKENS);
+        self.tokens = (self.tokens + share).min(MAX_SAVED_TOKENS);
     }
 
     /// Takes a token if there is one.
--- a/crates/zinniahatch_gateway/src/caller.rs
+++ b/crates/zinniahatch_gateway/src/caller.rs
@@ -1,31 +1,31 @@
 //! Handlers for callers.
 
 use crate::GatewayCore;
-use crate::admit::AdmittedCall;
-use crate::admit::CallHead;
+use crate::admit::AdmittedRequest;
+use crate::admit::RequestHead;
 use crate::admit::admit;
 use crate::admit::find_caller;
 use crate::admit::region_entries;
 use crate::admit::serving_config;
-use crate::answer::KeptAnswer;
 use crate::body::discard_body;
+use crate::body::inspect_body;
 use crate::body::read_body;
-use crate::body::view_body;
-use crate::core::ActiveGuard;
-use crate::counting::CountGuard;
-use crate::dispatch::RunCall;
+use crate::core::InFlightGuard;
+use crate::dispatch::OutboundRequest;
 use crate::engine_stream::EngineStream;
 use crate::headers;
-use crate::keyed::run_owned;
-use crate::keyed::settle_claim;
-use crate::owner::OwnerAnswer;
-use crate::owner::pass_to_owner;
-use crate::refusal::CallRefusal;
+use crate::idempotency::claim_result;
+use crate::idempotency::run_as_owner;
+use crate::key_owner::OwnerResponse;
+use crate::key_owner::forward_to_owner;
+use crate::refusal::Refusal;
+use crate::request_count::CountGuard;
 use crate::respond::collect_stream;
-use crate::respond::write_answer;
 use crate::respond::write_json;
 use crate::respond::write_refusal;
+use crate::respond::write_response;
 use crate::respond::write_stream;
+use crate::response::CachedResponse;
 use crate::run::run_plain;
 use bytes::Bytes;
 use salvo::Request;
@@ -39,21 +39,21 @@
 use zinniahatch_control::MintedKey;
 
 /// Most keys handed out at once.
-const MOST_KEYS: usize = 256;
+const MAX_KEYS: usize = 256;
 
 /// What becomes of a caller's request.
-pub(crate) enum CallReply {
-    Whole(Arc<KeptAnswer>),
-    Stream(Box<EngineStream>, Bytes, Option<CountGuard>, ActiveGuard),
-    Passed(OwnerAnswer),
-    Refused(RequestId, Box<CallRefusal>),
+pub(crate) enum Reply {
+    Complete(Arc<CachedResponse>),
+    Stream(Box<EngineStream>, Bytes, Option<CountGuard>, InFlightGuard),
+    FromOwner(OwnerResponse),
+    Refused(RequestId, Box<Refusal>),
 }
 
 /// Serves requests for services.
-pub(crate) struct CallHandler(pub(crate) Arc<GatewayCore>);
+pub(crate) struct ServiceHandler(pub(crate) Arc<GatewayCore>);
 
 #[handler]
-impl CallHandler {
+impl ServiceHandler {
     async fn handle(&self, request: &mut Request, response: &mut Response) {
         let reply = serve(&self.0, request).await;
         write_reply(&self.0, response, reply);
@@ -105,7 +105,7 @@
                 });
             }
         }
-        let count = request.query::<usize>("keys").unwrap_or(0).min(MOST_KEYS);
+        let count = request.query::<usize>("keys").unwrap_or(0).min(MAX_KEYS);
         write_json(
             response,
             &EntriesBody {
@@ -135,7 +135,7 @@
                 let count = request
                     .query::<usize>("count")
                     .unwrap_or(1)
-                    .clamp(1, MOST_KEYS);
+                    .clamp(1, MAX_KEYS);
                 write_json(
                     response,
                     &KeysBody {
@@ -162,17 +162,17 @@
                 Err(refusal) => return write_refusal(response, core, &name, &refusal),
             };
         match collect(core, &who.account, &name, request).await {
-            Collected::Kept(answer) => write_answer(response, &answer),
-            Collected::Passed(answer) => answer.write(response),
-            Collected::Refused(refusal) => write_refusal(response, core, &name, &refusal),
+            CollectResult::Cached(answer) => write_response(response, &answer),
+            CollectResult::FromOwner(answer) => answer.write(response),
+            CollectResult::Refused(refusal) => write_refusal(response, core, &name, &refusal),
         }
     }
 }
 
-enum Collected {
-    Kept(Arc<KeptAnswer>),
-    Passed(OwnerAnswer),
-    Refused(Box<CallRefusal>),
+enum CollectResult {
+    Cached(Arc<CachedResponse>),
+    FromOwner(OwnerResponse),
+    Refused(Box<Refusal>),
 }
 
 async fn collect(
@@ -180,58 +180,58 @@
     account: &str,
     name: &str,
     request: &Request,
-) -> Collected {
-    if let Some(answer) = core.shelf().find(Instant::now(), account, name) {
-        return Collected::Kept(answer);
+) -> CollectResult {
+    if let Some(answer) = core.response_cache().find(Instant::now(), account, name) {
+        return CollectResult::Cached(answer);
     }
-    let forgotten = || Box::new(CallRefusal::new(ResultCode::AnswerForgotten));
+    let forgotten = || Box::new(Refusal::new(ResultCode::AnswerForgotten));
     let Some(key) = MintedKey::parse(name) else {
-        return Collected::Refused(forgotten());
+        return CollectResult::Refused(forgotten());
     };
     if core.keys().owns(&key) {
         let claim = core.keys().collect(&key, account);
-        return match settle_claim(claim) {
-            Some(Ok(answer)) => Collected::Kept(answer),
-            Some(Err(refusal)) => Collected::Refused(refusal),
-            None => Collected::Refused(forgotten()),
+        return match claim_result(claim) {
+            Some(Ok(answer)) => CollectResult::Cached(answer),
+            Some(Err(refusal)) => CollectResult::Refused(refusal),
+            None => CollectResult::Refused(forgotten()),
         };
     }
     // One hop: a collection that was passed on already is not passed again.
     if request.headers().contains_key(headers::KEYED) {
-        return Collected::Refused(Box::new(CallRefusal::new(ResultCode::KeyOwnerGone)));
+        return CollectResult::Refused(Box::new(Refusal::new(ResultCode::KeyOwnerGone)));
     }
-    let Some(address) = crate::owner::owner_address(core, &key) else {
-        return Collected::Refused(Box::new(CallRefusal::new(ResultCode::KeyOwnerGone)));
+    let Some(address) = crate::key_owner::key_owner_address(core, &key) else {
+        return CollectResult::Refused(Box::new(Refusal::new(ResultCode::KeyOwnerGone)));
     };
     let token = headers::bearer(request.headers()).unwrap_or_default();
     match crate::peer::fetch_answer(core, &address, name, token).await {
-        Some(answer) => Collected::Passed(answer),
-        None => Collected::Refused(Box::new(CallRefusal::new(ResultCode::KeyOwnerGone))),
+        Some(answer) => CollectResult::FromOwner(answer),
+        None => CollectResult::Refused(Box::new(Refusal::new(ResultCode::KeyOwnerGone))),
     }
 }
 
-pub(crate) fn write_reply(core: &Arc<GatewayCore>, response: &mut Response, reply: CallReply) {
+pub(crate) fn write_reply(core: &Arc<GatewayCore>, response: &mut Response, reply: Reply) {
     match reply {
-        CallReply::Whole(answer) => write_answer(response, &answer),
-        CallReply::Stream(stream, first, count, active) => {
-            write_stream(response, *stream, first, count, active);
+        Reply::Complete(answer) => write_response(response, &answer),
+        Reply::Stream(stream, first, count, in_flight) => {
+            write_stream(response, *stream, first, count, in_flight);
         }
-        CallReply::Passed(answer) => answer.write(response),
-        CallReply::Refused(request, refusal) => write_refusal(response, core, &request, &refusal),
+        Reply::FromOwner(answer) => answer.write(response),
+        Reply::Refused(request, refusal) => write_refusal(response, core, &request, &refusal),
     }
 }
 
-async fn serve(core: &Arc<GatewayCore>, request: &mut Request) -> CallReply {
+async fn serve(core: &Arc<GatewayCore>, request: &mut Request) -> Reply {
     let head = read_head(request);
     let mut admitted = match admit(core, head) {
         Ok(admitted) => admitted,
         Err(refusal) => {
             discard_body(request).await;
-            return CallReply::Refused(core.request_id(), refusal);
+            return Reply::Refused(core.request_id(), refusal);
         }
     };
-    if core.refuses_new() {
-        let mut refusal = CallRefusal::new(ResultCode::NodeLeaving);
+    if core.is_draining() {
+        let mut refusal = Refusal::new(ResultCode::NodeLeaving);
         refusal.entries = core.control().entries(Instant::now());
         discard_body(request).await;
         return refuse(&mut admitted, Box::new(refusal));
@@ -259,34 +259,34 @@
 /// Serves a request whose body is read.
 pub(crate) async fn serve_body(
     core: &Arc<GatewayCore>,
-    mut admitted: AdmittedCall,
+    mut admitted: AdmittedRequest,
     body: Bytes,
     key: Option<MintedKey>,
-) -> CallReply {
-    let view = match view_body(&admitted, &body) {
-        Ok(view) => view,
+) -> Reply {
+    let info = match inspect_body(&admitted, &body) {
+        Ok(info) => info,
         Err(refusal) => return refuse(&mut admitted, refusal),
     };
-    let body = if admitted.service.kind == zinniahatch_config::ServiceKind::Engine && !view.stream {
+    let body = if admitted.service.kind == zinniahatch_config::ServiceKind::Engine && !info.stream {
         with_stream(body)
     } else {
         body
     };
-    let AdmittedCall {
+    let AdmittedRequest {
         id,
         config,
         head,
         service,
         who,
         work,
-        once,
+        at_most_once,
         scope,
         guest,
         deadline,
         count,
-        active,
+        in_flight,
     } = admitted;
-    let call = RunCall {
+    let outbound = OutboundRequest {
         id,
         config,
         service_name: head.service,
@@ -297,77 +297,77 @@
         key: headers::text(&head.headers, headers::KEY).map(Box::from),
         headers: head.headers,
         body,
-        once,
+        at_most_once,
         work,
         scope,
         guest,
         deadline,
-        prefix: view.prefix,
-        prompt: view.prompt,
+        prefix: info.prefix,
+        prompt: info.prompt,
         resume: 0,
         sent: AtomicBool::new(false),
     };
     match key {
-        Some(key) => serve_keyed(core, call, key, count, active).await,
-        None if call.is_engine() && view.stream => {
-            serve_stream(core, Arc::new(call), Some(count), active).await
+        Some(key) => serve_keyed(core, outbound, key, count, in_flight).await,
+        None if outbound.is_engine() && info.stream => {
+            serve_stream(core, Arc::new(outbound), Some(count), in_flight).await
         }
-        None => serve_whole(core, Arc::new(call), count, active).await,
+        None => serve_whole(core, Arc::new(outbound), count, in_flight).await,
     }
 }
 
 /// Serves a model request as a stream.
 pub(crate) async fn serve_stream(
     core: &Arc<GatewayCore>,
-    call: Arc<RunCall>,
+    outbound: Arc<OutboundRequest>,
     mut count: Option<CountGuard>,
-    active: ActiveGuard,
-) -> CallReply {
-    let id = call.id.clone();
+    in_flight: InFlightGuard,
+) -> Reply {
+    let id = outbound.id.clone();
     let begun = async {
-        let mut stream = EngineStream::open(core, call).await?;
+        let mut stream = EngineStream::open(core, outbound).await?;
         let first = stream.next().await?.unwrap_or_default();
-        Ok::<_, Box<CallRefusal>>((stream, first))
+        Ok::<_, Box<Refusal>>((stream, first))
     };
     match begun.await {
-        Ok((stream, first)) => CallReply::Stream(Box::new(stream), first, count, active),
+        Ok((stream, first)) => Reply::Stream(Box::new(stream), first, count, in_flight),
         Err(refusal) => {
             if let Some(count) = &mut count {
-                count.settle(refusal.code);
+                count.record_result(refusal.code);
             }
-            CallReply::Refused(id, refusal)
+            Reply::Refused(id, refusal)
         }
     }
 }
 
 async fn serve_whole(
     core: &Arc<GatewayCore>,
-    call: Arc<RunCall>,
+    outbound: Arc<OutboundRequest>,
     mut count: CountGuard,
-    active: ActiveGuard,
-) -> CallReply {
-    let result = if call.is_engine() {
-        collect_stream(core, Arc::clone(&call)).await
+    in_flight: InFlightGuard,
+) -> Reply {
+    let result = if outbound.is_engine() {
+        collect_stream(core, Arc::clone(&outbound)).await
     } else {
-        run_plain(core, &call).await
+        run_plain(core, &outbound).await
     };
-    drop(active);
+    drop(in_flight);
     match result {
         Ok(answer) => {
             let answer = Arc::new(answer);
-            settle_answer(&mut count, &answer);
-            let until = Instant::now() + call.service.retention;
-            core.shelf().put(
-                call.id.clone(),
-                call.who.account.clone(),
+            record_response(&mut count, &answer);
+            let until = Instant::now() + outbound.service.retention;
+            core.response_cache().put(
+                outbound.id.clone(),
+                outbound.who.account.clone(),
                 until,
                 Arc::clone(&answer),
             );
-            CallReply::Whole(answer)
+            Reply::Complete(answer)
         }
         Err(refusal) => {
-            count.settle(refusal.code);
-            CallReply::Refused(call.id.clone(), refusal)
+            count.record_result(refusal.code);
+            Reply::Refused(outbound.id.clone(), refusal)
         }
     }
 }
@@ -375,50 +375,50 @@
 /// Serves a request with a key: here if the key is owned here, else by one hop to its owner.
 async fn serve_keyed(
     core: &Arc<GatewayCore>,
-    call: RunCall,
+    outbound: OutboundRequest,
     key: MintedKey,
     mut count: CountGuard,
-    active: ActiveGuard,
-) -> CallReply {
-    let id = call.id.clone();
+    in_flight: InFlightGuard,
+) -> Reply {
+    let id = outbound.id.clone();
     if !core.keys().owns(&key) {
-        let result = pass_to_owner(core, &call, &key).await;
-        drop(active);
+        let result = forward_to_owner(core, &outbound, &key).await;
+        drop(in_flight);
         return match result {
             Ok(answer) => {
-                answer.settle(&mut count, call.is_engine());
-                CallReply::Passed(answer)
+                answer.record_result(&mut count, outbound.is_engine());
+                Reply::FromOwner(answer)
             }
             Err(refusal) => {
-                count.settle(refusal.code);
-                CallReply::Refused(id, refusal)
+                count.record_result(refusal.code);
+                Reply::Refused(id, refusal)
             }
         };
     }
-    let result = run_owned(core, call, key).await;
-    drop(active);
+    let result = run_as_owner(core, outbound, key).await;
+    drop(in_flight);
     match result {
         Ok(answer) => {
-            settle_answer(&mut count, &answer);
-            CallReply::Whole(answer)
+            record_response(&mut count, &answer);
+            Reply::Complete(answer)
         }
         Err(refusal) => {
-            count.settle(refusal.code);
-            CallReply::Refused(id, refusal)
+            count.record_result(refusal.code);
+            Reply::Refused(id, refusal)
         }
     }
 }
 
-fn settle_answer(count: &mut CountGuard, answer: &KeptAnswer) {
-    count.mark_first();
+fn record_response(count: &mut CountGuard, answer: &CachedResponse) {
+    count.mark_first_byte();
     if answer.code != ResultCode::AnsweredEarlier {
-        count.note_usage(answer.usage);
+        count.set_usage(answer.usage);
     }
-    count.note_served(&answer.served);
-    count.settle(answer.code);
+    count.set_served_region(&answer.served);
+    count.record_result(answer.code);
 }
 
-fn read_head(request: &Request) -> CallHead {
+fn read_head(request: &Request) -> RequestHead {
     let service = request
         .param::<String>("service")
         .or_else(|| headers::text(request.headers(), headers::SERVICE).map(str::to_owned))
@@ -431,7 +431,7 @@
         Some(query) => format!("{path}?{query}"),
         None => path,
     };
-    CallHead {
+    RequestHead {
         method: request.method().clone(),
         service: service.into(),
         path: path.into(),
@@ -443,19 +443,19 @@
 /// Finds the key of a request that needs one.
 fn find_key(
     core: &Arc<GatewayCore>,
-    admitted: &AdmittedCall,
-) -> Result<Option<MintedKey>, Box<CallRefusal>> {
-    if !admitted.once {
+    admitted: &AdmittedRequest,
+) -> Result<Option<MintedKey>, Box<Refusal>> {
+    if !admitted.at_most_once {
         return Ok(None);
     }
     let Some(text) = headers::text(&admitted.head.headers, headers::KEY) else {
-        let mut refusal = CallRefusal::new(ResultCode::KeyMissing);
+        let mut refusal = Refusal::new(ResultCode::KeyMissing);
         refusal.key = mint(core, &admitted.who.account, 1).pop();
         return Err(Box::new(refusal));
     };
     match MintedKey::parse(text) {
         Some(key) => Ok(Some(key)),
-        None => Err(Box::new(CallRefusal::new(ResultCode::KeyForeign))),
+        None => Err(Box::new(Refusal::new(ResultCode::KeyForeign))),
     }
 }
 
@@ -466,9 +466,9 @@
     (0..count).map(|_| keys.mint(now, account)).collect()
 }
 
-fn refuse(admitted: &mut AdmittedCall, refusal: Box<CallRefusal>) -> CallReply {
-    admitted.count.settle(refusal.code);
-    CallReply::Refused(admitted.id.clone(), refusal)
+fn refuse(admitted: &mut AdmittedRequest, refusal: Box<Refusal>) -> Reply {
+    admitted.count.record_result(refusal.code);
+    Reply::Refused(admitted.id.clone(), refusal)
 }
 
 /// Asks the engine for a stream; the answer is put together here, which shows where it stalls.
--- a/crates/zinniahatch_gateway/src/follow.rs
+++ b/crates/zinniahatch_gateway/src/config_sync.rs
@@ -18,14 +18,14 @@
         let result = self.changes.store().get(HEAD_KEY).await;
         self.note_store("head read", &result);
         match result {
-            Ok(Some(value)) => self.take_head(&value).await,
+            Ok(Some(value)) => self.apply_head(&value).await,
             Ok(None) => Some(Revision::MAX),
             Err(_) => None,
         }
     }
 
     /// Takes a head and reads the parts that are missing; gives its revision.
-    pub async fn take_head(&self, value: &StoredValue) -> Option<Revision> {
+    pub async fn apply_head(&self, value: &StoredValue) -> Option<Revision> {
         let head: ConfigHead = match serde_json::from_str(&value.value) {
             Ok(head) => head,
             Err(error) => {
--- a/crates/zinniahatch_gateway/src/core.rs
+++ b/crates/zinniahatch_gateway/src/core.rs
@@ -1,11 +1,11 @@
 //! What all handlers of one node share.
 
 use crate::CounterSet;
-use crate::PeerProof;
+use crate::PeerAuth;
 use crate::budget::SendBudget;
-use crate::keyed::KeyShelf;
-use crate::placing::WaiterTable;
-use crate::shelf::AnswerShelf;
+use crate::idempotency::KeyTables;
+use crate::placement::WaiterTable;
+use crate::response_cache::ResponseCache;
 use reqwest::Client;
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -18,7 +18,7 @@
 use std::time::UNIX_EPOCH;
 use tokio::sync::Notify;
 use zinniahatch_base::prelude::*;
-use zinniahatch_change::ChangeDesk;
+use zinniahatch_change::ConfigUpdater;
 use zinniahatch_config::NodeSettings;
 use zinniahatch_control::ControlNode;
 use zinniahatch_control::NodeIdentity;
@@ -27,9 +27,9 @@
 use zinniahatch_report::CountBook;
 
 /// Time for a connection to a backend server or another node.
-const CONNECT_TIME: Duration = Duration::from_millis(800);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(800);
 /// Idle connections are closed before a middlebox would forget them.
-const IDLE_TIME: Duration = Duration::from_secs(15);
+const POOL_IDLE_TIMEOUT: Duration = Duration::from_secs(15);
 
 /// The parts from which a core is made.
 pub struct GatewayParts {
@@ -54,23 +54,23 @@
     /// Counters.
     pub counters: CounterSet,
     /// Changes of configuration.
-    pub changes: ChangeDesk<KvClient>,
+    pub changes: ConfigUpdater<KvClient>,
     /// Engines beside the request path.
     pub engine: HttpEngine,
-    pub(crate) proof: PeerProof,
+    pub(crate) proof: PeerAuth,
     pub(crate) client: Client,
-    pub(crate) once_client: Client,
+    pub(crate) unpooled_client: Client,
     pub(crate) waiters: WaiterTable,
     control: Mutex<ControlNode>,
-    book: Mutex<CountBook>,
-    keys: Mutex<KeyShelf>,
-    shelf: Mutex<AnswerShelf>,
+    counts: Mutex<CountBook>,
+    keys: Mutex<KeyTables>,
+    response_cache: Mutex<ResponseCache>,
     retry_budget: Mutex<SendBudget>,
     hedge_budget: Mutex<SendBudget>,
-    account_running: Mutex<BTreeMap<AccountId, u32>>,
+    in_flight_by_account: Mutex<BTreeMap<AccountId, u32>>,
     next_number: AtomicU64,
-    active: AtomicU64,
-    refusing: AtomicBool,
+    in_flight: AtomicU64,
+    draining: AtomicBool,
     adopted_ms: AtomicU64,
 }
 
@@ -82,29 +82,29 @@
         Arc::new(Self {
             wake: Notify::new(),
             counters: CounterSet::new(&identity.node, &identity.data_centre),
-            changes: ChangeDesk::new(parts.store),
+            changes: ConfigUpdater::new(parts.store),
             engine: HttpEngine::new(),
-            proof: PeerProof::new(&settings.secret),
+            proof: PeerAuth::new(&settings.secret),
             client: build_client(usize::MAX),
             // A call that may not be repeated gets a connection of its own: one from a pool may
             // have gone silent, and nothing could be sent again to find out.
-            once_client: build_client(0),
+            unpooled_client: build_client(0),
             waiters: WaiterTable::default(),
             control: Mutex::new(parts.control),
-            book: Mutex::new(CountBook::default()),
-            keys: Mutex::new(KeyShelf::new(
+            counts: Mutex::new(CountBook::default()),
+            keys: Mutex::new(KeyTables::new(
                 &identity,
                 parts.key_secret,
                 now,
                 settings.answer_memory,
             )),
-            shelf: Mutex::new(AnswerShelf::new(settings.answer_memory)),
+            response_cache: Mutex::new(ResponseCache::new(settings.answer_memory)),
             retry_budget: Mutex::default(),
             hedge_budget: Mutex::default(),
-            account_running: Mutex::default(),
+            in_flight_by_account: Mutex::default(),
             next_number: AtomicU64::new(1),
-            active: AtomicU64::new(0),
-            refusing: AtomicBool::new(false),
+            in_flight: AtomicU64::new(0),
+            draining: AtomicBool::new(false),
             adopted_ms: AtomicU64::new(0),
             identity,
             settings,
@@ -117,17 +117,17 @@
     }
 
     /// Locks the counts.
-    pub fn book(&self) -> MutexGuard<'_, CountBook> {
-        lock(&self.book)
+    pub fn counts(&self) -> MutexGuard<'_, CountBook> {
+        lock(&self.counts)
     }
 
     /// Gives how many requests are in progress.
-    pub fn active(&self) -> u64 {
-        self.active.load(Ordering::SeqCst)
+    pub fn in_flight(&self) -> u64 {
+        self.in_flight.load(Ordering::SeqCst)
     }
 
     /// Gives the address at which another node is reached from here.
-    pub fn reach<'a>(&'a self, address: &'a str) -> &'a str {
+    pub fn translate_address<'a>(&'a self, address: &'a str) -> &'a str {
         self.settings
             .translate
             .get(address)
@@ -135,17 +135,17 @@
     }
 
     /// Refuses new requests from now on; what runs goes on.
-    pub fn refuse_new(&self) {
-        self.refusing.store(true, Ordering::SeqCst);
+    pub fn start_draining(&self) {
+        self.draining.store(true, Ordering::SeqCst);
     }
 
     /// Says whether new requests are refused.
-    pub fn refuses_new(&self) -> bool {
-        self.refusing.load(Ordering::SeqCst)
+    pub fn is_draining(&self) -> bool {
+        self.draining.load(Ordering::SeqCst)
     }
 
     /// Notes when the revision in force came into force here, in milliseconds since the epoch.
-    pub fn note_adopted(&self, millis: u64) {
+    pub fn set_adopted_ms(&self, millis: u64) {
         self.adopted_ms.store(millis, Ordering::Relaxed);
     }
 
@@ -155,12 +155,12 @@
     }
 
     /// Locks the keys.
-    pub fn keys(&self) -> MutexGuard<'_, KeyShelf> {
+    pub fn keys(&self) -> MutexGuard<'_, KeyTables> {
         lock(&self.keys)
     }
 
-    pub(crate) fn shelf(&self) -> MutexGuard<'_, AnswerShelf> {
-        lock(&self.shelf)
+    pub(crate) fn response_cache(&self) -> MutexGuard<'_, ResponseCache> {
+        lock(&self.response_cache)
     }
 
     pub(crate) fn retry_budget(&self) -> MutexGuard<'_, SendBudget> {
@@ -187,15 +187,19 @@
     }
 
     /// Counts a request of an account as in progress, unless the account is at its limit.
-    pub(crate) fn enter(self: &Arc<Self>, account: &AccountId, limit: u32) -> Option<ActiveGuard> {
-        let mut running = lock(&self.account_running);
-        let count = running.entry(account.clone()).or_default();
+    pub(crate) fn try_begin(
+        self: &Arc<Self>,
+        account: &AccountId,
+        limit: u32,
+    ) -> Option<InFlightGuard> {
+        let mut by_account = lock(&self.in_flight_by_account);
+        let count = by_account.entry(account.clone()).or_default();
         if limit > 0 && *count >= limit {
             return None;
         }
         *count += 1;
-        self.active.fetch_add(1, Ordering::SeqCst);
-        Some(ActiveGuard {
+        self.in_flight.fetch_add(1, Ordering::SeqCst);
+        Some(InFlightGuard {
             core: Arc::clone(self),
             account: account.clone(),
         })
@@ -203,21 +207,21 @@
 }
 
 /// Counts a request as in progress until it is dropped.
-pub(crate) struct ActiveGuard {
+pub(crate) struct InFlightGuard {
     core: Arc<GatewayCore>,
     account: AccountId,
 }
 
-impl Drop for ActiveGuard {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
-        let mut running = lock(&self.core.account_running);
-        if let Some(count) = running.get_mut(&self.account) {
+        let mut by_account = lock(&self.core.in_flight_by_account);
+        if let Some(count) = by_account.get_mut(&self.account) {
             *count -= 1;
             if *count == 0 {
-                running.remove(&self.account);
+                by_account.remove(&self.account);
             }
         }
-        self.core.active.fetch_sub(1, Ordering::SeqCst);
+        self.core.in_flight.fetch_sub(1, Ordering::SeqCst);
     }
 }
 
@@ -235,8 +239,8 @@
 
 fn build_client(idle: usize) -> Client {
     Client::builder()
-        .connect_timeout(CONNECT_TIME)
-        .pool_idle_timeout(IDLE_TIME)
+        .connect_timeout(CONNECT_TIMEOUT)
+        .pool_idle_timeout(POOL_IDLE_TIMEOUT)
         .pool_max_idle_per_host(idle)
         .tcp_nodelay(true)
         .no_proxy()
--- a/crates/zinniahatch_gateway/src/counters.rs
+++ b/crates/zinniahatch_gateway/src/counters.rs
@@ -45,7 +45,7 @@
     /// Requests of forwarded calls refused for a wrong proof.
     pub proofs_refused: IntCounter,
     /// Leases on slots that lapsed.
-    pub lapses: IntGauge,
+    pub lease_lapses: IntGauge,
     /// Requests waiting, by service.
     pub waiting: IntGaugeVec,
     /// Requests running, by service.
@@ -91,150 +91,150 @@
         let registry = Registry::new_custom(Some("zinnia".to_owned()), Some(labels.into()))
             .unwrap_or_default();
         let set = Self {
-            results: vector(
+            results: register_counter_vec(
                 &registry,
                 "results_total",
                 "Requests by result code.",
                 &["code", "name"],
             ),
-            retries: vector(
+            retries: register_counter_vec(
                 &registry,
                 "retries_total",
                 "Retries by reason.",
                 &["reason"],
             ),
-            retries_denied: vector(
+            retries_denied: register_counter_vec(
                 &registry,
                 "retries_denied_total",
                 "Retries not made for want of budget, by reason.",
                 &["reason"],
             ),
-            hedges: vector(
+            hedges: register_counter_vec(
                 &registry,
                 "hedges_total",
                 "Hedges by outcome.",
                 &["outcome"],
             ),
-            resumes: vector(
+            resumes: register_counter_vec(
                 &registry,
                 "resumes_total",
                 "Streams resumed, by reason.",
                 &["reason"],
             ),
-            away: vector(
+            away: register_counter_vec(
                 &registry,
                 "away_total",
                 "Requests sent away, by outcome.",
                 &["outcome"],
             ),
-            cancels: vector(
+            cancels: register_counter_vec(
                 &registry,
                 "cancels_total",
                 "Cancels sent to engines, by reason.",
                 &["reason"],
             ),
-            orders: vector(
+            orders: register_counter_vec(
                 &registry,
                 "orders_total",
                 "Orders to engines, by outcome.",
                 &["outcome"],
             ),
-            store_calls: vector(
+            store_calls: register_counter_vec(
                 &registry,
                 "store_calls_total",
                 "Calls of the store.",
                 &["kind", "outcome"],
             ),
-            frames_refused: vector(
+            frames_refused: register_counter_vec(
                 &registry,
                 "frames_refused_total",
                 "Frames of other nodes refused, by reason.",
                 &["reason"],
             ),
-            frames: vector(
+            frames: register_counter_vec(
                 &registry,
                 "frames_total",
                 "Frames between nodes.",
                 &["direction"],
             ),
-            frame_bytes: vector(
+            frame_bytes: register_counter_vec(
                 &registry,
                 "frame_bytes_total",
                 "Bytes between nodes.",
                 &["direction"],
             ),
-            redials: single(
+            redials: register_counter(
                 &registry,
                 "redials_total",
                 "Connections to nodes opened anew.",
             ),
-            changes: vector(
+            changes: register_counter_vec(
                 &registry,
                 "changes_total",
                 "Configuration changes by verdict.",
                 &["verdict"],
             ),
-            guests: vector(
+            guests: register_counter_vec(
                 &registry,
                 "guests_total",
                 "Forwarded requests received, by outcome.",
                 &["outcome"],
             ),
-            proofs_refused: single(
+            proofs_refused: register_counter(
                 &registry,
                 "proofs_refused_total",
                 "Forwarded requests with a wrong proof.",
             ),
-            lapses: gauge(
+            lease_lapses: register_gauge(
                 &registry,
                 "lease_lapses",
                 "Leases on slots that lapsed since the start.",
             ),
-            waiting: gauges(&registry, "waiting", "Requests waiting, by service."),
-            running: gauges(&registry, "running", "Requests running, by service."),
-            slots: gauges(&registry, "slots", "Slots held, by service."),
-            revision: gauge(&registry, "revision", "The revision in force."),
-            members: gauge(&registry, "members", "Live members of the data centre."),
-            store_reached: gauge(
+            waiting: register_service_gauge(&registry, "waiting", "Requests waiting, by service."),
+            running: register_service_gauge(&registry, "running", "Requests running, by service."),
+            slots: register_service_gauge(&registry, "slots", "Slots held, by service."),
+            revision: register_gauge(&registry, "revision", "The revision in force."),
+            members: register_gauge(&registry, "members", "Live members of the data centre."),
+            store_reached: register_gauge(
                 &registry,
                 "store_reached",
                 "Whether the store was reached at the last try.",
             ),
-            store_behind: single(
+            store_behind: register_counter(
                 &registry,
                 "store_behind_total",
                 "Times that the store showed an older revision.",
             ),
-            sheets_waiting: gauge(
+            sheets_waiting: register_gauge(
                 &registry,
                 "sheets_waiting",
                 "Sheets of counts that wait for the store.",
             ),
-            own_sheets: labelled_gauge(
+            own_sheets: register_gauge_vec(
                 &registry,
                 "own_sheets",
                 "Own sheets of counts, by how far they are.",
                 "state",
             ),
-            sheet_age: gauge(
+            sheet_age: register_gauge(
                 &registry,
                 "sheet_age_minutes",
                 "Minutes since the oldest own sheet that is not in the store was sealed.",
             ),
-            merges: vector(
+            merges: register_counter_vec(
                 &registry,
                 "merges_total",
                 "Merges of counts into the store, by outcome.",
                 &["outcome"],
             ),
-            messages_dropped: vector(
+            messages_dropped: register_counter_vec(
                 &registry,
                 "messages_dropped_total",
                 "Messages between nodes that were dropped, by reason.",
                 &["reason"],
             ),
-            keys_made: single(&registry, "keys_made_total", "Idempotency keys made."),
-            control_nanos: single(
+            keys_made: register_counter(&registry, "keys_made_total", "Idempotency keys made."),
+            control_nanos: register_counter(
                 &registry,
                 "control_nanos_total",
                 "Nanoseconds spent in control ticks.",
@@ -263,7 +263,12 @@
     }
 }
 
-fn vector(registry: &Registry, name: &str, help: &str, labels: &[&str]) -> IntCounterVec {
+fn register_counter_vec(
+    registry: &Registry,
+    name: &str,
+    help: &str,
+    labels: &[&str],
+) -> IntCounterVec {
     let counter = IntCounterVec::new(Opts::new(name, help), labels).expect("the name is valid");
     registry
         .register(Box::new(counter.clone()))
@@ -271,7 +276,7 @@
     counter
 }
 
-fn single(registry: &Registry, name: &str, help: &str) -> IntCounter {
+fn register_counter(registry: &Registry, name: &str, help: &str) -> IntCounter {
     let counter = IntCounter::new(name, help).expect("the name is valid");
     registry
         .register(Box::new(counter.clone()))
@@ -279,7 +284,7 @@
     counter
 }
 
-fn gauge(registry: &Registry, name: &str, help: &str) -> IntGauge {
+fn register_gauge(registry: &Registry, name: &str, help: &str) -> IntGauge {
     let gauge = IntGauge::new(name, help).expect("the name is valid");
     registry
         .register(Box::new(gauge.clone()))
@@ -287,11 +292,11 @@
     gauge
 }
 
-fn gauges(registry: &Registry, name: &str, help: &str) -> IntGaugeVec {
-    labelled_gauge(registry, name, help, "service")
+fn register_service_gauge(registry: &Registry, name: &str, help: &str) -> IntGaugeVec {
+    register_gauge_vec(registry, name, help, "service")
 }
 
-fn labelled_gauge(registry: &Registry, name: &str, help: &str, label: &str) -> IntGaugeVec {
+fn register_gauge_vec(registry: &Registry, name: &str, help: &str, label: &str) -> IntGaugeVec {
     let gauge = IntGaugeVec::new(Opts::new(name, help), &[label]).expect("the name is valid");
     registry
         .register(Box::new(gauge.clone()))
--- a/crates/zinniahatch_gateway/src/dispatch.rs
+++ b/crates/zinniahatch_gateway/src/dispatch.rs
@@ -1,7 +1,7 @@
 //! Sending a request to a backend server or to a node of another data centre.
 
 use crate::GatewayCore;
-use crate::admit::KnownCaller;
+use crate::admit::CallerIdentity;
 use crate::headers;
 use bytes::Bytes;
 use reqwest::RequestBuilder;
@@ -23,18 +23,18 @@
 use zinniahatch_protocol::EntryAddress;
 
 /// A request that is ready to be sent.
-pub(crate) struct RunCall {
+pub(crate) struct OutboundRequest {
     pub(crate) id: RequestId,
     pub(crate) config: Arc<ClusterConfig>,
     pub(crate) service_name: ServiceId,
     pub(crate) service: ServiceEntry,
-    pub(crate) who: KnownCaller,
+    pub(crate) who: CallerIdentity,
     pub(crate) method: Method,
     pub(crate) path: Box<str>,
     pub(crate) headers: HeaderMap,
     pub(crate) body: Bytes,
     pub(crate) key: Option<Box<str>>,
-    pub(crate) once: bool,
+    pub(crate) at_most_once: bool,
     pub(crate) work: WorkKind,
     pub(crate) scope: AskScope,
     pub(crate) guest: bool,
@@ -56,9 +56,9 @@
     Broken,
 }
 
-impl RunCall {
+impl OutboundRequest {
     /// Makes what the tables are asked.
-    pub(crate) fn ask(
+    pub(crate) fn placement_query(
         &self,
         core: &GatewayCore,
         avoid: &BTreeSet<ShortTag>,
@@ -91,20 +91,20 @@
     /// Gives the time in which an answer must begin.
     ///
     /// An engine sends its headers when it takes the request; a plain service, when it is done.
-    fn answer_patience(&self) -> Duration {
+    fn response_timeout(&self) -> Duration {
         const STALLS: u32 = 2;
         self.config.preset().stall_after * STALLS
     }
 
     fn builder(&self, core: &GatewayCore, url: String) -> RequestBuilder {
-        let client = if self.once {
-            &core.once_client
+        let client = if self.at_most_once {
+            &core.unpooled_client
         } else {
             &core.client
         };
         let mut request = client.request(self.method.clone(), url);
         for (name, value) in &self.headers {
-            if headers::passes_request(name) {
+            if headers::forwards_request_header(name) {
                 request = request.header(name, value);
             }
         }
@@ -118,21 +118,21 @@
 /// Sends a request to a backend server under an id that the answer must carry back.
 pub(crate) async fn send_replica(
     core: &GatewayCore,
-    call: &RunCall,
+    outbound: &OutboundRequest,
     address: &str,
     id: &str,
     resume: u64,
 ) -> Result<Response, SendFailure> {
-    let url = format!("{address}{}", call.path);
-    let mut request = call
+    let url = format!("{address}{}", outbound.path);
+    let mut request = outbound
         .builder(core, url)
         .header(headers::BACKEND_REQUEST, id)
-        .header(headers::PRIORITY, call.work.as_str());
+        .header(headers::PRIORITY, outbound.work.as_str());
     if resume > 0 {
         request = request.header(headers::RESUME, resume);
     }
-    let before = call.was_sent();
-    let response = send(call, request).await?;
+    let before = outbound.was_sent();
+    let response = send(outbound, request).await?;
     let echoed = headers::text(response.headers(), headers::BACKEND_REQUEST);
     if echoed.is_some_and(|echo| echo != id) {
         // An answer to another request on this connection: it is not passed on.
@@ -140,36 +140,37 @@
     }
     if headers::text(response.headers(), headers::NOT_RUN).is_some() {
         let leaving = headers::text(response.headers(), headers::LEAVING).is_some();
-        call.sent.store(before, Ordering::SeqCst);
+        outbound.sent.store(before, Ordering::SeqCst);
         return Err(SendFailure::Refused { leaving });
     }
     Ok(response)
 }
 
 /// Sends a request to a node of another data centre, which runs it there or answers "not run".
-pub(crate) async fn send_away(
+pub(crate) async fn send_remote(
     core: &GatewayCore,
-    call: &RunCall,
+    outbound: &OutboundRequest,
     entry: &EntryAddress,
     resume: u64,
 ) -> Result<Response, SendFailure> {
-    let left = call
+    let remaining_ms = outbound
         .deadline
         .saturating_duration_since(Instant::now())
         .as_millis() as u64;
     let url = format!(
         "http://{}/internal/away/{}{}",
-        core.reach(&entry.http),
-        call.service_name,
-        call.path
+        core.translate_address(&entry.http),
+        outbound.service_name,
+        outbound.path
     );
-    let request = forward(core, call, "away", url, left).header(headers::RESUME, resume);
-    let before = call.was_sent();
-    let response = send(call, request).await?;
+    let request =
+        forward(core, outbound, "away", url, remaining_ms).header(headers::RESUME, resume);
+    let before = outbound.was_sent();
+    let response = send(outbound, request).await?;
     let refused =
         headers::text(response.headers(), headers::EXECUTION) == Some(Execution::NotRun.as_str());
     if refused {
-        call.sent.store(before, Ordering::SeqCst);
+        outbound.sent.store(before, Ordering::SeqCst);
         return Err(SendFailure::Refused { leaving: false });
     }
     if headers::text(response.headers(), headers::CODE).is_none() {
@@ -181,41 +182,41 @@
 /// Makes a forwarded request with the proof that it comes from a node.
 pub(crate) fn forward(
     core: &GatewayCore,
-    call: &RunCall,
+    outbound: &OutboundRequest,
     stage: &str,
     url: String,
-    left: u64,
+    remaining_ms: u64,
 ) -> RequestBuilder {
-    let fields = proof_fields(
+    let fields = signed_fields(
         stage,
-        &call.id,
-        &call.who.account,
-        &call.who.caller,
-        left,
-        &call.body,
+        &outbound.id,
+        &outbound.who.account,
+        &outbound.who.caller,
+        remaining_ms,
+        &outbound.body,
     );
     let fields: Vec<&str> = fields.iter().map(|field| &**field).collect();
-    let mut request = call
+    let mut request = outbound
         .builder(core, url)
-        .header(headers::REQUEST, &*call.id)
-        .header(headers::ACCOUNT, &*call.who.account)
-        .header(headers::CALLER, &*call.who.caller)
-        .header(headers::DEADLINE, left)
-        .header(headers::WORK, call.work.as_str())
-        .header(headers::PROOF, core.proof.make(&fields));
-    if call.once {
+        .header(headers::REQUEST, &*outbound.id)
+        .header(headers::ACCOUNT, &*outbound.who.account)
+        .header(headers::CALLER, &*outbound.who.caller)
+        .header(headers::DEADLINE, remaining_ms)
+        .header(headers::WORK, outbound.work.as_str())
+        .header(headers::PROOF, core.proof.sign(&fields));
+    if outbound.at_most_once {
         request = request.header(headers::REPEAT, "once");
     }
     request
 }
 
 /// Gives the fields that a proof covers.
-pub(crate) fn proof_fields(
+pub(crate) fn signed_fields(
     stage: &str,
     id: &str,
     account: &str,
     caller: &str,
-    left: u64,
+    remaining_ms: u64,
     body: &Bytes,
 ) -> [Box<str>; 6] {
     let digest = blake3::hash(body).to_hex().to_string();
@@ -224,29 +225,32 @@
         id.into(),
         account.into(),
         caller.into(),
-        left.to_string().into(),
+        remaining_ms.to_string().into(),
         digest.into(),
     ]
 }
 
 /// Gives the digest by which a key knows its request again.
-pub(crate) fn request_digest(call: &RunCall) -> PartHash {
-    let body = blake3::hash(&call.body).to_hex();
+pub(crate) fn request_digest(outbound: &OutboundRequest) -> PartHash {
+    let body = blake3::hash(&outbound.body).to_hex();
     digest_text(&format!(
         "{}\n{}\n{}\n{body}",
-        call.method, call.service_name, call.path
+        outbound.method, outbound.service_name, outbound.path
     ))
 }
 
-async fn send(call: &RunCall, request: RequestBuilder) -> Result<Response, SendFailure> {
+async fn send(
+    outbound: &OutboundRequest,
+    request: RequestBuilder,
+) -> Result<Response, SendFailure> {
     // Noted beforehand: a deadline may end this future while the request is on its way.
-    let before = call.sent.swap(true, Ordering::SeqCst);
-    let result = if call.once {
+    let before = outbound.sent.swap(true, Ordering::SeqCst);
+    let result = if outbound.at_most_once {
         request.send().await
     } else {
         // A pooled connection that has gone silent takes a request and never answers. A repeatable
         // one is tried elsewhere instead; one that is not waits, since nothing else is safe.
-        match timeout(call.answer_patience(), request.send()).await {
+        match timeout(outbound.response_timeout(), request.send()).await {
             Ok(result) => result,
             Err(_) => return Err(SendFailure::Broken),
         }
@@ -255,12 +259,12 @@
         Ok(response) => Ok(response),
         // Without a connection no byte was sent, so the request did not run there.
         Err(error) if error.is_connect() => {
-            call.sent.store(before, Ordering::SeqCst);
+            outbound.sent.store(before, Ordering::SeqCst);
             Err(SendFailure::NotSent)
         }
         Err(_) => {
             // A hedge that was refused meanwhile may have taken the note back.
-            call.sent.store(true, Ordering::SeqCst);
+            outbound.sent.store(true, Ordering::SeqCst);
             Err(SendFailure::Broken)
         }
     }
--- a/crates/zinniahatch_gateway/src/engine_stream.rs
+++ b/crates/zinniahatch_gateway/src/engine_stream.rs
@@ -1,20 +1,20 @@
 //! A model's stream: relayed in whole events, probed when it stalls, resumed when it breaks.
 
 use crate::GatewayCore;
-use crate::answer::TokenUsage;
 use crate::core::lock;
-use crate::dispatch::RunCall;
+use crate::dispatch::OutboundRequest;
 use crate::headers;
-use crate::refusal::CallRefusal;
-use crate::run::AnswerSource;
+use crate::refusal::Refusal;
+use crate::response::TokenUsage;
 use crate::run::AttemptState;
-use crate::run::OpenAnswer;
+use crate::run::OpenResponse;
+use crate::run::ResponseSource;
 use crate::run::avoid_source;
 use crate::run::cancel;
-use crate::run::open_answer;
+use crate::run::open_response;
 use crate::run::served_region;
-use crate::run::spend_retry;
-use crate::sse::EventCutter;
+use crate::run::take_retry;
+use crate::sse::EventSplitter;
 use bytes::Bytes;
 use reqwest::Response;
 use std::pin::Pin;
@@ -28,39 +28,39 @@
 use zinniahatch_base::prelude::*;
 
 /// Probes of one replica before another is asked to go on.
-const PROBES: u32 = 2;
+const MAX_PROBES: u32 = 2;
 
 /// The source of an answer, which the watchdog may take away.
-type SharedSource = Arc<Mutex<Option<AnswerSource>>>;
+type SharedSource = Arc<Mutex<Option<ResponseSource>>>;
 
 /// Time after the deadline at which a slot is taken back.
-const WATCH_SLACK: Duration = Duration::from_secs(1);
+const WATCHDOG_DELAY: Duration = Duration::from_secs(1);
 
 /// One model answer on its way.
 pub(crate) struct EngineStream {
     core: Arc<GatewayCore>,
-    pub(crate) call: Arc<RunCall>,
+    pub(crate) outbound: Arc<OutboundRequest>,
     state: AttemptState,
     response: Response,
     source: SharedSource,
     watchdog: JoinHandle<()>,
-    cutter: EventCutter,
+    splitter: EventSplitter,
     probes: u32,
     pub(crate) served: RegionId,
     /// Wakes the stream to look whether it stalls. Set anew only when it has rung: a timer for
     /// each event would cost more than the event.
-    alarm: Pin<Box<Sleep>>,
-    progress: Instant,
+    stall_timer: Pin<Box<Sleep>>,
+    last_progress: Instant,
 }
 
 impl EngineStream {
     /// Gets an answer to begin.
     pub(crate) async fn open(
         core: &Arc<GatewayCore>,
-        call: Arc<RunCall>,
-    ) -> Result<Self, Box<CallRefusal>> {
+        outbound: Arc<OutboundRequest>,
+    ) -> Result<Self, Box<Refusal>> {
         let mut state = AttemptState::default();
-        let open = open_answer(core, &call, &mut state, call.resume).await?;
+        let open = open_response(core, &outbound, &mut state, outbound.resume).await?;
         if !open.response.status().is_success() {
             let status = open.response.status();
             let text: String = open
@@ -71,42 +71,46 @@
                 .chars()
                 .take(500)
                 .collect();
-            return Err(Box::new(CallRefusal::detail(
+            return Err(Box::new(Refusal::detail(
                 ResultCode::BackendError,
                 &format!("{status}: {text}"),
             )));
         }
         let served = served_region(core, &open.response);
         let source: SharedSource = Arc::new(Mutex::new(Some(open.source)));
-        let watchdog = tokio::spawn(watch(Arc::clone(core), Arc::clone(&source), call.deadline));
+        let watchdog = tokio::spawn(release_after_deadline(
+            Arc::clone(core),
+            Arc::clone(&source),
+            outbound.deadline,
+        ));
         Ok(Self {
             core: Arc::clone(core),
-            call,
+            outbound,
             state,
             response: open.response,
             source,
             watchdog,
-            cutter: EventCutter::default(),
+            splitter: EventSplitter::default(),
             probes: 0,
             served,
-            alarm: Box::pin(sleep(Duration::ZERO)),
-            progress: Instant::now(),
+            stall_timer: Box::pin(sleep(Duration::ZERO)),
+            last_progress: Instant::now(),
         })
     }
 
     /// Says whether the end mark was seen; only then is the answer whole.
-    pub(crate) fn is_whole(&self) -> bool {
-        self.cutter.done
+    pub(crate) fn is_complete(&self) -> bool {
+        self.splitter.done
     }
 
     pub(crate) fn usage(&self) -> TokenUsage {
-        self.cutter.usage()
+        self.splitter.usage()
     }
 
     /// Gives the next whole events, or `None` after the end mark.
-    pub(crate) async fn next(&mut self) -> Result<Option<Bytes>, Box<CallRefusal>> {
+    pub(crate) async fn next(&mut self) -> Result<Option<Bytes>, Box<Refusal>> {
         loop {
-            if self.cutter.done {
+            if self.splitter.done {
                 self.finish();
                 return Ok(None);
             }
@@ -114,9 +118,9 @@
                 biased;
                 chunk = self.response.chunk() => match chunk {
                     Ok(Some(chunk)) => {
-                        self.progress = Instant::now();
+                        self.last_progress = Instant::now();
                         self.probes = 0;
-                        let events = self.cutter.take(chunk);
+                        let events = self.splitter.push(chunk);
                         if events.is_empty() {
                             continue;
                         }
@@ -125,58 +129,58 @@
                     Ok(None) => "ended early",
                     Err(_) => "broken",
                 },
-                () = &mut self.alarm => {
+                () = &mut self.stall_timer => {
                     let now = Instant::now();
-                    if now >= self.call.deadline {
-                        return Err(Box::new(CallRefusal::new(ResultCode::DeadlineRunning)));
+                    if now >= self.outbound.deadline {
+                        return Err(Box::new(Refusal::new(ResultCode::DeadlineRunning)));
                     }
-                    let stalled = self.progress + self.stall_after();
+                    let stalled = self.last_progress + self.stall_after();
                     if now < stalled {
-                        let next = stalled.min(self.call.deadline);
-                        self.alarm.as_mut().reset(next.into());
+                        let next = stalled.min(self.outbound.deadline);
+                        self.stall_timer.as_mut().reset(next.into());
                         continue;
                     }
                     "stalled"
                 }
             };
             self.recover(reason).await?;
-            self.progress = Instant::now();
-            self.alarm.as_mut().reset(self.progress.into());
+            self.last_progress = Instant::now();
+            self.stall_timer.as_mut().reset(self.last_progress.into());
         }
     }
 
     /// Goes on from the last event: on the same replica over a new connection, or on another one.
-    async fn recover(&mut self, reason: &str) -> Result<(), Box<CallRefusal>> {
+    async fn recover(&mut self, reason: &str) -> Result<(), Box<Refusal>> {
         self.core
             .counters
             .resumes
             .with_label_values(&[reason])
             .inc();
-        self.cutter.reset();
+        self.splitter.reset();
         self.probes += 1;
-        if self.probes <= PROBES && self.resume_there().await {
+        if self.probes <= MAX_PROBES && self.resume_same_replica().await {
             return Ok(());
         }
-        if self.call.once {
-            return Err(Box::new(CallRefusal::new(ResultCode::AnswerCutOff)));
+        if self.outbound.at_most_once {
+            return Err(Box::new(Refusal::new(ResultCode::AnswerCutOff)));
         }
         self.cancel("resumed elsewhere");
         let source = lock(&self.source).take();
         if let Some(source) = source {
             avoid_source(&mut self.state, &source);
         }
-        spend_retry(
+        take_retry(
             &self.core,
-            &self.call,
+            &self.outbound,
             &mut self.state,
             "resume",
             ResultCode::AnswerCutOff,
         )?;
-        let resume = self.call.resume + self.cutter.events;
-        let OpenAnswer { response, source } =
-            open_answer(&self.core, &self.call, &mut self.state, resume).await?;
+        let resume = self.outbound.resume + self.splitter.events;
+        let OpenResponse { response, source } =
+            open_response(&self.core, &self.outbound, &mut self.state, resume).await?;
         if !response.status().is_success() {
-            return Err(Box::new(CallRefusal::new(ResultCode::AnswerCutOff)));
+            return Err(Box::new(Refusal::new(ResultCode::AnswerCutOff)));
         }
         self.served = served_region(&self.core, &response);
         self.response = response;
@@ -189,14 +193,14 @@
     ///
     /// A connection that a middlebox has forgotten delivers nothing and reports nothing, while
     /// new ones work; the pool is therefore not used here.
-    async fn resume_there(&mut self) -> bool {
-        let Some((address, id)) = self.slot_names() else {
+    async fn resume_same_replica(&mut self) -> bool {
+        let Some((address, id)) = self.replica_and_attempt() else {
             return false;
         };
-        let from = self.call.resume + self.cutter.events;
+        let from = self.outbound.resume + self.splitter.events;
         let request = self
             .core
-            .once_client
+            .unpooled_client
             .get(format!("{address}/v1/requests/{id}/stream"))
             .query(&[("from", from)]);
         let Ok(Ok(response)) = timeout(self.stall_after(), request.send()).await else {
@@ -216,32 +220,32 @@
     /// stalls later, so that the node there resumes first.
     fn stall_after(&self) -> Duration {
         const FIRST_TOKEN: u32 = 3;
-        const AWAY: u32 = 4;
-        let stall = self.call.config.preset().stall_after;
+        const REMOTE: u32 = 4;
+        let stall = self.outbound.config.preset().stall_after;
         match &*lock(&self.source) {
-            Some(AnswerSource::Away(_)) => stall * AWAY,
-            Some(AnswerSource::Slot(..)) if self.cutter.events == 0 => stall * FIRST_TOKEN,
-            Some(AnswerSource::Slot(..)) | None => stall,
+            Some(ResponseSource::Remote(_)) => stall * REMOTE,
+            Some(ResponseSource::Slot(..)) if self.splitter.events == 0 => stall * FIRST_TOKEN,
+            Some(ResponseSource::Slot(..)) | None => stall,
         }
     }
 
     /// Gives the address of the replica and the id that it knows, if one of this data centre
     /// answers.
-    fn slot_names(&self) -> Option<(Box<str>, Box<str>)> {
+    fn replica_and_attempt(&self) -> Option<(Box<str>, Box<str>)> {
         match &*lock(&self.source) {
-            Some(AnswerSource::Slot(_, address, id)) => Some((address.clone(), id.clone())),
-            Some(AnswerSource::Away(_)) | None => None,
+            Some(ResponseSource::Slot(_, address, id)) => Some((address.clone(), id.clone())),
+            Some(ResponseSource::Remote(_)) | None => None,
         }
     }
 
     fn finish(&mut self) {
         let source = lock(&self.source).take();
-        let Some(AnswerSource::Slot(guard, _, _)) = source else {
+        let Some(ResponseSource::Slot(guard, _, _)) = source else {
             return;
         };
-        if let Some(prefix) = self.call.prefix {
+        if let Some(prefix) = self.outbound.prefix {
             let replica = tag_of(guard.replica());
-            let prompt = self.usage().prompt_tokens.max(self.call.prompt);
+            let prompt = self.usage().prompt_tokens.max(self.outbound.prompt);
             let mut control = self.core.control();
             control
                 .belief_mut()
@@ -250,7 +254,7 @@
     }
 
     fn cancel(&self, reason: &str) {
-        if let Some((address, id)) = self.slot_names() {
+        if let Some((address, id)) = self.replica_and_attempt() {
             cancel(&self.core, &address, &id, reason);
         }
     }
@@ -259,7 +263,7 @@
 impl Drop for EngineStream {
     fn drop(&mut self) {
         self.watchdog.abort();
-        if !self.cutter.done {
+        if !self.splitter.done {
             self.cancel("given up");
         }
     }
@@ -269,10 +273,10 @@
 ///
 /// A caller that does not read its answer keeps the stream from being polled, so the stream's own
 /// look at its deadline never comes; without this its slot would be held for ever.
-async fn watch(core: Arc<GatewayCore>, source: SharedSource, deadline: Instant) {
-    sleep_until((deadline + WATCH_SLACK).into()).await;
+async fn release_after_deadline(core: Arc<GatewayCore>, source: SharedSource, deadline: Instant) {
+    sleep_until((deadline + WATCHDOG_DELAY).into()).await;
     let taken = lock(&source).take();
-    if let Some(AnswerSource::Slot(guard, address, id)) = taken {
+    if let Some(ResponseSource::Slot(guard, address, id)) = taken {
         drop(guard);
         cancel(&core, &address, &id, "not read");
     }
--- a/crates/zinniahatch_gateway/src/headers.rs
+++ b/crates/zinniahatch_gateway/src/headers.rs
@@ -41,7 +41,7 @@
 ///
 /// The caller's API key stays here: a backend server has no use for it, and its log is no place
 /// for it.
-pub(crate) fn passes_request(name: &HeaderName) -> bool {
+pub(crate) fn forwards_request_header(name: &HeaderName) -> bool {
     let name = name.as_str();
     !HOP_HEADERS.contains(&name)
         && !name.starts_with("x-zinnia-")
@@ -59,7 +59,7 @@
 }
 
 /// Says whether a header of a backend server's answer goes on to the caller.
-pub(crate) fn passes_answer(name: &HeaderName) -> bool {
+pub(crate) fn forwards_response_header(name: &HeaderName) -> bool {
     let name = name.as_str();
     !HOP_HEADERS.contains(&name)
         && !name.starts_with("x-zinnia-")
--- a/crates/zinniahatch_gateway/src/keyed.rs
+++ b/crates/zinniahatch_gateway/src/idempotency.rs
@@ -1,11 +1,11 @@
 //! Requests that may not be repeated: claimed by key, run once, their answers kept.
 
 use crate::GatewayCore;
-use crate::answer::KeptAnswer;
-use crate::dispatch::RunCall;
+use crate::dispatch::OutboundRequest;
 use crate::dispatch::request_digest;
-use crate::refusal::CallRefusal;
+use crate::refusal::Refusal;
 use crate::respond::collect_stream;
+use crate::response::CachedResponse;
 use crate::run::run_plain;
 use serde::Deserialize;
 use serde::Serialize;
@@ -20,34 +20,34 @@
 use zinniahatch_control::NodeIdentity;
 
 /// Time for which a key may be used after it was made.
-pub(crate) const KEY_VALID: Duration = Duration::from_secs(900);
+pub(crate) const KEY_LIFETIME: Duration = Duration::from_secs(900);
 /// Time after its deadline for which a running request's answer is still awaited, to be kept.
-const LATE_ANSWER: Duration = Duration::from_secs(60);
+const LATE_RESPONSE_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// Time after its deadline in which a run that was sent to no backend server ends.
-const REFUSAL_TIME: Duration = Duration::from_millis(500);
+const REFUSAL_GRACE: Duration = Duration::from_millis(500);
 
-type AnswerBook = KeyBook<Arc<KeptAnswer>>;
+type ResponseTable = KeyBook<Arc<CachedResponse>>;
 
 /// The books of this incarnation and of those it took over.
-pub struct KeyShelf {
+pub struct KeyTables {
     limit: usize,
-    kept: usize,
-    books: BTreeMap<(NodeId, Incarnation), AnswerBook>,
+    cached_bytes: usize,
+    tables: BTreeMap<(NodeId, Incarnation), ResponseTable>,
     own: (NodeId, Incarnation),
 }
 
 /// A book as it passes to an heir.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct HandedBook {
+pub struct KeyTableSnapshot {
     node: NodeId,
     incarnation: Incarnation,
     secret: [u8; 32],
     age: u64,
-    lines: Vec<(u64, PartHash, Option<KeptAnswer>, bool)>,
+    lines: Vec<(u64, PartHash, Option<CachedResponse>, bool)>,
 }
 
-impl KeyShelf {
+impl KeyTables {
     pub(crate) fn new(
         identity: &NodeIdentity,
         secret: [u8; 32],
@@ -55,48 +55,54 @@
         limit: usize,
     ) -> Self {
         let own = (identity.node.clone(), identity.incarnation);
-        let book = KeyBook::new(&identity.node, identity.incarnation, secret, now, KEY_VALID);
+        let table = KeyBook::new(
+            &identity.node,
+            identity.incarnation,
+            secret,
+            now,
+            KEY_LIFETIME,
+        );
         Self {
             limit,
-            kept: 0,
-            books: BTreeMap::from([(own.clone(), book)]),
+            cached_bytes: 0,
+            tables: BTreeMap::from([(own.clone(), table)]),
             own,
         }
     }
 
     /// Says whether the book of a key is here.
     pub(crate) fn owns(&self, key: &MintedKey) -> bool {
-        self.books
+        self.tables
             .contains_key(&(key.node.clone(), key.incarnation))
     }
 
     pub(crate) fn mint(&mut self, now: Instant, account: &str) -> Box<str> {
         let own = self.own.clone();
-        self.books
+        self.tables
             .get_mut(&own)
-            .map(|book| book.mint(now, account))
+            .map(|table| table.mint(now, account))
             .unwrap_or_default()
     }
 
-    pub(crate) fn collect(&self, key: &MintedKey, account: &str) -> KeyClaim<Arc<KeptAnswer>> {
-        match self.books.get(&(key.node.clone(), key.incarnation)) {
-            Some(book) => book.collect(key, account),
+    pub(crate) fn collect(&self, key: &MintedKey, account: &str) -> KeyClaim<Arc<CachedResponse>> {
+        match self.tables.get(&(key.node.clone(), key.incarnation)) {
+            Some(table) => table.collect(key, account),
             None => KeyClaim::Lost,
         }
     }
 
     /// Forgets what is old.
-    pub fn sweep(&mut self, now: Instant, keep: Duration) {
-        for book in self.books.values_mut() {
-            book.sweep(now, keep);
+    pub fn sweep(&mut self, now: Instant, store_response: Duration) {
+        for table in self.tables.values_mut() {
+            table.sweep(now, store_response);
         }
     }
 
     /// Closes every book and gives them for an heir.
-    pub fn close(&mut self, now: Instant) -> Vec<HandedBook> {
+    pub fn close(&mut self, now: Instant) -> Vec<KeyTableSnapshot> {
         let mut handed = Vec::new();
-        for ((node, incarnation), book) in &mut self.books {
-            let (secret, age, lines) = book.close(now);
+        for ((node, incarnation), table) in &mut self.tables {
+            let (secret, age, lines) = table.close(now);
             let lines = lines
                 .into_iter()
                 .map(|(number, digest, answer, buried)| {
@@ -108,7 +114,7 @@
                     )
                 })
                 .collect();
-            handed.push(HandedBook {
+            handed.push(KeyTableSnapshot {
                 node: node.clone(),
                 incarnation: *incarnation,
                 secret,
@@ -120,15 +126,15 @@
     }
 
     /// Takes over the books of a node that leaves; gives whose they are.
-    pub(crate) fn inherit(
+    pub(crate) fn take_over(
         &mut self,
         now: Instant,
-        handed: Vec<HandedBook>,
+        handed: Vec<KeyTableSnapshot>,
     ) -> Vec<(NodeId, Incarnation)> {
-        let mut heirs = Vec::new();
-        for book in handed {
-            let owner = (book.node.clone(), book.incarnation);
-            let lines = book
+        let mut owners = Vec::new();
+        for table in handed {
+            let owner = (table.node.clone(), table.incarnation);
+            let lines = table
                 .lines
                 .into_iter()
                 .map(|(number, digest, answer, buried)| {
@@ -136,39 +142,39 @@
                 })
                 .collect();
             let inherited = KeyBook::inherit(
-                &book.node,
-                book.incarnation,
-                book.secret,
-                book.age,
+                &table.node,
+                table.incarnation,
+                table.secret,
+                table.age,
                 now,
-                KEY_VALID,
+                KEY_LIFETIME,
                 lines,
             );
-            self.books.entry(owner.clone()).or_insert(inherited);
-            heirs.push(owner);
+            self.tables.entry(owner.clone()).or_insert(inherited);
+            owners.push(owner);
         }
-        heirs
+        owners
     }
 
     /// Keeps an answer under its key; where memory is short, the oldest answers are forgotten.
-    fn keep(&mut self, key: &MintedKey, answer: &Arc<KeptAnswer>) {
-        self.kept += answer.body.len();
-        if let Some(book) = self.book(key) {
-            book.answer(key.number, Arc::clone(answer));
+    fn store_response(&mut self, key: &MintedKey, answer: &Arc<CachedResponse>) {
+        self.cached_bytes += answer.body.len();
+        if let Some(table) = self.table(key) {
+            table.answer(key.number, Arc::clone(answer));
         }
-        if self.kept <= self.limit {
+        if self.cached_bytes <= self.limit {
             return;
         }
         // Down to half, so that the search for the oldest is not made for every answer.
-        let share = self.limit / 2 / self.books.len().max(1);
-        for book in self.books.values_mut() {
-            book.fit_answers(share, |answer| answer.body.len());
+        let share = self.limit / 2 / self.tables.len().max(1);
+        for table in self.tables.values_mut() {
+            table.fit_answers(share, |answer| answer.body.len());
         }
-        self.kept = self.limit / 2;
+        self.cached_bytes = self.limit / 2;
     }
 
-    fn book(&mut self, key: &MintedKey) -> Option<&mut AnswerBook> {
-        self.books.get_mut(&(key.node.clone(), key.incarnation))
+    fn table(&mut self, key: &MintedKey) -> Option<&mut ResponseTable> {
+        self.tables.get_mut(&(key.node.clone(), key.incarnation))
     }
 }
 
@@ -176,51 +182,51 @@
 ///
 /// The run goes on when the caller's connection breaks, and its answer is kept: a caller that
 /// lost its connection collects the answer with the same key.
-pub(crate) async fn run_owned(
+pub(crate) async fn run_as_owner(
     core: &Arc<GatewayCore>,
-    call: RunCall,
+    outbound: OutboundRequest,
     key: MintedKey,
-) -> Result<Arc<KeptAnswer>, Box<CallRefusal>> {
-    let digest = request_digest(&call);
-    let claim = match core.keys().book(&key) {
-        Some(book) => book.claim(Instant::now(), &key, &call.who.account, &digest),
+) -> Result<Arc<CachedResponse>, Box<Refusal>> {
+    let digest = request_digest(&outbound);
+    let claim = match core.keys().table(&key) {
+        Some(table) => table.claim(Instant::now(), &key, &outbound.who.account, &digest),
         None => KeyClaim::Lost,
     };
-    if let Some(result) = settle_claim(claim) {
+    if let Some(result) = claim_result(claim) {
         return result;
     }
-    let deadline = TokioInstant::from_std(call.deadline);
-    let call = Arc::new(call);
-    let mut run = tokio::spawn(run_and_note(Arc::clone(core), Arc::clone(&call), key));
+    let deadline = TokioInstant::from_std(outbound.deadline);
+    let outbound = Arc::new(outbound);
+    let mut run = tokio::spawn(run_and_record(Arc::clone(core), Arc::clone(&outbound), key));
     let mut ended = timeout_at(deadline, &mut run).await;
-    if ended.is_err() && !call.was_sent() {
+    if ended.is_err() && !outbound.was_sent() {
         // A run that only waited ends at the same deadline, and says that it did not run.
-        ended = timeout_at(deadline + REFUSAL_TIME, run).await;
+        ended = timeout_at(deadline + REFUSAL_GRACE, run).await;
     }
     match ended {
         Ok(Ok(result)) => result,
-        Ok(Err(_)) => Err(Box::new(CallRefusal::new(ResultCode::OutcomeUnknown))),
-        Err(_) => Err(Box::new(CallRefusal::retry_after(
+        Ok(Err(_)) => Err(Box::new(Refusal::new(ResultCode::OutcomeUnknown))),
+        Err(_) => Err(Box::new(Refusal::retry_after(
             ResultCode::DeadlineRunning,
             Duration::from_secs(1),
         ))),
     }
 }
 
-async fn run_and_note(
+async fn run_and_record(
     core: Arc<GatewayCore>,
-    call: Arc<RunCall>,
+    outbound: Arc<OutboundRequest>,
     key: MintedKey,
-) -> Result<Arc<KeptAnswer>, Box<CallRefusal>> {
-    let result = run_to_end(&core, Arc::clone(&call)).await;
-    note_outcome(&core, &call, &key, result)
+) -> Result<Arc<CachedResponse>, Box<Refusal>> {
+    let result = run_to_end(&core, Arc::clone(&outbound)).await;
+    record_outcome(&core, &outbound, &key, result)
 }
 
 /// Gives what a claim means for its caller; `None` for a fresh key.
-pub(crate) fn settle_claim(
-    claim: KeyClaim<Arc<KeptAnswer>>,
-) -> Option<Result<Arc<KeptAnswer>, Box<CallRefusal>>> {
-    let refuse = |code| Some(Err(Box::new(CallRefusal::new(code))));
+pub(crate) fn claim_result(
+    claim: KeyClaim<Arc<CachedResponse>>,
+) -> Option<Result<Arc<CachedResponse>, Box<Refusal>>> {
+    let refuse = |code| Some(Err(Box::new(Refusal::new(code))));
     match claim {
         KeyClaim::Fresh => None,
         KeyClaim::Answered(answer) => {
@@ -232,7 +238,7 @@
             };
             Some(Ok(Arc::new(earlier)))
         }
-        KeyClaim::Running => Some(Err(Box::new(CallRefusal::retry_after(
+        KeyClaim::Running => Some(Err(Box::new(Refusal::retry_after(
             ResultCode::StillRunning,
             Duration::from_millis(500),
         )))),
@@ -246,18 +252,18 @@
 
 async fn run_to_end(
     core: &Arc<GatewayCore>,
-    call: Arc<RunCall>,
-) -> Result<KeptAnswer, Box<CallRefusal>> {
-    let late = TokioInstant::from_std(call.deadline + LATE_ANSWER);
+    outbound: Arc<OutboundRequest>,
+) -> Result<CachedResponse, Box<Refusal>> {
+    let late = TokioInstant::from_std(outbound.deadline + LATE_RESPONSE_TIMEOUT);
     let run = async {
-        if call.is_engine() {
-            return collect_stream(core, Arc::clone(&call)).await;
+        if outbound.is_engine() {
+            return collect_stream(core, Arc::clone(&outbound)).await;
         }
-        run_plain(core, &call).await
+        run_plain(core, &outbound).await
     };
     match timeout_at(late, run).await {
         Ok(result) => result,
-        Err(_) => Err(Box::new(CallRefusal::new(ResultCode::DeadlineRunning))),
+        Err(_) => Err(Box::new(Refusal::new(ResultCode::DeadlineRunning))),
     }
 }
 
@@ -265,28 +271,28 @@
 ///
 /// "Not run" buries the key first: a copy of the same request that is still on its way to this
 /// node then cannot run after the caller was told that it did not.
-fn note_outcome(
+fn record_outcome(
     core: &GatewayCore,
-    call: &RunCall,
+    outbound: &OutboundRequest,
     key: &MintedKey,
-    result: Result<KeptAnswer, Box<CallRefusal>>,
-) -> Result<Arc<KeptAnswer>, Box<CallRefusal>> {
+    result: Result<CachedResponse, Box<Refusal>>,
+) -> Result<Arc<CachedResponse>, Box<Refusal>> {
     let mut keys = core.keys();
     match result {
         Ok(answer) => {
             let answer = Arc::new(answer);
-            keys.keep(key, &answer);
+            keys.store_response(key, &answer);
             Ok(answer)
         }
-        Err(refusal) if refusal.code.execution() == Execution::NotRun && !call.was_sent() => {
-            if let Some(book) = keys.book(key) {
-                book.bury(key.number);
+        Err(refusal) if refusal.code.execution() == Execution::NotRun && !outbound.was_sent() => {
+            if let Some(table) = keys.table(key) {
+                table.bury(key.number);
             }
             Err(refusal)
         }
         Err(mut refusal) => {
-            if let Some(book) = keys.book(key) {
-                book.lose(key.number);
+            if let Some(table) = keys.table(key) {
+                table.lose(key.number);
             }
             if refusal.code.execution() == Execution::NotRun {
                 refusal.code = ResultCode::OutcomeUnknown;
--- a/crates/zinniahatch_gateway/src/owner.rs
+++ b/crates/zinniahatch_gateway/src/key_owner.rs
@@ -1,12 +1,12 @@
 //! A request whose key another node owns: one hop to the owner, never a second.
 
 use crate::GatewayCore;
-use crate::answer::TokenUsage;
-use crate::counting::CountGuard;
-use crate::dispatch::RunCall;
+use crate::dispatch::OutboundRequest;
 use crate::dispatch::forward;
 use crate::headers;
-use crate::refusal::CallRefusal;
+use crate::refusal::Refusal;
+use crate::request_count::CountGuard;
+use crate::response::TokenUsage;
 use bytes::Bytes;
 use salvo::Response;
 use salvo::http::StatusCode;
@@ -15,16 +15,16 @@
 use zinniahatch_control::MintedKey;
 
 /// Time beyond the deadline in which the owner's refusal still arrives.
-const OWNER_SLACK: Duration = Duration::from_secs(1);
+const OWNER_TIMEOUT_MARGIN: Duration = Duration::from_secs(1);
 
 /// The owner's answer, passed on as it is.
-pub(crate) struct OwnerAnswer {
+pub(crate) struct OwnerResponse {
     status: u16,
     headers: Vec<(Box<str>, Box<str>)>,
     body: Bytes,
 }
 
-impl OwnerAnswer {
+impl OwnerResponse {
     /// Reads the owner's answer; `None` where it did not come whole.
     pub(crate) async fn read(response: reqwest::Response) -> Option<Self> {
         let status = response.status().as_u16();
@@ -45,16 +45,16 @@
     }
 
     /// Counts the request as its caller sees it.
-    pub(crate) fn settle(&self, count: &mut CountGuard, is_engine: bool) {
-        count.mark_first();
+    pub(crate) fn record_result(&self, count: &mut CountGuard, is_engine: bool) {
+        count.mark_first_byte();
         let code = self.code();
         if is_engine && code == ResultCode::Answered {
-            count.note_usage(self.usage());
+            count.set_usage(self.usage());
         }
         if let Some(region) = self.text(headers::REGION) {
-            count.note_served(&region.into());
+            count.set_served_region(&region.into());
         }
-        count.settle(code);
+        count.record_result(code);
     }
 
     /// Gives the result; an answer without one is no answer of a node.
@@ -66,7 +66,7 @@
     }
 
     fn usage(&self) -> TokenUsage {
-        serde_json::from_slice::<UsedBody>(&self.body)
+        serde_json::from_slice::<UsageBody>(&self.body)
             .map(|body| body.usage)
             .unwrap_or_default()
     }
@@ -87,13 +87,13 @@
 
 /// The part of a model's whole answer that says what it used.
 #[derive(Deserialize)]
-struct UsedBody {
+struct UsageBody {
     #[serde(default)]
     usage: TokenUsage,
 }
 
 /// Gives the address of the node that holds a key's book, as far as this node knows.
-pub(crate) fn owner_address(core: &GatewayCore, key: &MintedKey) -> Option<Box<str>> {
+pub(crate) fn key_owner_address(core: &GatewayCore, key: &MintedKey) -> Option<Box<str>> {
     let control = core.control();
     if let Some((_, entry)) = control.members().key_holder(&key.node, key.incarnation) {
         return Some(entry.http.clone());
@@ -111,28 +111,28 @@
 ///
 /// The request is counted here, whatever becomes of it: nobody knows whether an owner that gives no answer ever
 /// read it.
-pub(crate) async fn pass_to_owner(
+pub(crate) async fn forward_to_owner(
     core: &GatewayCore,
-    call: &RunCall,
+    outbound: &OutboundRequest,
     key: &MintedKey,
-) -> Result<OwnerAnswer, Box<CallRefusal>> {
-    let refuse = |code| Box::new(CallRefusal::new(code));
-    let address = owner_address(core, key).ok_or_else(|| refuse(ResultCode::KeyOwnerGone))?;
-    let left = call.deadline.saturating_duration_since(Instant::now());
+) -> Result<OwnerResponse, Box<Refusal>> {
+    let refuse = |code| Box::new(Refusal::new(code));
+    let address = key_owner_address(core, key).ok_or_else(|| refuse(ResultCode::KeyOwnerGone))?;
+    let remaining = outbound.deadline.saturating_duration_since(Instant::now());
     let url = format!(
         "http://{}/internal/owned/{}{}",
-        core.reach(&address),
-        call.service_name,
-        call.path
+        core.translate_address(&address),
+        outbound.service_name,
+        outbound.path
     );
-    let request =
-        forward(core, call, "owned", url, left.as_millis() as u64).timeout(left + OWNER_SLACK);
+    let request = forward(core, outbound, "owned", url, remaining.as_millis() as u64)
+        .timeout(remaining + OWNER_TIMEOUT_MARGIN);
     let response = match request.send().await {
         Ok(response) => response,
         Err(error) if error.is_connect() => return Err(refuse(ResultCode::KeyOwnerGone)),
         Err(_) => return Err(refuse(ResultCode::OutcomeUnknown)),
     };
-    OwnerAnswer::read(response)
+    OwnerResponse::read(response)
         .await
         .ok_or_else(|| refuse(ResultCode::OutcomeUnknown))
 }
--- a/crates/zinniahatch_gateway/src/observe.rs
+++ b/crates/zinniahatch_gateway/src/observe.rs
@@ -71,6 +71,6 @@
             .count();
         self.counters.members.set(live as i64 + 1);
         self.counters.revision.set(config.revision as i64);
-        self.counters.lapses.set(control.lapses() as i64);
+        self.counters.lease_lapses.set(control.lapses() as i64);
     }
 }
--- a/crates/zinniahatch_gateway/src/peer.rs
+++ b/crates/zinniahatch_gateway/src/peer.rs
@@ -1,22 +1,22 @@
 //! Handlers for other nodes.
 
 use crate::GatewayCore;
-use crate::HandedBook;
-use crate::admit::AdmittedCall;
-use crate::admit::CallHead;
-use crate::admit::KnownCaller;
+use crate::KeyTableSnapshot;
+use crate::admit::AdmittedRequest;
+use crate::admit::CallerIdentity;
+use crate::admit::RequestHead;
+use crate::body::inspect_body;
 use crate::body::read_body;
-use crate::body::view_body;
-use crate::caller::CallReply;
+use crate::caller::Reply;
 use crate::caller::serve_body;
 use crate::caller::serve_stream;
 use crate::caller::write_reply;
-use crate::counting::CountGuard;
-use crate::dispatch::RunCall;
-use crate::dispatch::proof_fields;
+use crate::dispatch::OutboundRequest;
+use crate::dispatch::signed_fields;
 use crate::headers;
-use crate::owner::OwnerAnswer;
-use crate::refusal::CallRefusal;
+use crate::key_owner::OwnerResponse;
+use crate::refusal::Refusal;
+use crate::request_count::CountGuard;
 use crate::respond::write_json;
 use crate::respond::write_refusal;
 use crate::run::run_plain;
@@ -36,12 +36,12 @@
 use zinniahatch_control::MintedKey;
 
 /// Bytes of a handover; it carries every kept answer of the node that leaves.
-const HANDOVER_LIMIT: usize = 64 << 20;
-const FETCH_TIME: Duration = Duration::from_secs(2);
+const MAX_HANDOVER_BYTES: usize = 64 << 20;
+const PEER_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// What a node says of itself to another.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct BriefStatus {
+pub struct NodeStatus {
     /// The node.
     pub node: NodeId,
     /// Its data centre.
@@ -66,32 +66,32 @@
 
 /// The keys and answers of a node that leaves.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct HandoverNote {
+pub struct KeyHandover {
     /// Its books.
-    pub books: Vec<HandedBook>,
+    pub books: Vec<KeyTableSnapshot>,
 }
 
 /// A forwarded request with its proof checked.
-struct ProvenCall {
-    admitted: AdmittedCall,
+struct VerifiedRequest {
+    admitted: AdmittedRequest,
     body: Bytes,
 }
 
 /// Runs a request that another data centre sent; there is no way on from here.
-pub(crate) struct AwayHandler(pub(crate) Arc<GatewayCore>);
+pub(crate) struct ForwardedHandler(pub(crate) Arc<GatewayCore>);
 
 #[handler]
-impl AwayHandler {
+impl ForwardedHandler {
     async fn handle(&self, request: &mut Request, response: &mut Response) {
         let core = &self.0;
-        let mut proven = match prove(core, request, "away").await {
-            Ok(proven) => proven,
+        let mut verified = match verify_forwarded(core, request, "away").await {
+            Ok(verified) => verified,
             Err(refusal) => return write_refusal(response, core, "", &refusal),
         };
-        proven.admitted.scope = AskScope::Here;
-        proven.admitted.guest = proven.admitted.who.entry.home != core.identity.region;
-        let reply = run_guest(core, proven).await;
-        let outcome = if matches!(reply, CallReply::Refused(..)) {
+        verified.admitted.scope = AskScope::Here;
+        verified.admitted.guest = verified.admitted.who.entry.home != core.identity.region;
+        let reply = run_forwarded(core, verified).await;
+        let outcome = if matches!(reply, Reply::Refused(..)) {
             "refused"
         } else {
             "taken"
@@ -102,25 +102,25 @@
 }
 
 /// Serves a request whose key is owned here.
-pub(crate) struct OwnedHandler(pub(crate) Arc<GatewayCore>);
+pub(crate) struct KeyOwnerHandler(pub(crate) Arc<GatewayCore>);
 
 #[handler]
-impl OwnedHandler {
+impl KeyOwnerHandler {
     async fn handle(&self, request: &mut Request, response: &mut Response) {
         let core = &self.0;
-        let proven = match prove(core, request, "owned").await {
-            Ok(proven) => proven,
+        let verified = match verify_forwarded(core, request, "owned").await {
+            Ok(verified) => verified,
             Err(refusal) => return write_refusal(response, core, "", &refusal),
         };
         let key =
-            headers::text(&proven.admitted.head.headers, headers::KEY).and_then(MintedKey::parse);
+            headers::text(&verified.admitted.head.headers, headers::KEY).and_then(MintedKey::parse);
         let owned = key.filter(|key| core.keys().owns(key));
         let reply = match owned {
-            Some(key) => serve_body(core, proven.admitted, proven.body, Some(key)).await,
+            Some(key) => serve_body(core, verified.admitted, verified.body, Some(key)).await,
             // The sender was wrong about the owner. A second hop is never made.
-            None => CallReply::Refused(
-                proven.admitted.id,
-                Box::new(CallRefusal::new(ResultCode::KeyOwnerGone)),
+            None => Reply::Refused(
+                verified.admitted.id,
+                Box::new(Refusal::new(ResultCode::KeyOwnerGone)),
             ),
         };
         write_reply(core, response, reply);
@@ -128,12 +128,12 @@
 }
 
 /// Tells another node how this one stands.
-pub(crate) struct BriefHandler(pub(crate) Arc<GatewayCore>);
+pub(crate) struct StatusHandler(pub(crate) Arc<GatewayCore>);
 
 #[handler]
-impl BriefHandler {
+impl StatusHandler {
     async fn handle(&self, response: &mut Response) {
-        write_json(response, &self.0.brief());
+        write_json(response, &self.0.node_status());
     }
 }
 
@@ -147,24 +147,28 @@
         let proof = headers::text(request.headers(), headers::PROOF)
             .unwrap_or_default()
             .to_owned();
-        let Ok(body) = request.payload_with_max_size(HANDOVER_LIMIT).await.cloned() else {
+        let Ok(body) = request
+            .payload_with_max_size(MAX_HANDOVER_BYTES)
+            .await
+            .cloned()
+        else {
             response.status_code(StatusCode::BAD_REQUEST);
             return;
         };
         let digest = blake3::hash(&body).to_hex().to_string();
-        if !core.proof.check(&["handover", &digest], &proof) {
+        if !core.proof.verify(&["handover", &digest], &proof) {
             core.counters.proofs_refused.inc();
             response.status_code(StatusCode::FORBIDDEN);
             return;
         }
-        let Ok(note) = serde_json::from_slice::<HandoverNote>(&body) else {
+        let Ok(note) = serde_json::from_slice::<KeyHandover>(&body) else {
             response.status_code(StatusCode::BAD_REQUEST);
             return;
         };
         let now = Instant::now();
-        let heirs = core.keys().inherit(now, note.books);
+        let owners = core.keys().take_over(now, note.books);
         let mut control = core.control();
-        for (node, incarnation) in heirs {
+        for (node, incarnation) in owners {
             control.add_heir(now, node, incarnation);
         }
         drop(control);
@@ -174,7 +178,7 @@
 
 impl GatewayCore {
     /// Gives how this node stands.
-    pub fn brief(&self) -> BriefStatus {
+    pub fn node_status(&self) -> NodeStatus {
         let control = self.control();
         let config = control.config();
         let now = Instant::now();
@@ -185,7 +189,7 @@
             .filter(|name| control.members().is_live(now, name))
             .count()
             + 1;
-        BriefStatus {
+        NodeStatus {
             node: self.identity.node.clone(),
             data_centre: self.identity.data_centre.clone(),
             region: self.identity.region.clone(),
@@ -194,7 +198,7 @@
             ready: control.is_ready(),
             leaving: control.is_leaving(),
             members,
-            active: self.active(),
+            active: self.in_flight(),
             adopted_ms: self.adopted_ms(),
         }
     }
@@ -203,28 +207,34 @@
     ///
     /// The books are closed before they are sent, so that no key can start here once it might be
     /// known elsewhere.
-    pub async fn hand_over(&self, heir: &str) -> bool {
+    pub async fn hand_over_keys(&self, successor: &str) -> bool {
         let books = self.keys().close(Instant::now());
-        let Ok(body) = serde_json::to_vec(&HandoverNote { books }) else {
+        let Ok(body) = serde_json::to_vec(&KeyHandover { books }) else {
             return false;
         };
         let digest = blake3::hash(&body).to_hex().to_string();
-        let proof = self.proof.make(&["handover", &digest]);
+        let proof = self.proof.sign(&["handover", &digest]);
         let request = self
             .client
-            .post(format!("http://{}/internal/handover", self.reach(heir)))
+            .post(format!(
+                "http://{}/internal/handover",
+                self.translate_address(successor)
+            ))
             .header(headers::PROOF, proof)
-            .timeout(FETCH_TIME * 5)
+            .timeout(PEER_TIMEOUT * 5)
             .body(body);
         matches!(request.send().await, Ok(response) if response.status().is_success())
     }
 
     /// Asks another node how it stands.
-    pub async fn ask_brief(&self, http: &str) -> Option<BriefStatus> {
+    pub async fn fetch_node_status(&self, http: &str) -> Option<NodeStatus> {
         let request = self
             .client
-            .get(format!("http://{}/internal/brief", self.reach(http)))
-            .timeout(FETCH_TIME);
+            .get(format!(
+                "http://{}/internal/brief",
+                self.translate_address(http)
+            ))
+            .timeout(PEER_TIMEOUT);
         request.send().await.ok()?.json().await.ok()
     }
 }
@@ -235,25 +245,28 @@
     address: &str,
     name: &str,
     token: &str,
-) -> Option<OwnerAnswer> {
+) -> Option<OwnerResponse> {
     let request = core
         .client
-        .get(format!("http://{}/v1/answers/{name}", core.reach(address)))
+        .get(format!(
+            "http://{}/v1/answers/{name}",
+            core.translate_address(address)
+        ))
         .bearer_auth(token)
         .header(headers::KEYED, "passed")
-        .timeout(FETCH_TIME);
+        .timeout(PEER_TIMEOUT);
     let response = request.send().await.ok()?;
-    OwnerAnswer::read(response).await
+    OwnerResponse::read(response).await
 }
 
-async fn prove(
+async fn verify_forwarded(
     core: &Arc<GatewayCore>,
     request: &mut Request,
     stage: &str,
-) -> Result<ProvenCall, Box<CallRefusal>> {
+) -> Result<VerifiedRequest, Box<Refusal>> {
     let arrived = Instant::now();
     let config = crate::admit::serving_config(core)?;
-    let bad = |detail: &str| Box::new(CallRefusal::detail(ResultCode::BadRequest, detail));
+    let bad = |detail: &str| Box::new(Refusal::detail(ResultCode::BadRequest, detail));
     let given = request.headers().clone();
     let field = |name: &str| headers::text(&given, name).map(str::to_owned);
     let (Some(id), Some(account), Some(caller), Some(proof)) = (
@@ -263,9 +276,9 @@
         field(headers::PROOF),
     ) else {
         core.counters.proofs_refused.inc();
-        return Err(Box::new(CallRefusal::new(ResultCode::BadCredential)));
+        return Err(Box::new(Refusal::new(ResultCode::BadCredential)));
     };
-    let left: u64 = field(headers::DEADLINE)
+    let remaining_ms: u64 = field(headers::DEADLINE)
         .and_then(|text| text.parse().ok())
         .ok_or_else(|| bad("no deadline"))?;
     let service_name: ServiceId = request
@@ -273,24 +286,24 @@
         .unwrap_or_default()
         .into();
     let Some(service) = config.services.get(&service_name).cloned() else {
-        return Err(Box::new(CallRefusal::new(ResultCode::UnknownService)));
+        return Err(Box::new(Refusal::new(ResultCode::UnknownService)));
     };
     let body = read_body(request, service.body_limit, core.settings.body_timeout).await?;
-    let fields = proof_fields(stage, &id, &account, &caller, left, &body);
+    let fields = signed_fields(stage, &id, &account, &caller, remaining_ms, &body);
     let fields: Vec<&str> = fields.iter().map(|field| &**field).collect();
-    if !core.proof.check(&fields, &proof) {
+    if !core.proof.verify(&fields, &proof) {
         core.counters.proofs_refused.inc();
-        return Err(Box::new(CallRefusal::new(ResultCode::BadCredential)));
+        return Err(Box::new(Refusal::new(ResultCode::BadCredential)));
     }
     let Some(entry) = config.accounts.accounts.get(account.as_str()).cloned() else {
-        return Err(Box::new(CallRefusal::new(ResultCode::BadCredential)));
+        return Err(Box::new(Refusal::new(ResultCode::BadCredential)));
     };
     let rest = request.param::<String>("rest").unwrap_or_default();
     let path = match request.uri().query() {
         Some(query) => format!("/{rest}?{query}"),
         None => format!("/{rest}"),
     };
-    let who = KnownCaller {
+    let who = CallerIdentity {
         account: account.into(),
         caller: caller.into(),
         entry,
@@ -299,25 +312,27 @@
     let bound = service.is_bound(request.method().as_str());
     if bound && !home {
         // A node with an older configuration may have sent a bound request; it is not run here.
-        return Err(Box::new(CallRefusal::new(ResultCode::BoundElsewhere)));
+        return Err(Box::new(Refusal::new(ResultCode::BoundElsewhere)));
     }
-    let active = core.enter(&who.account, 0).ok_or_else(|| bad("no room"))?;
+    let in_flight = core
+        .try_begin(&who.account, 0)
+        .ok_or_else(|| bad("no room"))?;
     let mut count = CountGuard::new(core, &config, &who, &service_name, arrived);
     count.leave_to_sender();
     let work = field(headers::WORK)
         .as_deref()
         .and_then(WorkKind::parse)
         .unwrap_or(service.work);
-    let once = service.is_once(request.method().as_str())
+    let at_most_once = service.is_once(request.method().as_str())
         || field(headers::REPEAT).as_deref() == Some("once");
-    let head = CallHead {
+    let head = RequestHead {
         method: request.method().clone(),
         service: service_name,
         path: path.into(),
         headers: request.headers().clone(),
         arrived,
     };
-    let admitted = AdmittedCall {
+    let admitted = AdmittedRequest {
         id: id.into(),
         config,
         head,
@@ -329,25 +344,25 @@
         service,
         who,
         work,
-        once,
+        at_most_once,
         guest: false,
-        deadline: arrived + Duration::from_millis(left),
+        deadline: arrived + Duration::from_millis(remaining_ms),
         count,
-        active,
+        in_flight,
     };
-    Ok(ProvenCall { admitted, body })
+    Ok(VerifiedRequest { admitted, body })
 }
 
-async fn run_guest(core: &Arc<GatewayCore>, proven: ProvenCall) -> CallReply {
-    let ProvenCall { admitted, body } = proven;
-    let view = match view_body(&admitted, &body) {
-        Ok(view) => view,
-        Err(refusal) => return CallReply::Refused(admitted.id, refusal),
+async fn run_forwarded(core: &Arc<GatewayCore>, verified: VerifiedRequest) -> Reply {
+    let VerifiedRequest { admitted, body } = verified;
+    let info = match inspect_body(&admitted, &body) {
+        Ok(info) => info,
+        Err(refusal) => return Reply::Refused(admitted.id, refusal),
     };
     let resume = headers::text(&admitted.head.headers, headers::RESUME)
         .and_then(|text| text.parse().ok())
         .unwrap_or(0);
-    let call = Arc::new(RunCall {
+    let outbound = Arc::new(OutboundRequest {
         id: admitted.id,
         config: admitted.config,
         service_name: admitted.head.service,
@@ -358,21 +373,21 @@
         key: headers::text(&admitted.head.headers, headers::KEY).map(Box::from),
         headers: admitted.head.headers,
         body,
-        once: admitted.once,
+        at_most_once: admitted.at_most_once,
         work: admitted.work,
         scope: admitted.scope,
         guest: admitted.guest,
         deadline: admitted.deadline,
-        prefix: view.prefix,
-        prompt: view.prompt,
+        prefix: info.prefix,
+        prompt: info.prompt,
         resume,
         sent: AtomicBool::new(false),
     });
-    if call.service.kind == ServiceKind::Engine {
-        return serve_stream(core, call, None, admitted.active).await;
+    if outbound.service.kind == ServiceKind::Engine {
+        return serve_stream(core, outbound, None, admitted.in_flight).await;
     }
-    match run_plain(core, &call).await {
-        Ok(answer) => CallReply::Whole(Arc::new(answer)),
-        Err(refusal) => CallReply::Refused(call.id.clone(), refusal),
+    match run_plain(core, &outbound).await {
+        Ok(answer) => Reply::Complete(Arc::new(answer)),
+        Err(refusal) => Reply::Refused(outbound.id.clone(), refusal),
     }
 }
--- a/crates/zinniahatch_gateway/src/proof.rs
+++ b/crates/zinniahatch_gateway/src/peer_auth.rs
@@ -5,11 +5,11 @@
 
 /// Makes and checks proofs.
 #[derive(Clone)]
-pub struct PeerProof {
+pub struct PeerAuth {
     key: [u8; 32],
 }
 
-impl PeerProof {
+impl PeerAuth {
     /// Makes a prover from the secret of the settings.
     pub fn new(secret: &str) -> Self {
         Self {
@@ -18,7 +18,7 @@
     }
 
     /// Gives the proof for the fields that a forwarded request must not change.
-    pub fn make(&self, fields: &[&str]) -> String {
+    pub fn sign(&self, fields: &[&str]) -> String {
         let mut hasher = blake3::Hasher::new_keyed(&self.key);
         for field in fields {
             hasher.update(&(field.len() as u64).to_le_bytes());
@@ -28,10 +28,10 @@
     }
 
     /// Checks a proof in a time that does not depend on it.
-    pub fn check(&self, fields: &[&str], proof: &str) -> bool {
+    pub fn verify(&self, fields: &[&str], proof: &str) -> bool {
         let Ok(given) = blake3::Hash::from_hex(proof) else {
             return false;
         };
-        blake3::Hash::from_hex(self.make(fields)).is_ok_and(|expected| expected == given)
+        blake3::Hash::from_hex(self.sign(fields)).is_ok_and(|expected| expected == given)
     }
 }
--- a/crates/zinniahatch_gateway/src/placing.rs
+++ b/crates/zinniahatch_gateway/src/placement.rs
@@ -2,7 +2,7 @@
 
 use crate::GatewayCore;
 use crate::core::lock;
-use crate::refusal::CallRefusal;
+use crate::refusal::Refusal;
 use std::sync::Arc;
 use std::sync::Mutex;
 use tokio::sync::oneshot;
@@ -20,20 +20,20 @@
 }
 
 /// Where a request goes.
-pub(crate) enum CallPlace {
+pub(crate) enum Assignment {
     /// A slot of this data centre.
     Slot(SlotGuard),
     /// One of these nodes of another data centre.
-    Away(DataCentreId, Vec<EntryAddress>),
+    Remote(DataCentreId, Vec<EntryAddress>),
 }
 
 /// What a request learns of its place.
-type PlaceResult = Result<CallPlace, Box<CallRefusal>>;
+type AssignmentResult = Result<Assignment, Box<Refusal>>;
 
 /// Requests that wait for a decision of the tables.
 #[derive(Default)]
 pub(crate) struct WaiterTable {
-    waiters: Mutex<BTreeMap<u64, oneshot::Sender<PlaceResult>>>,
+    waiters: Mutex<BTreeMap<u64, oneshot::Sender<AssignmentResult>>>,
 }
 
 impl SlotGuard {
@@ -86,37 +86,40 @@
 }
 
 /// Gets a place for a request.
-pub(crate) async fn find_place(core: &Arc<GatewayCore>, ask: PlaceAsk) -> PlaceResult {
+pub(crate) async fn wait_for_assignment(
+    core: &Arc<GatewayCore>,
+    query: PlaceAsk,
+) -> AssignmentResult {
     let receiver = {
         let mut control = core.control();
-        let placement = control.place(Instant::now(), &ask);
+        let placement = control.place(Instant::now(), &query);
         if placement != Placement::Wait {
             drop(control);
-            return convert(core, placement);
+            return to_assignment(core, placement);
         }
         let (sender, receiver) = oneshot::channel();
-        lock(&core.waiters.waiters).insert(ask.number, sender);
+        lock(&core.waiters.waiters).insert(query.number, sender);
         receiver
     };
     core.wake.notify_one();
     let _guard = WaitGuard {
         core,
-        service: &ask.service,
-        number: ask.number,
+        service: &query.service,
+        number: query.number,
     };
     match receiver.await {
         Ok(place) => place,
-        Err(_) => Err(Box::new(CallRefusal::new(ResultCode::QueueFull))),
+        Err(_) => Err(Box::new(Refusal::new(ResultCode::QueueFull))),
     }
 }
 
 /// Gets a slot of this data centre if one is free now, for a hedge.
-pub(crate) fn find_now(core: &Arc<GatewayCore>, ask: &PlaceAsk) -> Option<SlotGuard> {
+pub(crate) fn try_assign_now(core: &Arc<GatewayCore>, query: &PlaceAsk) -> Option<SlotGuard> {
     let mut control = core.control();
-    match control.place(Instant::now(), ask) {
+    match control.place(Instant::now(), query) {
         Placement::Run(ticket) => Some(SlotGuard::new(core, ticket)),
         Placement::Wait => {
-            control.withdraw(&ask.service, ask.number);
+            control.withdraw(&query.service, query.number);
             None
         }
         Placement::Away(..) | Placement::Refuse(..) => None,
@@ -125,11 +128,11 @@
 
 impl GatewayCore {
     /// Hands the decisions of the tables to the requests that wait for them.
-    pub fn hand_out(self: &Arc<Self>, decisions: Vec<(u64, Placement)>) {
+    pub fn deliver_placements(self: &Arc<Self>, decisions: Vec<(u64, Placement)>) {
         for (number, placement) in decisions {
             // Converted before the sender is looked up: a slot whose request has gone is then
             // dropped as a guard and so given back.
-            let place = convert(self, placement);
+            let place = to_assignment(self, placement);
             let sender = lock(&self.waiters.waiters).remove(&number);
             if let Some(sender) = sender {
                 let _ = sender.send(place);
@@ -138,11 +141,11 @@
     }
 }
 
-fn convert(core: &Arc<GatewayCore>, placement: Placement) -> PlaceResult {
+fn to_assignment(core: &Arc<GatewayCore>, placement: Placement) -> AssignmentResult {
     match placement {
-        Placement::Run(ticket) => Ok(CallPlace::Slot(SlotGuard::new(core, ticket))),
-        Placement::Away(data_centre, entries) => Ok(CallPlace::Away(data_centre, entries)),
-        Placement::Refuse(code, after) => Err(Box::new(CallRefusal::retry_after(code, after))),
-        Placement::Wait => Err(Box::new(CallRefusal::new(ResultCode::QueueFull))),
+        Placement::Run(ticket) => Ok(Assignment::Slot(SlotGuard::new(core, ticket))),
+        Placement::Away(data_centre, entries) => Ok(Assignment::Remote(data_centre, entries)),
+        Placement::Refuse(code, after) => Err(Box::new(Refusal::retry_after(code, after))),
+        Placement::Wait => Err(Box::new(Refusal::new(ResultCode::QueueFull))),
     }
 }
--- a/crates/zinniahatch_gateway/src/refusal.rs
+++ b/crates/zinniahatch_gateway/src/refusal.rs
@@ -6,7 +6,7 @@
 
 /// Why a request gets no answer of a backend server.
 #[derive(Clone, Debug, PartialEq)]
-pub(crate) struct CallRefusal {
+pub(crate) struct Refusal {
     pub(crate) code: ResultCode,
     pub(crate) retry_after: Option<Duration>,
     pub(crate) entries: Vec<EntryAddress>,
@@ -31,7 +31,7 @@
     entries: Vec<&'a str>,
 }
 
-impl CallRefusal {
+impl Refusal {
     pub(crate) fn new(code: ResultCode) -> Self {
         Self {
             code,
--- a/crates/zinniahatch_gateway/src/report_read.rs
+++ b/crates/zinniahatch_gateway/src/report_read.rs
@@ -9,7 +9,7 @@
 use zinniahatch_report::HourLedger;
 
 /// Reads in flight for one report, far below the store's rate.
-const READS_AT_ONCE: usize = 8;
+const CONCURRENT_READS: usize = 8;
 const PREFIX: &str = "report/";
 
 /// Gives the key of one data centre's counts of one shard and hour.
@@ -47,7 +47,7 @@
         .filter(|key| hour_of(key).is_some_and(|hour| (from..=until + 1).contains(&hour)));
     let mut values = stream::iter(wanted)
         .map(|key| async move { (store.get(&key).await, key) })
-        .buffer_unordered(READS_AT_ONCE);
+        .buffer_unordered(CONCURRENT_READS);
     while let Some((result, key)) = values.next().await {
         let ledger = match result {
             Ok(Some(value)) => serde_json::from_str::<HourLedger>(&value.value).ok(),
--- a/crates/zinniahatch_gateway/src/counting.rs
+++ b/crates/zinniahatch_gateway/src/request_count.rs
@@ -1,9 +1,9 @@
 //! Last stage: each request is counted once, whatever became of it.
 
 use crate::GatewayCore;
-use crate::admit::KnownCaller;
-use crate::answer::TokenUsage;
+use crate::admit::CallerIdentity;
 use crate::core::epoch_seconds;
+use crate::response::TokenUsage;
 use std::sync::Arc;
 use zinniahatch_base::prelude::*;
 use zinniahatch_config::ClusterConfig;
@@ -12,7 +12,7 @@
 
 const SECONDS_PER_HOUR: u64 = 3_600;
 /// Millionths in one unit of money.
-const MICROS: f64 = 1e6;
+const MICROS_PER_UNIT: f64 = 1e6;
 
 /// Counts one request when it is settled, or as given up by its caller when it is dropped.
 pub(crate) struct CountGuard {
@@ -28,7 +28,7 @@
     pub(crate) fn new(
         core: &Arc<GatewayCore>,
         config: &Arc<ClusterConfig>,
-        who: &KnownCaller,
+        who: &CallerIdentity,
         service: &ServiceId,
         arrived: Instant,
     ) -> Self {
@@ -58,17 +58,17 @@
     }
 
     /// Notes the first byte.
-    pub(crate) fn mark_first(&mut self) {
+    pub(crate) fn mark_first_byte(&mut self) {
         self.first_byte.get_or_insert(self.arrived.elapsed());
     }
 
     /// Notes what the answer used.
-    pub(crate) fn note_usage(&mut self, usage: TokenUsage) {
+    pub(crate) fn set_usage(&mut self, usage: TokenUsage) {
         self.usage = usage;
     }
 
     /// Notes the region that served.
-    pub(crate) fn note_served(&mut self, region: &RegionId) {
+    pub(crate) fn set_served_region(&mut self, region: &RegionId) {
         if let Some(key) = &mut self.key {
             key.served.clone_from(region);
         }
@@ -80,7 +80,7 @@
     }
 
     /// Counts the request.
-    pub(crate) fn settle(&mut self, code: ResultCode) {
+    pub(crate) fn record_result(&mut self, code: ResultCode) {
         let Some(mut key) = self.key.take() else {
             return;
         };
@@ -108,18 +108,18 @@
                 usage.completion_tokens,
                 away,
             );
-            row.cost_micros = (cost * MICROS) as u64;
+            row.cost_micros = (cost * MICROS_PER_UNIT) as u64;
         }
         if let Some(first) = self.first_byte {
             row.first_byte.record(first);
         }
         row.whole.record(self.arrived.elapsed());
-        self.core.book().add(key, &row);
+        self.core.counts().add(key, &row);
     }
 }
 
 impl Drop for CountGuard {
     fn drop(&mut self) {
-        self.settle(ResultCode::CallerGone);
+        self.record_result(ResultCode::CallerGone);
     }
 }
--- a/crates/zinniahatch_gateway/src/respond.rs
+++ b/crates/zinniahatch_gateway/src/respond.rs
@@ -1,14 +1,14 @@
 //! Giving answers: whole, as a stream, or as a refusal.
 
 use crate::GatewayCore;
-use crate::answer::KeptAnswer;
-use crate::answer::TokenUsage;
-use crate::core::ActiveGuard;
-use crate::counting::CountGuard;
-use crate::dispatch::RunCall;
+use crate::core::InFlightGuard;
+use crate::dispatch::OutboundRequest;
 use crate::engine_stream::EngineStream;
 use crate::headers;
-use crate::refusal::CallRefusal;
+use crate::refusal::Refusal;
+use crate::request_count::CountGuard;
+use crate::response::CachedResponse;
+use crate::response::TokenUsage;
 use crate::sse::token_text;
 use bytes::Bytes;
 use futures_util::stream;
@@ -48,17 +48,17 @@
     stream: EngineStream,
     first: Option<Bytes>,
     count: Option<CountGuard>,
-    _active: ActiveGuard,
+    _in_flight: InFlightGuard,
     failed: bool,
 }
 
 /// Reads a model's whole answer, for callers that want it in one piece.
 pub(crate) async fn collect_stream(
     core: &Arc<GatewayCore>,
-    call: Arc<RunCall>,
-) -> Result<KeptAnswer, Box<CallRefusal>> {
+    outbound: Arc<OutboundRequest>,
+) -> Result<CachedResponse, Box<Refusal>> {
     let started = Instant::now();
-    let mut stream = EngineStream::open(core, Arc::clone(&call)).await?;
+    let mut stream = EngineStream::open(core, Arc::clone(&outbound)).await?;
     let mut first_byte = None;
     let mut content = String::new();
     while let Some(events) = stream.next().await? {
@@ -66,7 +66,7 @@
         content.push_str(&token_text(&events));
     }
     let answer = ChatAnswer {
-        id: &call.id,
+        id: &outbound.id,
         object: "chat.completion",
         choices: [ChatChoice {
             index: 0,
@@ -79,13 +79,13 @@
         usage: stream.usage(),
     };
     let body = serde_json::to_vec(&answer).unwrap_or_default();
-    Ok(KeptAnswer {
-        request: call.id.clone(),
+    Ok(CachedResponse {
+        request: outbound.id.clone(),
         status: 200,
         headers: vec![("content-type".into(), "application/json".into())],
         body: body.into(),
         code: ResultCode::Answered,
-        revision: call.config.revision,
+        revision: outbound.config.revision,
         served: stream.served.clone(),
         usage: stream.usage(),
         first_byte: first_byte.unwrap_or_default(),
@@ -93,12 +93,12 @@
 }
 
 /// Writes a whole answer.
-pub(crate) fn write_answer(response: &mut Response, answer: &KeptAnswer) {
+pub(crate) fn write_response(response: &mut Response, answer: &CachedResponse) {
     response.status_code(StatusCode::from_u16(answer.status).unwrap_or(StatusCode::BAD_GATEWAY));
     for (name, value) in &answer.headers {
         set(response, name, value);
     }
-    write_marks(
+    write_standard_headers(
         response,
         &answer.request,
         answer.revision,
@@ -113,13 +113,13 @@
     response: &mut Response,
     core: &GatewayCore,
     request: &str,
-    refusal: &CallRefusal,
+    refusal: &Refusal,
 ) {
     response.status_code(
         StatusCode::from_u16(refusal.code.status()).unwrap_or(StatusCode::BAD_GATEWAY),
     );
     let revision = core.control().ledger().revision();
-    write_marks(
+    write_standard_headers(
         response,
         request,
         revision,
@@ -139,7 +139,7 @@
 }
 
 /// Writes the headers that every answer carries.
-pub(crate) fn write_marks(
+pub(crate) fn write_standard_headers(
     response: &mut Response,
     request: &str,
     revision: Revision,
@@ -159,32 +159,32 @@
     stream: EngineStream,
     first: Bytes,
     mut count: Option<CountGuard>,
-    active: ActiveGuard,
+    in_flight: InFlightGuard,
 ) {
     response.status_code(StatusCode::OK);
     set(response, "content-type", "text/event-stream");
     set(response, "cache-control", "no-cache");
-    write_marks(
+    write_standard_headers(
         response,
-        &stream.call.id,
-        stream.call.config.revision,
+        &stream.outbound.id,
+        stream.outbound.config.revision,
         &stream.served,
         ResultCode::Answered,
     );
     if let Some(count) = &mut count {
-        count.mark_first();
+        count.mark_first_byte();
     }
     let state = StreamState {
         stream,
         first: Some(first),
         count,
-        _active: active,
+        _in_flight: in_flight,
         failed: false,
     };
-    response.body(ResBody::stream(Box::pin(stream::unfold(state, step))));
+    response.body(ResBody::stream(Box::pin(stream::unfold(state, next_chunk))));
 }
 
-async fn step(mut state: StreamState) -> Option<(Result<Bytes, io::Error>, StreamState)> {
+async fn next_chunk(mut state: StreamState) -> Option<(Result<Bytes, io::Error>, StreamState)> {
     if state.failed {
         // The connection is broken off, so that no caller takes the cut answer for a whole one.
         return Some((Err(io::Error::other("the answer was cut off")), state));
@@ -194,17 +194,17 @@
     }
     match state.stream.next().await {
         Ok(Some(events)) => {
-            if state.stream.is_whole() {
-                state.settle(ResultCode::Answered);
+            if state.stream.is_complete() {
+                state.record_result(ResultCode::Answered);
             }
             Some((Ok(events), state))
         }
         Ok(None) => {
-            state.settle(ResultCode::Answered);
+            state.record_result(ResultCode::Answered);
             None
         }
         Err(refusal) => {
-            state.settle(refusal.code);
+            state.record_result(refusal.code);
             state.failed = true;
             let body = serde_json::to_string(&refusal.body()).unwrap_or_default();
             Some((
@@ -216,11 +216,11 @@
 }
 
 impl StreamState {
-    fn settle(&mut self, code: ResultCode) {
+    fn record_result(&mut self, code: ResultCode) {
         if let Some(mut count) = self.count.take() {
-            count.note_usage(self.stream.usage());
-            count.note_served(&self.stream.served);
-            count.settle(code);
+            count.set_usage(self.stream.usage());
+            count.set_served_region(&self.stream.served);
+            count.record_result(code);
         }
     }
 }
--- a/crates/zinniahatch_gateway/src/answer.rs
+++ b/crates/zinniahatch_gateway/src/response.rs
@@ -22,7 +22,7 @@
 
 /// An answer whose end was seen.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub(crate) struct KeptAnswer {
+pub(crate) struct CachedResponse {
     pub(crate) request: RequestId,
     pub(crate) status: u16,
     pub(crate) headers: Vec<(Box<str>, Box<str>)>,
--- a/crates/zinniahatch_gateway/src/shelf.rs
+++ b/crates/zinniahatch_gateway/src/response_cache.rs
@@ -1,27 +1,27 @@
 //! Answers kept for collection, in bounded memory.
 
-use crate::answer::KeptAnswer;
+use crate::response::CachedResponse;
 use std::collections::VecDeque;
 use std::sync::Arc;
 use zinniahatch_base::prelude::*;
 
 /// Answers by request id; the oldest go first.
 #[derive(Debug)]
-pub(crate) struct AnswerShelf {
+pub(crate) struct ResponseCache {
     limit: usize,
     size: usize,
-    answers: BTreeMap<RequestId, ShelfLine>,
+    answers: BTreeMap<RequestId, CacheEntry>,
     order: VecDeque<RequestId>,
 }
 
 #[derive(Debug)]
-struct ShelfLine {
+struct CacheEntry {
     account: AccountId,
     until: Instant,
-    answer: Arc<KeptAnswer>,
+    answer: Arc<CachedResponse>,
 }
 
-impl AnswerShelf {
+impl ResponseCache {
     pub(crate) fn new(limit: usize) -> Self {
         Self {
             limit,
@@ -36,7 +36,7 @@
         now: Instant,
         account: &str,
         request: &str,
-    ) -> Option<Arc<KeptAnswer>> {
+    ) -> Option<Arc<CachedResponse>> {
         self.answers
             .get(request)
             .filter(|line| &*line.account == account && now < line.until)
@@ -48,13 +48,13 @@
         request: RequestId,
         account: AccountId,
         until: Instant,
-        answer: Arc<KeptAnswer>,
+        answer: Arc<CachedResponse>,
     ) {
         self.size += answer.body.len();
         self.order.push_back(request.clone());
         self.answers.insert(
             request,
-            ShelfLine {
+            CacheEntry {
                 account,
                 until,
                 answer,
--- a/crates/zinniahatch_gateway/src/run.rs
+++ b/crates/zinniahatch_gateway/src/run.rs
@@ -1,18 +1,18 @@
 //! Running a request: attempts, retries and hedges until an answer begins.
 
 use crate::GatewayCore;
-use crate::answer::KeptAnswer;
-use crate::answer::TokenUsage;
-use crate::dispatch::RunCall;
+use crate::dispatch::OutboundRequest;
 use crate::dispatch::SendFailure;
-use crate::dispatch::send_away;
+use crate::dispatch::send_remote;
 use crate::dispatch::send_replica;
 use crate::headers;
-use crate::placing::CallPlace;
-use crate::placing::SlotGuard;
-use crate::placing::find_now;
-use crate::placing::find_place;
-use crate::refusal::CallRefusal;
+use crate::placement::Assignment;
+use crate::placement::SlotGuard;
+use crate::placement::try_assign_now;
+use crate::placement::wait_for_assignment;
+use crate::refusal::Refusal;
+use crate::response::CachedResponse;
+use crate::response::TokenUsage;
 use bytes::Bytes;
 use bytes::BytesMut;
 use reqwest::Response;
@@ -26,22 +26,22 @@
 use zinniahatch_control::BackendMark;
 
 /// Attempts for one request, the first included.
-const MOST_ATTEMPTS: u32 = 6;
+const MAX_ATTEMPTS: u32 = 6;
 /// Bytes of an answer that is passed on whole.
-const ANSWER_LIMIT: usize = 32 << 20;
+const MAX_RESPONSE_BYTES: usize = 32 << 20;
 
 /// Where an answer comes from; the slot is held until this is dropped.
-pub(crate) enum AnswerSource {
+pub(crate) enum ResponseSource {
     /// A backend server of this data centre: its slot, its address, the id it knows.
     Slot(SlotGuard, Box<str>, Box<str>),
     /// A node of another data centre.
-    Away(DataCentreId),
+    Remote(DataCentreId),
 }
 
 /// An answer that has begun.
-pub(crate) struct OpenAnswer {
+pub(crate) struct OpenResponse {
     pub(crate) response: Response,
-    pub(crate) source: AnswerSource,
+    pub(crate) source: ResponseSource,
 }
 
 /// What an attempt learns for the next one.
@@ -53,67 +53,67 @@
 }
 
 /// Gets an answer to begin, within the deadline.
-pub(crate) async fn open_answer(
+pub(crate) async fn open_response(
     core: &Arc<GatewayCore>,
-    call: &RunCall,
+    outbound: &OutboundRequest,
     state: &mut AttemptState,
     resume: u64,
-) -> Result<OpenAnswer, Box<CallRefusal>> {
-    let deadline = TokioInstant::from_std(call.deadline);
-    match timeout_at(deadline, try_open(core, call, state, resume)).await {
+) -> Result<OpenResponse, Box<Refusal>> {
+    let deadline = TokioInstant::from_std(outbound.deadline);
+    match timeout_at(deadline, try_open(core, outbound, state, resume)).await {
         Ok(Err(mut refusal))
-            if refusal.code.execution() == Execution::NotRun && call.was_sent() =>
+            if refusal.code.execution() == Execution::NotRun && outbound.was_sent() =>
         {
             // An attempt before this refusal may have run.
             refusal.code = ResultCode::OutcomeUnknown;
             Err(refusal)
         }
         Ok(result) => result,
-        Err(_) if call.was_sent() => Err(Box::new(CallRefusal::new(ResultCode::DeadlineRunning))),
-        Err(_) => Err(Box::new(CallRefusal::new(ResultCode::DeadlinePassed))),
+        Err(_) if outbound.was_sent() => Err(Box::new(Refusal::new(ResultCode::DeadlineRunning))),
+        Err(_) => Err(Box::new(Refusal::new(ResultCode::DeadlinePassed))),
     }
 }
 
 /// Runs a plain service's request and reads its whole answer.
 pub(crate) async fn run_plain(
     core: &Arc<GatewayCore>,
-    call: &RunCall,
-) -> Result<KeptAnswer, Box<CallRefusal>> {
+    outbound: &OutboundRequest,
+) -> Result<CachedResponse, Box<Refusal>> {
     let mut state = AttemptState::default();
     let started = Instant::now();
     loop {
-        let open = open_answer(core, call, &mut state, 0).await?;
+        let open = open_response(core, outbound, &mut state, 0).await?;
         let first_byte = started.elapsed();
-        let deadline = TokioInstant::from_std(call.deadline);
+        let deadline = TokioInstant::from_std(outbound.deadline);
         let served = served_region(core, &open.response);
         let status = open.response.status().as_u16();
-        let headers = kept_headers(&open.response);
-        let body = match timeout_at(deadline, read_whole(core, call, open.response)).await {
+        let headers = response_headers(&open.response);
+        let body = match timeout_at(deadline, read_whole(core, outbound, open.response)).await {
             Ok(Ok(body)) => body,
             Ok(Err(reason)) => {
                 // The answer began, so the request ran; only a repeatable one is sent again.
-                if call.once {
-                    return Err(Box::new(CallRefusal::new(ResultCode::OutcomeUnknown)));
+                if outbound.at_most_once {
+                    return Err(Box::new(Refusal::new(ResultCode::OutcomeUnknown)));
                 }
                 avoid_source(&mut state, &open.source);
                 drop(open.source);
-                spend_retry(core, call, &mut state, reason, ResultCode::AnswerCutOff)?;
+                take_retry(core, outbound, &mut state, reason, ResultCode::AnswerCutOff)?;
                 continue;
             }
-            Err(_) => return Err(Box::new(CallRefusal::new(ResultCode::DeadlineRunning))),
+            Err(_) => return Err(Box::new(Refusal::new(ResultCode::DeadlineRunning))),
         };
         let code = if status >= 500 {
             ResultCode::BackendError
         } else {
             ResultCode::Answered
         };
-        return Ok(KeptAnswer {
-            request: call.id.clone(),
+        return Ok(CachedResponse {
+            request: outbound.id.clone(),
             status,
             headers,
             body,
             code,
-            revision: call.config.revision,
+            revision: outbound.config.revision,
             served,
             usage: TokenUsage::default(),
             first_byte,
@@ -128,28 +128,28 @@
 }
 
 /// Notes that the source of a broken answer shall not be tried again.
-pub(crate) fn avoid_source(state: &mut AttemptState, source: &AnswerSource) {
+pub(crate) fn avoid_source(state: &mut AttemptState, source: &ResponseSource) {
     match source {
-        AnswerSource::Slot(guard, _, _) => {
+        ResponseSource::Slot(guard, _, _) => {
             state.avoid.insert(tag_of(guard.replica()));
         }
-        AnswerSource::Away(data_centre) => {
+        ResponseSource::Remote(data_centre) => {
             state.avoid_centres.insert(data_centre.clone());
         }
     }
 }
 
 /// Takes a retry from the budget, or gives the refusal that ends the request.
-pub(crate) fn spend_retry(
+pub(crate) fn take_retry(
     core: &GatewayCore,
-    call: &RunCall,
+    outbound: &OutboundRequest,
     state: &mut AttemptState,
     reason: &str,
-    otherwise: ResultCode,
-) -> Result<(), Box<CallRefusal>> {
+    exhausted_code: ResultCode,
+) -> Result<(), Box<Refusal>> {
     state.attempts += 1;
-    let allowed = state.attempts < MOST_ATTEMPTS
-        && Instant::now() < call.deadline
+    let allowed = state.attempts < MAX_ATTEMPTS
+        && Instant::now() < outbound.deadline
         && core.retry_budget().spend();
     if allowed {
         core.counters.retries.with_label_values(&[reason]).inc();
@@ -159,8 +159,8 @@
         .retries_denied
         .with_label_values(&[reason])
         .inc();
-    Err(Box::new(CallRefusal::retry_after(
-        otherwise,
+    Err(Box::new(Refusal::retry_after(
+        exhausted_code,
         Duration::from_secs(1),
     )))
 }
@@ -177,22 +177,23 @@
 
 async fn try_open(
     core: &Arc<GatewayCore>,
-    call: &RunCall,
+    outbound: &OutboundRequest,
     state: &mut AttemptState,
     resume: u64,
-) -> Result<OpenAnswer, Box<CallRefusal>> {
-    core.retry_budget().earn(call.config.preset().retry_budget);
+) -> Result<OpenResponse, Box<Refusal>> {
+    core.retry_budget()
+        .earn(outbound.config.preset().retry_budget);
     loop {
-        let ask = call.ask(core, &state.avoid, &state.avoid_centres);
-        match find_place(core, ask).await? {
-            CallPlace::Slot(guard) => {
-                if let Some(open) = try_slot(core, call, state, guard, resume).await? {
+        let query = outbound.placement_query(core, &state.avoid, &state.avoid_centres);
+        match wait_for_assignment(core, query).await? {
+            Assignment::Slot(guard) => {
+                if let Some(open) = try_slot(core, outbound, state, guard, resume).await? {
                     return Ok(open);
                 }
             }
-            CallPlace::Away(data_centre, entries) => {
+            Assignment::Remote(data_centre, entries) => {
                 if let Some(open) =
-                    try_away(core, call, state, &data_centre, &entries, resume).await?
+                    try_remote(core, outbound, state, &data_centre, &entries, resume).await?
                 {
                     return Ok(open);
                 }
@@ -204,13 +205,13 @@
 /// Tries a slot; `None` means that another place may be tried.
 async fn try_slot(
     core: &Arc<GatewayCore>,
-    call: &RunCall,
+    outbound: &OutboundRequest,
     state: &mut AttemptState,
     mut guard: SlotGuard,
     resume: u64,
-) -> Result<Option<OpenAnswer>, Box<CallRefusal>> {
+) -> Result<Option<OpenResponse>, Box<Refusal>> {
     let tag = tag_of(guard.replica());
-    let Some(address) = call
+    let Some(address) = outbound
         .config
         .backends
         .get(guard.replica())
@@ -219,18 +220,18 @@
         state.avoid.insert(tag);
         return Ok(None);
     };
-    let id = attempt_id(call, state);
-    let failure = match send_hedged(core, call, state, &address, &id, resume).await {
-        HedgedEnd::Second(open) => return Ok(Some(open)),
-        HedgedEnd::First(Ok(response)) => {
-            let source = AnswerSource::Slot(guard, address, id.into());
-            return Ok(Some(OpenAnswer { response, source }));
+    let id = attempt_id(outbound, state);
+    let failure = match send_hedged(core, outbound, state, &address, &id, resume).await {
+        HedgeResult::Second(open) => return Ok(Some(open)),
+        HedgeResult::First(Ok(response)) => {
+            let source = ResponseSource::Slot(guard, address, id.into());
+            return Ok(Some(OpenResponse { response, source }));
         }
-        HedgedEnd::First(Err(failure)) => failure,
+        HedgeResult::First(Err(failure)) => failure,
     };
     state.avoid.insert(tag);
     let now = Instant::now();
-    let (reason, otherwise) = match failure {
+    let (reason, exhausted_code) = match failure {
         SendFailure::NotSent => {
             core.control()
                 .backends_mut()
@@ -255,107 +256,112 @@
             core.control()
                 .backends_mut()
                 .mark(now, tag, BackendMark::Unreached);
-            if call.once {
-                return Err(Box::new(CallRefusal::new(ResultCode::OutcomeUnknown)));
+            if outbound.at_most_once {
+                return Err(Box::new(Refusal::new(ResultCode::OutcomeUnknown)));
             }
             ("broken", ResultCode::OutcomeUnknown)
         }
     };
     drop(guard);
-    spend_retry(core, call, state, reason, otherwise)?;
+    take_retry(core, outbound, state, reason, exhausted_code)?;
     Ok(None)
 }
 
 /// Which of two sends ended the race.
-enum HedgedEnd {
+enum HedgeResult {
     First(Result<Response, SendFailure>),
-    Second(OpenAnswer),
+    Second(OpenResponse),
 }
 
 /// Sends to a slot, and to a second one when the first does not answer in time.
 async fn send_hedged(
     core: &Arc<GatewayCore>,
-    call: &RunCall,
+    outbound: &OutboundRequest,
     state: &AttemptState,
     address: &str,
     id: &str,
     resume: u64,
-) -> HedgedEnd {
-    let preset = call.config.preset();
-    let first = send_replica(core, call, address, id, resume);
-    if call.once || preset.hedge_after.is_zero() || preset.hedge_budget <= 0.0 {
-        return HedgedEnd::First(first.await);
+) -> HedgeResult {
+    let preset = outbound.config.preset();
+    let first = send_replica(core, outbound, address, id, resume);
+    if outbound.at_most_once || preset.hedge_after.is_zero() || preset.hedge_budget <= 0.0 {
+        return HedgeResult::First(first.await);
     }
     core.hedge_budget().earn(preset.hedge_budget);
     tokio::pin!(first);
     tokio::select! {
-        result = &mut first => return HedgedEnd::First(result),
+        result = &mut first => return HedgeResult::First(result),
         () = sleep(preset.hedge_after) => {}
     }
-    let Some((guard, second_address)) = hedge_slot(core, call, state, address) else {
-        return HedgedEnd::First(first.await);
+    let Some((guard, second_address)) = assign_hedge(core, outbound, state, address) else {
+        return HedgeResult::First(first.await);
     };
     let second_id = format!("{id}-h");
-    let second = send_replica(core, call, &second_address, &second_id, resume);
+    let second = send_replica(core, outbound, &second_address, &second_id, resume);
     tokio::pin!(second);
     tokio::select! {
         result = &mut first => {
             core.counters.hedges.with_label_values(&["lost"]).inc();
             cancel(core, &second_address, &second_id, "hedge");
-            HedgedEnd::First(result)
+            HedgeResult::First(result)
         }
         result = &mut second => {
             let Ok(response) = result else {
                 core.counters.hedges.with_label_values(&["failed"]).inc();
-                return HedgedEnd::First(first.await);
+                return HedgeResult::First(first.await);
             };
             core.counters.hedges.with_label_values(&["won"]).inc();
             cancel(core, address, id, "hedge");
-            let source = AnswerSource::Slot(guard, second_address.clone(), second_id.as_str().into());
-            HedgedEnd::Second(OpenAnswer { response, source })
+            let source = ResponseSource::Slot(guard, second_address.clone(), second_id.as_str().into());
+            HedgeResult::Second(OpenResponse { response, source })
         }
     }
 }
 
-fn hedge_slot(
+fn assign_hedge(
     core: &Arc<GatewayCore>,
-    call: &RunCall,
+    outbound: &OutboundRequest,
     state: &AttemptState,
     first: &str,
 ) -> Option<(SlotGuard, Box<str>)> {
     let mut avoid = state.avoid.clone();
-    for (name, backend) in &call.config.backends {
+    for (name, backend) in &outbound.config.backends {
         if &*backend.address == first {
             avoid.insert(tag_of(name));
         }
     }
-    let mut ask = call.ask(core, &avoid, &state.avoid_centres);
-    ask.scope = AskScope::Here;
+    let mut query = outbound.placement_query(core, &avoid, &state.avoid_centres);
+    query.scope = AskScope::Here;
     if !core.hedge_budget().spend() {
         core.counters.hedges.with_label_values(&["no budget"]).inc();
         return None;
     }
-    let guard = find_now(core, &ask)?;
-    let address = call.config.backends.get(guard.replica())?.address.clone();
+    let guard = try_assign_now(core, &query)?;
+    let address = outbound
+        .config
+        .backends
+        .get(guard.replica())?
+        .address
+        .clone();
     Some((guard, address))
 }
 
 /// Tries the nodes of another data centre; `None` means that another place may be tried.
-async fn try_away(
+async fn try_remote(
     core: &Arc<GatewayCore>,
-    call: &RunCall,
+    outbound: &OutboundRequest,
     state: &mut AttemptState,
     data_centre: &DataCentreId,
     entries: &[zinniahatch_protocol::EntryAddress],
     resume: u64,
-) -> Result<Option<OpenAnswer>, Box<CallRefusal>> {
+) -> Result<Option<OpenResponse>, Box<Refusal>> {
     for entry in entries {
-        match send_away(core, call, entry, resume).await {
+        match send_remote(core, outbound, entry, resume).await {
             Ok(response) => {
                 core.counters.away.with_label_values(&["taken"]).inc();
-                return Ok(Some(OpenAnswer {
+                return Ok(Some(OpenResponse {
                     response,
-                    source: AnswerSource::Away(data_centre.clone()),
+                    source: ResponseSource::Remote(data_centre.clone()),
                 }));
             }
             Err(SendFailure::NotSent) => core.counters.away.with_label_values(&["unreached"]).inc(),
@@ -365,8 +371,8 @@
             }
             Err(SendFailure::Broken) => {
                 core.counters.away.with_label_values(&["broken"]).inc();
-                if call.once {
-                    return Err(Box::new(CallRefusal::new(ResultCode::OutcomeUnknown)));
+                if outbound.at_most_once {
+                    return Err(Box::new(Refusal::new(ResultCode::OutcomeUnknown)));
                 }
                 break;
             }
@@ -374,20 +380,20 @@
     }
     state.avoid_centres.insert(data_centre.clone());
     core.control()
-        .note_away_refused(Instant::now(), data_centre, &call.service_name);
+        .note_away_refused(Instant::now(), data_centre, &outbound.service_name);
     Ok(None)
 }
 
 /// Reads a whole answer; a repeatable one that stays silent for too long counts as broken.
 async fn read_whole(
     core: &GatewayCore,
-    call: &RunCall,
+    outbound: &OutboundRequest,
     mut response: Response,
 ) -> Result<Bytes, &'static str> {
-    let stall = call.config.preset().stall_after;
+    let stall = outbound.config.preset().stall_after;
     let mut body = BytesMut::new();
     loop {
-        let next = if call.once {
+        let next = if outbound.at_most_once {
             Ok(response.chunk().await)
         } else {
             timeout(stall, response.chunk()).await
@@ -401,25 +407,25 @@
                 return Err("silent");
             }
         }
-        if body.len() > ANSWER_LIMIT {
+        if body.len() > MAX_RESPONSE_BYTES {
             return Err("too large");
         }
     }
 }
 
-fn kept_headers(response: &Response) -> Vec<(Box<str>, Box<str>)> {
+fn response_headers(response: &Response) -> Vec<(Box<str>, Box<str>)> {
     response
         .headers()
         .iter()
-        .filter(|(name, _)| headers::passes_answer(name))
+        .filter(|(name, _)| headers::forwards_response_header(name))
         .filter_map(|(name, value)| Some((name.as_str().into(), value.to_str().ok()?.into())))
         .collect()
 }
 
 /// Gives the id under which a backend server knows an attempt.
-fn attempt_id(call: &RunCall, state: &AttemptState) -> String {
+fn attempt_id(outbound: &OutboundRequest, state: &AttemptState) -> String {
     if state.attempts == 0 {
-        return call.id.to_string();
+        return outbound.id.to_string();
     }
-    format!("{}-r{}", call.id, state.attempts)
+    format!("{}-r{}", outbound.id, state.attempts)
 }
--- a/crates/zinniahatch_gateway/src/server.rs
+++ b/crates/zinniahatch_gateway/src/server.rs
@@ -3,15 +3,15 @@
 use crate::GatewayCore;
 use crate::admin::AdminHandler;
 use crate::caller::AnswersHandler;
-use crate::caller::CallHandler;
 use crate::caller::EntriesHandler;
 use crate::caller::KeysHandler;
+use crate::caller::ServiceHandler;
 use crate::observe::HealthHandler;
 use crate::observe::MetricsHandler;
-use crate::peer::AwayHandler;
-use crate::peer::BriefHandler;
+use crate::peer::ForwardedHandler;
 use crate::peer::HandoverHandler;
-use crate::peer::OwnedHandler;
+use crate::peer::KeyOwnerHandler;
+use crate::peer::StatusHandler;
 use salvo::Router;
 use salvo::Service;
 use std::sync::Arc;
@@ -26,11 +26,11 @@
         .push(Router::with_path("v1/entries").get(EntriesHandler(share())))
         .push(Router::with_path("v1/keys").post(KeysHandler(share())))
         .push(Router::with_path("v1/answers/{name}").get(AnswersHandler(share())))
-        .push(Router::with_path("v1/chat/completions").post(CallHandler(share())))
-        .push(Router::with_path("s/{service}/{**rest}").goal(CallHandler(share())))
-        .push(Router::with_path("internal/away/{service}/{**rest}").goal(AwayHandler(share())))
-        .push(Router::with_path("internal/owned/{service}/{**rest}").goal(OwnedHandler(share())))
-        .push(Router::with_path("internal/brief").get(BriefHandler(share())))
+        .push(Router::with_path("v1/chat/completions").post(ServiceHandler(share())))
+        .push(Router::with_path("s/{service}/{**rest}").goal(ServiceHandler(share())))
+        .push(Router::with_path("internal/away/{service}/{**rest}").goal(ForwardedHandler(share())))
+        .push(Router::with_path("internal/owned/{service}/{**rest}").goal(KeyOwnerHandler(share())))
+        .push(Router::with_path("internal/brief").get(StatusHandler(share())))
         .push(Router::with_path("internal/handover").post(HandoverHandler(share())))
         .push(Router::with_path("admin/{**rest}").goal(AdminHandler(share())));
     Service::new(router)
--- a/crates/zinniahatch_gateway/src/sse.rs
+++ b/crates/zinniahatch_gateway/src/sse.rs
@@ -1,6 +1,6 @@
 //! Server-sent events: whole events out of chunks, and what the last ones say.
 
-use crate::answer::TokenUsage;
+use crate::response::TokenUsage;
 use bytes::Bytes;
 use bytes::BytesMut;
 use serde::Deserialize;
@@ -11,7 +11,7 @@
 
 /// Cuts a stream of chunks at the ends of events.
 #[derive(Debug, Default)]
-pub(crate) struct EventCutter {
+pub(crate) struct EventSplitter {
     pending: BytesMut,
     /// Events passed, the end mark left out.
     pub(crate) events: u64,
@@ -42,10 +42,10 @@
     content: String,
 }
 
-impl EventCutter {
+impl EventSplitter {
     /// Takes a chunk and gives the whole events that it completes.
-    pub(crate) fn take(&mut self, chunk: Bytes) -> Bytes {
-        let whole = if self.pending.is_empty() && chunk.ends_with(EVENT_END) {
+    pub(crate) fn push(&mut self, chunk: Bytes) -> Bytes {
+        let complete = if self.pending.is_empty() && chunk.ends_with(EVENT_END) {
             chunk
         } else {
             self.pending.extend_from_slice(&chunk);
@@ -55,8 +55,8 @@
             }
         };
         let mut from = 0;
-        while let Some(end) = find_end(&whole[from..]) {
-            let event = whole.slice(from..from + end);
+        while let Some(end) = find_end(&complete[from..]) {
+            let event = complete.slice(from..from + end);
             from += end + EVENT_END.len();
             if event.as_ref() == DONE_EVENT {
                 self.done = true;
@@ -65,7 +65,7 @@
             self.events += 1;
             self.last = event;
         }
-        whole
+        complete
     }
 
     /// Drops a half event, after a connection broke in its middle.
--- a/crates/zinniahatch_lab/src/cluster/prepare.rs
+++ b/crates/zinniahatch_lab/src/cluster/prepare.rs
@@ -19,9 +19,9 @@
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 use zinniahatch_base::prelude::*;
-use zinniahatch_change::ChangeAsk;
-use zinniahatch_change::ChangeDesk;
-use zinniahatch_change::ChangeVerdict;
+use zinniahatch_change::ChangeOutcome;
+use zinniahatch_change::ChangeRequest;
+use zinniahatch_change::ConfigUpdater;
 use zinniahatch_config::ClusterConfig;
 use zinniahatch_config::FencingRule;
 use zinniahatch_config::ServiceKind;
@@ -102,7 +102,7 @@
 }
 
 pub(super) async fn bootstrap(plan: &UserPlan, store: &str) {
-    let ask = ChangeAsk {
+    let ask = ChangeRequest {
         change: "bootstrap".into(),
         expect_revision: 0,
         preset: Some(plan.preset.into()),
@@ -113,12 +113,12 @@
             .collect(),
         check: false,
     };
-    let verdict = ChangeDesk::new(KvClient::new(store))
+    let verdict = ConfigUpdater::new(KvClient::new(store))
         .apply(&ask, "lab", |_| None)
         .await;
     assert_eq!(
         verdict,
-        Ok(ChangeVerdict::Accepted(1)),
+        Ok(ChangeOutcome::Accepted(1)),
         "the first configuration is accepted"
     );
 }
