--- a/crates/zinniahatch_change/src/lib.rs
+++ b/crates/zinniahatch_change/src/lib.rs
@@ -1,4 +1,4 @@
-//! Changes of configuration: accepted once, or refused with nothing changed.
+//! Configuration changes: each is applied exactly once or refused without effect.
 
 mod updater;
 
--- a/crates/zinniahatch_change/src/updater.rs
+++ b/crates/zinniahatch_change/src/updater.rs
@@ -1,4 +1,4 @@
-//! The desk that makes changes: written as parts, put in force by one compare-and-swap of the head.
+//! Applies configuration changes: writes the new parts, then swaps the head by compare-and-swap.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -16,62 +16,63 @@
 use zinniahatch_platform::StoreClient;
 use zinniahatch_platform::StoreError;
 
-/// The key of the head.
+/// Store key of the configuration head.
 pub const HEAD_KEY: &str = "config/head";
-/// How the note of a change names the preset in force, beside the names of parts.
+/// Name under which a change record lists a switch of the preset, beside the names of parts.
 const PRESET_MARK: &str = "preset in force";
-/// Rounds of one change; each reads the head and tries one swap.
+/// Maximum number of attempts per change; each reads the head and tries one compare-and-swap.
 const MAX_ATTEMPTS: u32 = 8;
 const RETRY_DELAY: Duration = Duration::from_millis(120);
 
-/// Gives the key under which a part is kept.
+/// Returns the store key of a part.
 pub fn part_key(hash: &str) -> String {
     format!("config/part/{hash}")
 }
 
-/// One change asked for.
+/// A requested configuration change.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct ChangeRequest {
-    /// Names the change; asking again with the same id never makes it twice.
+    /// Id of the change; a repeated request with the same id is applied only once.
     pub change: Box<str>,
-    /// The revision that the change was made against.
+    /// Revision against which the change was made.
     pub expect_revision: Revision,
-    /// The preset to put in force.
+    /// Preset to put in force.
     #[serde(default)]
     pub preset: Option<PresetId>,
     /// New texts by part; `None` removes a part.
     #[serde(default)]
     pub parts: BTreeMap<Box<str>, Option<Box<str>>>,
-    /// Whether only to check.
+    /// Whether to validate the change without applying it.
     #[serde(default)]
     pub check: bool,
 }
 
-/// What became of a change.
+/// Result of a change request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ChangeOutcome {
-    /// It is in force from this revision on.
+    /// The change is in force from this revision on.
     Accepted(Revision),
-    /// It would be accepted.
+    /// The change is valid and was not applied.
     Checked,
     /// Another change of the same part came first; nothing was changed.
     Conflict(Revision),
-    /// The answer of the store was lost; asking again with the same id settles it.
+    /// The response of the store was lost; a repeated request with the same id settles the
+    /// outcome.
     Unknown,
 }
 
-/// Why a change was not made.
+/// Why a change was not applied.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ChangeError {
-    /// It is wrong; nothing was changed.
+    /// The change is invalid; nothing was changed.
     #[error(transparent)]
     Invalid(#[from] ConfigError),
-    /// The store was not reached; nothing was changed.
+    /// The store could not be reached; nothing was changed.
     #[error("the store is not reached and nothing was changed: {0}")]
     StoreDown(Box<str>),
 }
 
-/// Makes changes through the store.
+/// Applies configuration changes through the store.
 #[derive(Clone, Debug)]
 pub struct ConfigUpdater<S> {
     store: S,
@@ -83,21 +84,22 @@
 }
 
 impl<S: StoreClient> ConfigUpdater<S> {
-    /// Makes a desk on a store.
+    /// Creates an updater for a store.
     pub fn new(store: S) -> Self {
         Self { store }
     }
 
-    /// Gives the store.
+    /// Returns the store client.
     pub fn store(&self) -> &S {
         &self.store
     }
 
-    /// Makes a change; `local` gives parts that this node holds, so that they need not be read.
+    /// Applies a change; `local` returns parts that this node holds, so that they need not be
+    /// read.
     ///
     /// # Errors
     ///
-    /// Nothing was changed when an error is given.
+    /// Returns an error only if nothing was changed.
     pub async fn apply(
         &self,
         request: &ChangeRequest,
@@ -119,7 +121,8 @@
                 return Ok(ChangeOutcome::Accepted(revision));
             }
             if unconfirmed_at.is_some_and(|stored| stored != read.stored) {
-                // The head moved on without the change: its swap can no longer take effect.
+                // The head changed without including this change, so its lost compare-and-swap can
+                // no longer succeed.
                 unconfirmed_at = None;
             }
             if conflicts(&read.head, request) {
@@ -172,7 +175,7 @@
         })
     }
 
-    /// Builds and checks the head that the change would make.
+    /// Builds and validates the head that results from the change.
     async fn build(
         &self,
         base: &ConfigHead,
@@ -234,7 +237,7 @@
         }
     }
 
-    /// Writes the parts, which is harmless as often as it is done, and then swaps the head.
+    /// Writes the parts, which is idempotent, and then swaps the head.
     async fn swap(
         &self,
         head: &ConfigHead,
@@ -242,7 +245,7 @@
         stored: u64,
     ) -> Result<PutOutcome, StoreError> {
         for (hash, text) in new_parts {
-            // A lost answer here is no doubt about the change: the head is not swapped yet.
+            // A lost response here leaves the outcome certain: the head is not swapped yet.
             self.store
                 .put(&part_key(hash), text, None, None)
                 .await
@@ -254,7 +257,7 @@
     }
 }
 
-/// Says whether a change since the expected revision touched a part that this one touches.
+/// Reports whether a change after the expected revision touched a part that this one touches.
 fn conflicts(head: &ConfigHead, request: &ChangeRequest) -> bool {
     if head.revision == request.expect_revision {
         return false;
--- a/crates/zinniahatch_change/tests/races.rs
+++ b/crates/zinniahatch_change/tests/races.rs
@@ -1,4 +1,4 @@
-//! Operators' races and lost answers, judged against a simple oracle.
+//! Concurrent changes and lost store responses, checked against the history of heads.
 
 use proptest::prelude::*;
 use std::collections::BTreeMap;
@@ -18,9 +18,9 @@
 use zinniahatch_platform::StoreLease;
 use zinniahatch_platform::StoredValue;
 
-/// What becomes of a write of the head.
+/// Outcome of a write of the head.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum WriteFate {
+enum WriteOutcome {
     Answered,
     LostAfter,
     LostBefore,
@@ -31,12 +31,12 @@
 struct FakeData {
     revision: u64,
     values: BTreeMap<String, (u64, String)>,
-    fates: Vec<WriteFate>,
+    outcomes: Vec<WriteOutcome>,
     down: bool,
     history: Vec<ConfigHead>,
 }
 
-/// A store in memory that loses answers as told.
+/// In-memory store that fails writes of the head or loses their responses as configured.
 #[derive(Clone, Default)]
 struct FakeStore(Arc<Mutex<FakeData>>);
 
@@ -74,15 +74,15 @@
     ) -> Result<PutOutcome, StoreError> {
         tokio::task::yield_now().await;
         self.with(|data| {
-            let fate = if key == HEAD_KEY && !data.fates.is_empty() {
-                data.fates.remove(0)
+            let outcome = if key == HEAD_KEY && !data.outcomes.is_empty() {
+                data.outcomes.remove(0)
             } else {
-                WriteFate::Answered
+                WriteOutcome::Answered
             };
-            if data.down || fate == WriteFate::Refused {
+            if data.down || outcome == WriteOutcome::Refused {
                 return Err(StoreError::Unavailable("down".into()));
             }
-            if fate == WriteFate::LostBefore {
+            if outcome == WriteOutcome::LostBefore {
                 return Err(StoreError::ResponseLost("before".into()));
             }
             let current = data.values.get(key).map_or(0, |(revision, _)| *revision);
@@ -97,7 +97,7 @@
                 data.history
                     .push(serde_json::from_str(value).expect("the head is JSON"));
             }
-            if fate == WriteFate::LostAfter {
+            if outcome == WriteOutcome::LostAfter {
                 Err(StoreError::ResponseLost("after".into()))
             } else {
                 Ok(PutOutcome::Done(revision))
@@ -135,7 +135,7 @@
     format!("[preset]\ntitle = {title}\n[weights]\ncost = 1\ntail = 1\n[classes]\nstandard = 1\n[work]\ninteractive = 0.5\n[away]\nallowed = yes\n[waits]\nwait_limit = 60s\n[budgets]\nretry = 0.1\nhedge = 0\n").into()
 }
 
-fn ask(change: &str, expect_revision: u64, part: &str) -> ChangeRequest {
+fn change_request(change: &str, expect_revision: u64, part: &str) -> ChangeRequest {
     ChangeRequest {
         change: change.into(),
         expect_revision,
@@ -145,73 +145,81 @@
     }
 }
 
-async fn started(store: &FakeStore) -> ConfigUpdater<FakeStore> {
-    let desk = ConfigUpdater::new(store.clone());
-    let verdict = desk
-        .apply(&ask("first", 0, "preset-a"), "test", |_| None)
+async fn initialized_updater(store: &FakeStore) -> ConfigUpdater<FakeStore> {
+    let updater = ConfigUpdater::new(store.clone());
+    let result = updater
+        .apply(&change_request("first", 0, "preset-a"), "test", |_| None)
         .await;
-    assert_eq!(verdict, Ok(ChangeOutcome::Accepted(1)));
-    desk
+    assert_eq!(result, Ok(ChangeOutcome::Accepted(1)));
+    updater
 }
 
-/// An operator is told "failed" and applies the change again, and it is in force twice. The
-/// store's answer was lost after the swap took effect. The desk looks for the change's id in the
-/// head before it says anything.
-#[test_case(WriteFate::LostAfter; "lost after it took effect")]
-#[test_case(WriteFate::LostBefore; "lost before it took effect")]
-#[test_case(WriteFate::Refused; "refused once")]
+/// Guards against a change that is applied twice: the store's response is lost after the swap took
+/// effect, the operator is told "failed" and applies the change again. The updater therefore looks
+/// for the id of the change in the head before it reports a result.
+#[test_case(WriteOutcome::LostAfter; "lost after it took effect")]
+#[test_case(WriteOutcome::LostBefore; "lost before it took effect")]
+#[test_case(WriteOutcome::Refused; "refused once")]
 #[tokio::test(start_paused = true)]
-async fn apply_settles(fate: WriteFate) {
+async fn apply_settles(outcome: WriteOutcome) {
     let store = FakeStore::default();
-    let desk = started(&store).await;
-    store.with(|data| data.fates = vec![fate]);
-    let verdict = desk
-        .apply(&ask("second", 1, "preset-a"), "test", |_| None)
+    let updater = initialized_updater(&store).await;
+    store.with(|data| data.outcomes = vec![outcome]);
+    let result = updater
+        .apply(&change_request("second", 1, "preset-a"), "test", |_| None)
         .await;
-    assert_eq!(verdict, Ok(ChangeOutcome::Accepted(2)));
+    assert_eq!(result, Ok(ChangeOutcome::Accepted(2)));
     assert_eq!(
         store.with(|data| data.history.len()),
         2,
-        "it is in force once"
+        "the change must be applied exactly once"
     );
 }
 
-/// Two operators switch at once and the later one silently wins. Both read revision 1 and change
-/// the same part. The one that loses the swap is told of the conflict; nothing of it remains.
+/// Guards against a concurrent change that silently overwrites another one: both operators read
+/// revision 1 and change the same part. The one that loses the swap gets a conflict, and none of
+/// its change remains.
 #[tokio::test(start_paused = true)]
 async fn apply_same_part_conflicts() {
     let store = FakeStore::default();
-    let desk = started(&store).await;
-    let (one, two) = (ask("one", 1, "preset-a"), ask("two", 1, "preset-a"));
+    let updater = initialized_updater(&store).await;
+    let (one, two) = (
+        change_request("one", 1, "preset-a"),
+        change_request("two", 1, "preset-a"),
+    );
     let (first, second) = tokio::join!(
-        desk.apply(&one, "x", |_| None),
-        desk.apply(&two, "y", |_| None)
+        updater.apply(&one, "x", |_| None),
+        updater.apply(&two, "y", |_| None)
     );
-    let verdicts = [
+    let results = [
         first.expect("the store is up"),
         second.expect("the store is up"),
     ];
-    let accepted = verdicts
+    let accepted = results
         .iter()
-        .filter(|verdict| **verdict == ChangeOutcome::Accepted(2))
+        .filter(|result| **result == ChangeOutcome::Accepted(2))
         .count();
     assert_eq!(
-        (accepted, verdicts.contains(&ChangeOutcome::Conflict(2))),
+        (accepted, results.contains(&ChangeOutcome::Conflict(2))),
         (1, true),
-        "{verdicts:?}"
+        "{results:?}"
     );
 }
 
 #[tokio::test(start_paused = true)]
 async fn apply_other_part_is_rebased() {
     let store = FakeStore::default();
-    let desk = started(&store).await;
+    let updater = initialized_updater(&store).await;
     assert_eq!(
-        desk.apply(&ask("one", 1, "preset-b"), "x", |_| None).await,
+        updater
+            .apply(&change_request("one", 1, "preset-b"), "x", |_| None)
+            .await,
         Ok(ChangeOutcome::Accepted(2))
     );
     assert_eq!(
-        desk.apply(&ask("two", 1, "preset-c"), "y", |_| None).await,
+        updater
+            .apply(&change_request("two", 1, "preset-c"), "y", |_| None)
+            .await,
         Ok(ChangeOutcome::Accepted(3))
     );
 }
@@ -219,68 +227,68 @@
 #[tokio::test(start_paused = true)]
 async fn apply_wrong_part_changes_nothing() {
     let store = FakeStore::default();
-    let desk = started(&store).await;
-    let mut wrong = ask("wrong", 1, "preset-a");
+    let updater = initialized_updater(&store).await;
+    let mut wrong = change_request("wrong", 1, "preset-a");
     wrong
         .parts
         .insert("preset-a".into(), Some("[preset]\ntitle = x\n".into()));
     assert!(matches!(
-        desk.apply(&wrong, "x", |_| None).await,
+        updater.apply(&wrong, "x", |_| None).await,
         Err(ChangeError::Invalid(_))
     ));
     assert_eq!(store.with(|data| data.history.len()), 1);
 }
 
-/// An operator hears "nothing was changed" of a change that is in force later. Every answer of
-/// the store is lost and it cannot be read any more. The desk says "unknown", and the same id
-/// settles it once the store is back.
+/// Guards against reporting "nothing was changed" for a change that takes effect: the store's
+/// response is lost and the store can no longer be read. The updater reports "unknown", and a
+/// repeated request with the same id settles the outcome once the store is back.
 #[tokio::test(start_paused = true)]
 async fn apply_unreadable_store_says_unknown() {
     let store = FakeStore::default();
-    let desk = started(&store).await;
-    store.with(|data| data.fates = vec![WriteFate::LostAfter]);
-    let asked = ask("second", 1, "preset-a");
-    let watcher = store.clone();
-    let breaker = tokio::spawn(async move {
-        while watcher.with(|data| data.history.len()) < 2 {
+    let updater = initialized_updater(&store).await;
+    store.with(|data| data.outcomes = vec![WriteOutcome::LostAfter]);
+    let request = change_request("second", 1, "preset-a");
+    let task_store = store.clone();
+    let outage_task = tokio::spawn(async move {
+        while task_store.with(|data| data.history.len()) < 2 {
             tokio::task::yield_now().await;
         }
-        watcher.with(|data| data.down = true);
+        task_store.with(|data| data.down = true);
     });
-    let verdict = desk.apply(&asked, "x", |_| None).await;
-    breaker.await.expect("the breaker ends");
-    assert_eq!(verdict, Ok(ChangeOutcome::Unknown));
+    let result = updater.apply(&request, "x", |_| None).await;
+    outage_task.await.expect("the outage task does not panic");
+    assert_eq!(result, Ok(ChangeOutcome::Unknown));
     store.with(|data| data.down = false);
     assert_eq!(
-        desk.apply(&asked, "x", |_| None).await,
+        updater.apply(&request, "x", |_| None).await,
         Ok(ChangeOutcome::Accepted(2))
     );
 }
 
-/// What an operator of the fuzz does.
+/// A randomly generated change.
 #[derive(Clone, Debug)]
 struct FuzzChange {
     part: u8,
     behind: u8,
-    fates: Vec<u8>,
+    outcomes: Vec<u8>,
 }
 
 fn fuzz_change() -> impl Strategy<Value = FuzzChange> {
     (0..3_u8, 0..3_u8, proptest::collection::vec(0..4_u8, 0..4)).prop_map(
-        |(part, behind, fates)| FuzzChange {
+        |(part, behind, outcomes)| FuzzChange {
             part,
             behind,
-            fates,
+            outcomes,
         },
     )
 }
 
-fn fate_of(number: u8) -> WriteFate {
+fn outcome_of(number: u8) -> WriteOutcome {
     match number {
-        0 => WriteFate::Answered,
-        1 => WriteFate::LostAfter,
-        2 => WriteFate::LostBefore,
-        _ => WriteFate::Refused,
+        0 => WriteOutcome::Answered,
+        1 => WriteOutcome::LostAfter,
+        2 => WriteOutcome::LostBefore,
+        _ => WriteOutcome::Refused,
     }
 }
 
@@ -292,40 +300,40 @@
         ..ProptestConfig::default()
     })]
 
-    /// The oracle is the store's own list of heads: revisions rise by one, a change that was
-    /// accepted stands in it once, one that was refused stands in it never.
+    /// Checks against the store's own list of heads: revisions increase by one, an accepted change
+    /// is in the list exactly once and a refused one never.
     #[test]
     fn apply_fuzz(rounds in proptest::collection::vec(proptest::collection::vec(fuzz_change(), 1..4), 1..8)) {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().start_paused(true).build().expect("a runtime");
         runtime.block_on(async {
             let store = FakeStore::default();
-            started(&store).await;
-            let mut verdicts = Vec::new();
+            initialized_updater(&store).await;
+            let mut results = Vec::new();
             for (round, changes) in rounds.iter().enumerate() {
                 let revision = store.with(|data| data.history.last().map_or(0, |head| head.revision));
-                store.with(|data| data.fates = changes.iter().flat_map(|change| change.fates.iter().map(|fate| fate_of(*fate))).collect());
+                store.with(|data| data.outcomes = changes.iter().flat_map(|change| change.outcomes.iter().map(|outcome| outcome_of(*outcome))).collect());
                 let mut tasks = Vec::new();
                 for (index, change) in changes.iter().enumerate() {
-                    let desk = ConfigUpdater::new(store.clone());
+                    let updater = ConfigUpdater::new(store.clone());
                     let name = format!("c{round}-{index}");
-                    let asked = ask(&name, revision.saturating_sub(u64::from(change.behind)).max(1), &format!("preset-{}", change.part));
-                    tasks.push(tokio::spawn(async move { (name, desk.apply(&asked, "x", |_| None).await) }));
+                    let request = change_request(&name, revision.saturating_sub(u64::from(change.behind)).max(1), &format!("preset-{}", change.part));
+                    tasks.push(tokio::spawn(async move { (name, updater.apply(&request, "x", |_| None).await) }));
                 }
                 for task in tasks {
-                    verdicts.push(task.await.expect("a change does not panic"));
+                    results.push(task.await.expect("a change does not panic"));
                 }
             }
             let history = store.with(|data| data.history.clone());
             for (index, head) in history.iter().enumerate() {
                 prop_assert_eq!(head.revision, index as u64 + 1);
             }
-            for (name, verdict) in verdicts {
-                let made: Vec<u64> = history.iter().filter(|head| head.changes.last().is_some_and(|note| *note.change == *name)).map(|head| head.revision).collect();
-                match verdict {
-                    Ok(ChangeOutcome::Accepted(revision)) => prop_assert_eq!(made, vec![revision]),
-                    Ok(ChangeOutcome::Conflict(_)) | Err(_) => prop_assert!(made.is_empty(), "{} was refused and is in force", name),
-                    Ok(ChangeOutcome::Unknown) => prop_assert!(made.len() <= 1),
-                    Ok(ChangeOutcome::Checked) => prop_assert!(false, "nothing was only checked"),
+            for (name, result) in results {
+                let revisions: Vec<u64> = history.iter().filter(|head| head.changes.last().is_some_and(|note| *note.change == *name)).map(|head| head.revision).collect();
+                match result {
+                    Ok(ChangeOutcome::Accepted(revision)) => prop_assert_eq!(revisions, vec![revision]),
+                    Ok(ChangeOutcome::Conflict(_)) | Err(_) => prop_assert!(revisions.is_empty(), "change {} was refused but applied", name),
+                    Ok(ChangeOutcome::Unknown) => prop_assert!(revisions.len() <= 1),
+                    Ok(ChangeOutcome::Checked) => prop_assert!(false, "no change was a dry run"),
                 }
             }
             Ok(())
--- a/crates/zinniahatch_gateway/src/account_change.rs
+++ b/crates/zinniahatch_gateway/src/account_change.rs
@@ -1,10 +1,10 @@
-//! Changing one account: its shard is rewritten, the others stay.
+//! Rewrites the configuration shard that holds one account.
 
 use serde::Deserialize;
 use serde::Serialize;
 use zinniahatch_base::prelude::*;
 
-/// The account as it shall be.
+/// Requested state of one account.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub(crate) struct AccountChange {
     pub(crate) change: Box<str>,
@@ -15,7 +15,7 @@
     pub(crate) team: Box<str>,
     #[serde(default)]
     pub(crate) in_progress_limit: u32,
-    /// Digests of API keys by caller; callers that are not named keep theirs.
+    /// Digests of API keys by caller; callers that are not listed keep their keys.
     #[serde(default)]
     pub(crate) callers: BTreeMap<CallerId, PartHash>,
     /// Whether to remove the account and its callers.
@@ -23,7 +23,7 @@
     pub(crate) remove: bool,
 }
 
-/// Gives the text of a shard with the account as asked.
+/// Returns the text of a shard with the account added, replaced or removed.
 pub(crate) fn rewrite_shard(text: &str, change: &AccountChange) -> String {
     let mut kept = String::new();
     for section in sections(text) {
--- a/crates/zinniahatch_gateway/src/admin.rs
+++ b/crates/zinniahatch_gateway/src/admin.rs
@@ -1,4 +1,4 @@
-//! Handlers for operators and managers.
+//! Handlers of the administration API.
 
 use crate::GatewayCore;
 use crate::NodeStatus;
@@ -24,7 +24,7 @@
 
 const SECONDS_PER_HOUR: u64 = 3_600;
 
-/// Answers every path below `/admin/`.
+/// Handles every path below `/admin/`.
 pub(crate) struct AdminHandler(pub(crate) Arc<GatewayCore>);
 
 #[derive(Serialize)]
@@ -143,7 +143,7 @@
     }
 }
 
-/// Asks every node that this one knows, in all data centres.
+/// Collects the status of every node that this one knows, in all data centres.
 async fn cluster(core: &GatewayCore) -> Vec<NodeStatus> {
     let mut addresses: BTreeSet<Box<str>> = BTreeSet::new();
     {
--- a/crates/zinniahatch_gateway/src/admin_change.rs
+++ b/crates/zinniahatch_gateway/src/admin_change.rs
@@ -1,4 +1,4 @@
-//! Operators' changes: rights, the change itself, its verdict.
+//! Handlers for configuration and account changes, with the check of the operator's role.
 
 use crate::GatewayCore;
 use crate::account_change::AccountChange;
@@ -18,7 +18,7 @@
 use zinniahatch_config::OperatorRole;
 use zinniahatch_config::account_shard;
 
-/// Bytes of one change; the store holds values up to a megabyte.
+/// Maximum body size of one change request; the store holds single values of up to 1 MB.
 const MAX_CHANGE_BYTES: usize = 8 << 20;
 
 #[derive(Serialize)]
--- a/crates/zinniahatch_gateway/src/admit.rs
+++ b/crates/zinniahatch_gateway/src/admit.rs
@@ -1,4 +1,5 @@
-//! First stage: from headers alone, who calls which service, and whether it may be served here.
+//! Admission by request headers: authenticates the caller and checks whether this region may serve
+//! it.
 
 use crate::GatewayCore;
 use crate::core::InFlightGuard;
@@ -18,7 +19,7 @@
 use zinniahatch_control::AskScope;
 use zinniahatch_protocol::EntryAddress;
 
-/// What is read of a request before its body.
+/// Parts of a request that are read before its body.
 pub(crate) struct RequestHead {
     pub(crate) method: Method,
     pub(crate) service: ServiceId,
@@ -27,7 +28,7 @@
     pub(crate) arrived: Instant,
 }
 
-/// Who calls.
+/// Authenticated caller with its client account.
 #[derive(Clone, Debug)]
 pub(crate) struct CallerIdentity {
     pub(crate) account: AccountId,
@@ -35,7 +36,8 @@
     pub(crate) entry: AccountEntry,
 }
 
-/// A request that may be served here; only [`admit`] and the checks of forwarded requests make one.
+/// A request that may be served here, made only by [`admit`] and by the verification of forwarded
+/// requests.
 pub(crate) struct AdmittedRequest {
     pub(crate) id: RequestId,
     pub(crate) config: Arc<ClusterConfig>,
@@ -51,9 +53,9 @@
     pub(crate) in_flight: InFlightGuard,
 }
 
-/// Judges a caller's request by its headers.
+/// Admits or refuses a caller's request by its headers.
 ///
-/// A bound request that came to another region is refused before a byte of its body is read.
+/// A request bound to another region is refused before any of its body is read.
 pub(crate) fn admit(
     core: &Arc<GatewayCore>,
     head: RequestHead,
@@ -96,7 +98,7 @@
     }
 }
 
-/// Gives the configuration if this node serves.
+/// Returns the configuration if this node is ready to serve.
 pub(crate) fn serving_config(core: &GatewayCore) -> Result<Arc<ClusterConfig>, Box<Refusal>> {
     let control = core.control();
     if control.is_ready() {
@@ -110,7 +112,7 @@
     )))
 }
 
-/// Finds the caller by the digest of the API key.
+/// Finds the caller by the digest of its API key.
 pub(crate) fn find_caller(
     config: &ClusterConfig,
     headers: &HeaderMap,
@@ -134,7 +136,7 @@
     })
 }
 
-/// Gives the entry VMs of a region, nearest knowledge first.
+/// Returns the entry VMs of a region, those of this node's own data centre first.
 pub(crate) fn region_entries(
     core: &GatewayCore,
     config: &ClusterConfig,
@@ -186,13 +188,16 @@
     Ok((service.clone(), in_flight))
 }
 
-/// A header may bind a request that the service leaves free, and not the other way round.
+/// Reports whether the request is bound to the account's home region.
+///
+/// A header may bind a request that the service leaves unbound, but it may not unbind one.
 fn is_bound(service: &ServiceEntry, head: &RequestHead) -> bool {
     service.is_bound(head.method.as_str())
         || headers::text(&head.headers, headers::BINDING) == Some(BindingRule::Home.as_str())
 }
 
-/// A header may make interactive work long, and not the other way round.
+/// Returns the kind of work; a header may turn interactive work into long work, but not the
+/// reverse.
 fn effective_work(service: &ServiceEntry, headers: &HeaderMap) -> WorkKind {
     match service.work {
         WorkKind::Long => WorkKind::Long,
@@ -202,7 +207,7 @@
     }
 }
 
-/// A header may bring the deadline nearer, and not farther.
+/// Returns the time limit; a header may shorten the limit of the service, but not extend it.
 fn effective_deadline(service: &ServiceEntry, headers: &HeaderMap) -> Duration {
     headers::text(headers, headers::DEADLINE)
         .and_then(|text| text.parse().ok())
--- a/crates/zinniahatch_gateway/src/body.rs
+++ b/crates/zinniahatch_gateway/src/body.rs
@@ -1,4 +1,4 @@
-//! The body: read within its limit and its time, and looked at for routing.
+//! Reading and inspection of request bodies.
 
 use crate::admit::AdmittedRequest;
 use crate::refusal::Refusal;
@@ -12,15 +12,16 @@
 use zinniahatch_base::prelude::*;
 use zinniahatch_config::ServiceKind;
 
-/// Bytes of the first message that make the prefix by which caches are sought.
+/// Length in bytes of the start of the first message whose hash is the key for prefix-cache
+/// affinity.
 const PREFIX_BYTES: usize = 512;
-/// Bytes of a refused request's body that are thrown away, and the time for it.
+/// Limits in bytes and time for draining the body of a refused request.
 const MAX_DISCARD_BYTES: usize = 2 << 20;
 const DISCARD_TIMEOUT: Duration = Duration::from_secs(1);
-/// Bytes that one token takes on average, for the estimate of a prompt.
+/// Average bytes per token, used to estimate the prompt length.
 const BYTES_PER_TOKEN: u64 = 4;
 
-/// What routing needs to know of a body.
+/// What routing needs to know about a request body.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct BodyInfo {
     pub(crate) stream: bool,
@@ -42,7 +43,7 @@
     content: Cow<'a, str>,
 }
 
-/// Reads the body.
+/// Reads the body within its size and time limits.
 pub(crate) async fn read_body(
     request: &mut Request,
     limit: u64,
@@ -62,10 +63,10 @@
     }
 }
 
-/// Throws away what still comes of a refused request's body, within bounds.
+/// Drains the body of a refused request, up to a size and a time limit.
 ///
-/// Closing a connection with unread bytes resets it, and the caller then sees a broken connection
-/// in place of the refusal. Nothing looks at the bytes.
+/// Closing a connection with unread bytes resets it, and the caller would then see a broken
+/// connection instead of the refusal. The bytes are not inspected.
 pub(crate) async fn discard_body(request: &mut Request) {
     let mut body = request.take_body();
     let discard = async {
@@ -81,7 +82,7 @@
     let _ = timeout(DISCARD_TIMEOUT, discard).await;
 }
 
-/// Looks at a body for routing; a model request that is not chat JSON is refused here.
+/// Extracts what routing needs from a body; refuses a model request that is not chat JSON.
 pub(crate) fn inspect_body(
     admitted: &AdmittedRequest,
     body: &Bytes,
--- a/crates/zinniahatch_gateway/src/budget.rs
+++ b/crates/zinniahatch_gateway/src/budget.rs
@@ -1,12 +1,12 @@
-//! Budgets of retries and hedges, as a share of requests.
+//! Retry and hedge budgets, as a share of the requests.
 
-/// Tokens that a quiet time saves up, so that a few failures are always retried.
+/// Maximum number of saved tokens, so that a few failures after an idle period are always retried.
 const MAX_SAVED_TOKENS: f64 = 10.0;
 
-/// One budget.
+/// A token budget for extra sends.
 ///
-/// Without it a failing backend would get every request several times just when it can least
-/// bear it.
+/// Without it, a failing backend would receive every request several times while it is least able
+/// to handle the load.
 #[derive(Debug)]
 pub(crate) struct SendBudget {
     tokens: f64,
@@ -21,12 +21,12 @@
 }
 
 impl SendBudget {
-    /// Notes a request, which earns its share.
+    /// Adds the share that one request earns.
     pub(crate) fn earn(&mut self, share: f64) {
         self.tokens = (self.tokens + share).min(MAX_SAVED_TOKENS);
     }
 
-    /// Takes a token if there is one.
+    /// Takes a token if one is available.
     pub(crate) fn spend(&mut self) -> bool {
         if self.tokens < 1.0 {
             return false;
--- a/crates/zinniahatch_gateway/src/caller.rs
+++ b/crates/zinniahatch_gateway/src/caller.rs
@@ -1,4 +1,4 @@
-//! Handlers for callers.
+//! Handlers for requests from callers.
 
 use crate::GatewayCore;
 use crate::admit::AdmittedRequest;
@@ -38,10 +38,10 @@
 use zinniahatch_base::prelude::*;
 use zinniahatch_control::MintedKey;
 
-/// Most keys handed out at once.
+/// Maximum number of idempotency keys issued by one request.
 const MAX_KEYS: usize = 256;
 
-/// What becomes of a caller's request.
+/// Reply to a caller's request.
 pub(crate) enum Reply {
     Complete(Arc<CachedResponse>),
     Stream(Box<EngineStream>, Bytes, Option<CountGuard>, InFlightGuard),
@@ -49,7 +49,7 @@
     Refused(RequestId, Box<Refusal>),
 }
 
-/// Serves requests for services.
+/// Handles requests for services.
 pub(crate) struct ServiceHandler(pub(crate) Arc<GatewayCore>);
 
 #[handler]
@@ -60,7 +60,7 @@
     }
 }
 
-/// Tells callers which entry VMs to use, and hands out keys.
+/// Lists the entry VMs that a caller may use, and issues idempotency keys.
 pub(crate) struct EntriesHandler(pub(crate) Arc<GatewayCore>);
 
 #[derive(Serialize)]
@@ -117,7 +117,7 @@
     }
 }
 
-/// Hands out keys.
+/// Issues idempotency keys.
 pub(crate) struct KeysHandler(pub(crate) Arc<GatewayCore>);
 
 #[derive(Serialize)]
@@ -148,7 +148,7 @@
     }
 }
 
-/// Gives the kept answer of an earlier request, by its id or its key.
+/// Returns the stored response of an earlier request, by request id or idempotency key.
 pub(crate) struct AnswersHandler(pub(crate) Arc<GatewayCore>);
 
 #[handler]
@@ -196,7 +196,7 @@
             None => CollectResult::Refused(forgotten()),
         };
     }
-    // One hop: a collection that was passed on already is not passed again.
+    // A lookup is forwarded at most once.
     if request.headers().contains_key(headers::KEYED) {
         return CollectResult::Refused(Box::new(Refusal::new(ResultCode::KeyOwnerGone)));
     }
@@ -256,7 +256,7 @@
     serve_body(core, admitted, body, key).await
 }
 
-/// Serves a request whose body is read.
+/// Serves a request after its body was read.
 pub(crate) async fn serve_body(
     core: &Arc<GatewayCore>,
     mut admitted: AdmittedRequest,
@@ -372,7 +372,8 @@
     }
 }
 
-/// Serves a request with a key: here if the key is owned here, else by one hop to its owner.
+/// Serves a request with an idempotency key: locally if this node owns the key, otherwise by
+/// forwarding it once to the owner.
 async fn serve_keyed(
     core: &Arc<GatewayCore>,
     outbound: OutboundRequest,
@@ -440,7 +441,7 @@
     }
 }
 
-/// Finds the key of a request that needs one.
+/// Returns the idempotency key of a request that requires one.
 fn find_key(
     core: &Arc<GatewayCore>,
     admitted: &AdmittedRequest,
@@ -471,7 +472,9 @@
     Reply::Refused(admitted.id.clone(), refusal)
 }
 
-/// Asks the engine for a stream; the answer is put together here, which shows where it stalls.
+/// Sets `stream` in the body, so that the engine streams its response.
+///
+/// The gateway assembles the complete response itself and can thus detect a stall.
 fn with_stream(body: Bytes) -> Bytes {
     let Ok(Value::Object(mut fields)) = serde_json::from_slice::<Value>(&body) else {
         return body;
--- a/crates/zinniahatch_gateway/src/config_sync.rs
+++ b/crates/zinniahatch_gateway/src/config_sync.rs
@@ -1,4 +1,4 @@
-//! Following the configuration head in the store.
+//! Synchronisation with the configuration head in the store.
 
 use crate::GatewayCore;
 use zinniahatch_base::prelude::*;
@@ -10,10 +10,10 @@
 use zinniahatch_platform::StoredValue;
 
 impl GatewayCore {
-    /// Reads the head once; gives its revision where the store answered.
+    /// Reads the head once and returns its revision, or `None` if it cannot be read.
     ///
-    /// An empty store gives a revision that no node holds, so that nobody serves before the first
-    /// configuration.
+    /// An empty store yields a revision that no node holds, so that no node serves before the
+    /// first configuration is written.
     pub async fn read_head(&self) -> Option<Revision> {
         let result = self.changes.store().get(HEAD_KEY).await;
         self.note_store("head read", &result);
@@ -24,18 +24,18 @@
         }
     }
 
-    /// Takes a head and reads the parts that are missing; gives its revision.
+    /// Applies a head, reads the missing parts and returns its revision.
     pub async fn apply_head(&self, value: &StoredValue) -> Option<Revision> {
         let head: ConfigHead = match serde_json::from_str(&value.value) {
             Ok(head) => head,
             Err(error) => {
-                log::warn!("the configuration head in the store cannot be read: {error}");
+                log::warn!("failed to parse the configuration head in the store: {error}");
                 return None;
             }
         };
         let revision = head.revision;
         if revision < self.control().ledger().revision() {
-            // A store restored from a copy: nobody goes back.
+            // The store was restored from an older backup; nodes keep their newer revision.
             self.counters.store_behind.inc();
             return Some(revision);
         }
@@ -55,7 +55,7 @@
         Some(revision)
     }
 
-    /// Counts a call of the store by its outcome.
+    /// Counts a store call by its outcome.
     pub fn note_store<T>(&self, kind: &str, result: &Result<T, StoreError>) {
         let outcome = match result {
             Ok(_) => "answered",
--- a/crates/zinniahatch_gateway/src/core.rs
+++ b/crates/zinniahatch_gateway/src/core.rs
@@ -1,4 +1,4 @@
-//! What all handlers of one node share.
+//! State shared by all handlers of one node.
 
 use crate::CounterSet;
 use crate::PeerAuth;
@@ -26,36 +26,36 @@
 use zinniahatch_platform::KvClient;
 use zinniahatch_report::CountBook;
 
-/// Time for a connection to a backend server or another node.
+/// Connect timeout for backend servers and other nodes.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(800);
-/// Idle connections are closed before a middlebox would forget them.
+/// Idle connections are closed before a middlebox would drop their state.
 const POOL_IDLE_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// The parts from which a core is made.
+/// Components needed to build a [`GatewayCore`].
 pub struct GatewayParts {
     /// The node's settings.
     pub settings: NodeSettings,
-    /// The tables.
+    /// Membership, slot leases and placement state.
     pub control: ControlNode,
-    /// The store.
+    /// Client of the platform's key-value store.
     pub store: KvClient,
-    /// Random bytes that only this process knows.
+    /// Secret random bytes of this process, used to mint idempotency keys.
     pub key_secret: [u8; 32],
 }
 
-/// The state of one node's request path.
+/// State of one node's request path.
 pub struct GatewayCore {
     /// The node's settings.
     pub settings: NodeSettings,
-    /// Who the node is.
+    /// Node name, data centre, region and addresses.
     pub identity: NodeIdentity,
-    /// Wakes the pump of the tables.
+    /// Wakes the task that runs the control ticks.
     pub wake: Notify,
-    /// Counters.
+    /// Counters and gauges.
     pub counters: CounterSet,
-    /// Changes of configuration.
+    /// Applies configuration changes to the store.
     pub changes: ConfigUpdater<KvClient>,
-    /// Engines beside the request path.
+    /// Client for engine orders and cancellations, outside the request path.
     pub engine: HttpEngine,
     pub(crate) proof: PeerAuth,
     pub(crate) client: Client,
@@ -75,7 +75,7 @@
 }
 
 impl GatewayCore {
-    /// Makes the core of a node.
+    /// Builds the shared state of a node.
     pub fn new(parts: GatewayParts, now: Instant) -> Arc<Self> {
         let identity = parts.control.identity().clone();
         let settings = parts.settings;
@@ -86,8 +86,9 @@
             engine: HttpEngine::new(),
             proof: PeerAuth::new(&settings.secret),
             client: build_client(usize::MAX),
-            // A call that may not be repeated gets a connection of its own: one from a pool may
-            // have gone silent, and nothing could be sent again to find out.
+            // A request that must not run twice gets a new connection: a pooled connection may be
+            // dead without having been closed, and the request could not be sent again to find
+            // out.
             unpooled_client: build_client(0),
             waiters: WaiterTable::default(),
             control: Mutex::new(parts.control),
@@ -111,22 +112,22 @@
         })
     }
 
-    /// Locks the tables; never held across an await.
+    /// Locks the control state; the guard must not be held across an await.
     pub fn control(&self) -> MutexGuard<'_, ControlNode> {
         lock(&self.control)
     }
 
-    /// Locks the counts.
+    /// Locks the usage counts.
     pub fn counts(&self) -> MutexGuard<'_, CountBook> {
         lock(&self.counts)
     }
 
-    /// Gives how many requests are in progress.
+    /// Returns the number of requests in flight.
     pub fn in_flight(&self) -> u64 {
         self.in_flight.load(Ordering::SeqCst)
     }
 
-    /// Gives the address at which another node is reached from here.
+    /// Returns the address at which this node reaches another one, after address translation.
     pub fn translate_address<'a>(&'a self, address: &'a str) -> &'a str {
         self.settings
             .translate
@@ -134,27 +135,27 @@
             .map_or(address, |to| &**to)
     }
 
-    /// Refuses new requests from now on; what runs goes on.
+    /// Refuses new requests from now on; requests in flight continue.
     pub fn start_draining(&self) {
         self.draining.store(true, Ordering::SeqCst);
     }
 
-    /// Says whether new requests are refused.
+    /// Reports whether new requests are refused.
     pub fn is_draining(&self) -> bool {
         self.draining.load(Ordering::SeqCst)
     }
 
-    /// Notes when the revision in force came into force here, in milliseconds since the epoch.
+    /// Records when the current revision took effect here, in milliseconds since the epoch.
     pub fn set_adopted_ms(&self, millis: u64) {
         self.adopted_ms.store(millis, Ordering::Relaxed);
     }
 
-    /// Gives when the revision in force came into force here.
+    /// Returns when the current revision took effect here, in milliseconds since the epoch.
     pub fn adopted_ms(&self) -> u64 {
         self.adopted_ms.load(Ordering::Relaxed)
     }
 
-    /// Locks the keys.
+    /// Locks the idempotency key tables.
     pub fn keys(&self) -> MutexGuard<'_, KeyTables> {
         lock(&self.keys)
     }
@@ -175,7 +176,7 @@
         self.next_number.fetch_add(1, Ordering::Relaxed)
     }
 
-    /// Makes the id of a new request.
+    /// Returns a unique id for a new request.
     pub(crate) fn request_id(&self) -> RequestId {
         format!(
             "{}-{:x}-{}",
@@ -186,7 +187,8 @@
         .into()
     }
 
-    /// Counts a request of an account as in progress, unless the account is at its limit.
+    /// Counts a request of an account as in flight, or returns `None` if the account is at its
+    /// limit.
     pub(crate) fn try_begin(
         self: &Arc<Self>,
         account: &AccountId,
@@ -206,7 +208,7 @@
     }
 }
 
-/// Counts a request as in progress until it is dropped.
+/// Counts a request as in flight until it is dropped.
 pub(crate) struct InFlightGuard {
     core: Arc<GatewayCore>,
     account: AccountId,
@@ -225,14 +227,15 @@
     }
 }
 
-/// Gives seconds since the epoch.
+/// Returns the seconds since the Unix epoch.
 pub(crate) fn epoch_seconds() -> u64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .map_or(0, |age| age.as_secs())
 }
 
-/// Locks a mutex; a panic elsewhere leaves counters and tables usable.
+/// Locks a mutex and ignores poisoning, because a panic elsewhere leaves counters and tables
+/// usable.
 pub(crate) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/crates/zinniahatch_gateway/src/counters.rs
+++ b/crates/zinniahatch_gateway/src/counters.rs
@@ -9,42 +9,42 @@
 use prometheus::TextEncoder;
 use zinniahatch_base::prelude::*;
 
-/// Every counter and gauge; `docs/OPERATIONS.md` says how to read them.
+/// All counters and gauges; `docs/OPERATIONS.md` explains how to read them.
 pub struct CounterSet {
     registry: Registry,
     /// Requests by result code.
     pub results: IntCounterVec,
     /// Retries by reason.
     pub retries: IntCounterVec,
-    /// Retries not made for want of budget, by reason.
+    /// Retries denied by the retry budget, by reason.
     pub retries_denied: IntCounterVec,
     /// Hedges by outcome.
     pub hedges: IntCounterVec,
     /// Streams resumed, by reason.
     pub resumes: IntCounterVec,
-    /// Requests sent away, by outcome.
+    /// Requests sent to other data centres, by outcome.
     pub away: IntCounterVec,
-    /// Cancels sent to engines, by reason.
+    /// Cancellations sent to engines, by reason.
     pub cancels: IntCounterVec,
     /// Orders to engines, by outcome.
     pub orders: IntCounterVec,
-    /// Calls of the store, by kind and outcome.
+    /// Store calls, by kind and outcome.
     pub store_calls: IntCounterVec,
-    /// Frames of other nodes that were refused, by reason.
+    /// Frames from other nodes that were refused, by reason.
     pub frames_refused: IntCounterVec,
-    /// Frames and bytes between nodes, by direction.
+    /// Frames between nodes, by direction.
     pub frames: IntCounterVec,
     /// Bytes between nodes, by direction.
     pub frame_bytes: IntCounterVec,
-    /// Connections to nodes opened anew.
+    /// Connections to nodes that were reopened.
     pub redials: IntCounter,
-    /// Configuration changes asked of this node, by verdict.
+    /// Configuration changes requested at this node, by verdict.
     pub changes: IntCounterVec,
-    /// Guests refused or taken.
+    /// Requests received from other data centres, by outcome (taken or refused).
     pub guests: IntCounterVec,
-    /// Requests of forwarded calls refused for a wrong proof.
+    /// Forwarded requests refused because of a missing or invalid proof.
     pub proofs_refused: IntCounter,
-    /// Leases on slots that lapsed.
+    /// Expired leases on slots.
     pub lease_lapses: IntGauge,
     /// Requests waiting, by service.
     pub waiting: IntGaugeVec,
@@ -52,36 +52,36 @@
     pub running: IntGaugeVec,
     /// Slots held, by service.
     pub slots: IntGaugeVec,
-    /// The revision in force.
+    /// The configuration revision in force.
     pub revision: IntGauge,
     /// Live members of the data centre, this node included.
     pub members: IntGauge,
-    /// Whether the store was reached at the last try.
+    /// Whether the last store call succeeded.
     pub store_reached: IntGauge,
-    /// Times that the store showed an older revision than the one in force.
+    /// Number of times that the store returned an older revision than the one in force.
     pub store_behind: IntCounter,
-    /// Sheets of counts that wait for the store.
+    /// Received batches of counts that are not yet in the store.
     pub sheets_waiting: IntGauge,
-    /// Own sheets of counts, by how far they are.
+    /// Own batches of counts, by state.
     pub own_sheets: IntGaugeVec,
-    /// Minutes since the oldest own sheet that is not in the store was sealed.
+    /// Age in minutes of the oldest sealed batch of this node that is not yet in the store.
     pub sheet_age: IntGauge,
     /// Merges of counts into the store, by outcome.
     pub merges: IntCounterVec,
     /// Messages between nodes that were dropped, by reason.
     pub messages_dropped: IntCounterVec,
-    /// Keys made.
+    /// Idempotency keys issued.
     pub keys_made: IntCounter,
     /// Nanoseconds spent in control ticks.
     pub control_nanos: IntCounter,
 }
 
 impl CounterSet {
-    /// Makes the set of a node.
+    /// Registers all metrics of a node.
     ///
     /// # Panics
     ///
-    /// When two counters have one name, which the first start would show.
+    /// Panics if two metrics have the same name; the first start would show this.
     #[expect(clippy::too_many_lines, reason = "one line for each counter")]
     pub fn new(node: &str, data_centre: &str) -> Self {
         let labels = [
@@ -248,14 +248,14 @@
         set
     }
 
-    /// Counts a result.
+    /// Counts a request by its result code.
     pub fn count_result(&self, code: ResultCode) {
         self.results
             .with_label_values(&[code.number().to_string().as_str(), code.name()])
             .inc();
     }
 
-    /// Gives every value in the text format of Prometheus.
+    /// Renders all values in the Prometheus text format.
     pub fn render(&self) -> String {
         TextEncoder::new()
             .encode_to_string(&self.registry.gather())
@@ -269,26 +269,27 @@
     help: &str,
     labels: &[&str],
 ) -> IntCounterVec {
-    let counter = IntCounterVec::new(Opts::new(name, help), labels).expect("the name is valid");
+    let counter =
+        IntCounterVec::new(Opts::new(name, help), labels).expect("the metric name is valid");
     registry
         .register(Box::new(counter.clone()))
-        .expect("the name is unique");
+        .expect("the metric name is unique");
     counter
 }
 
 fn register_counter(registry: &Registry, name: &str, help: &str) -> IntCounter {
-    let counter = IntCounter::new(name, help).expect("the name is valid");
+    let counter = IntCounter::new(name, help).expect("the metric name is valid");
     registry
         .register(Box::new(counter.clone()))
-        .expect("the name is unique");
+        .expect("the metric name is unique");
     counter
 }
 
 fn register_gauge(registry: &Registry, name: &str, help: &str) -> IntGauge {
-    let gauge = IntGauge::new(name, help).expect("the name is valid");
+    let gauge = IntGauge::new(name, help).expect("the metric name is valid");
     registry
         .register(Box::new(gauge.clone()))
-        .expect("the name is unique");
+        .expect("the metric name is unique");
     gauge
 }
 
@@ -297,9 +298,10 @@
 }
 
 fn register_gauge_vec(registry: &Registry, name: &str, help: &str, label: &str) -> IntGaugeVec {
-    let gauge = IntGaugeVec::new(Opts::new(name, help), &[label]).expect("the name is valid");
+    let gauge =
+        IntGaugeVec::new(Opts::new(name, help), &[label]).expect("the metric name is valid");
     registry
         .register(Box::new(gauge.clone()))
-        .expect("the name is unique");
+        .expect("the metric name is unique");
     gauge
 }
--- a/crates/zinniahatch_gateway/src/dispatch.rs
+++ b/crates/zinniahatch_gateway/src/dispatch.rs
@@ -1,4 +1,4 @@
-//! Sending a request to a backend server or to a node of another data centre.
+//! Sends requests to backend servers and to nodes of other data centres.
 
 use crate::GatewayCore;
 use crate::admit::CallerIdentity;
@@ -45,19 +45,19 @@
     pub(crate) sent: AtomicBool,
 }
 
-/// Why a send gave no answer to pass on.
+/// Why a send yielded no response to relay.
 #[derive(Debug)]
 pub(crate) enum SendFailure {
-    /// No connection: nothing was sent.
+    /// No connection was established, so nothing was sent.
     NotSent,
-    /// The receiver says that it did not run the request.
+    /// The receiver reports that it did not run the request.
     Refused { leaving: bool },
-    /// The connection broke after something was sent.
+    /// The connection failed after something was sent.
     Broken,
 }
 
 impl OutboundRequest {
-    /// Makes what the tables are asked.
+    /// Builds the query for a placement decision.
     pub(crate) fn placement_query(
         &self,
         core: &GatewayCore,
@@ -88,9 +88,10 @@
         self.sent.load(Ordering::SeqCst)
     }
 
-    /// Gives the time in which an answer must begin.
+    /// Returns the time within which the response headers must arrive.
     ///
-    /// An engine sends its headers when it takes the request; a plain service, when it is done.
+    /// An engine sends its headers when it accepts the request; a plain service sends them when it
+    /// has finished.
     fn response_timeout(&self) -> Duration {
         const STALLS: u32 = 2;
         self.config.preset().stall_after * STALLS
@@ -115,7 +116,7 @@
     }
 }
 
-/// Sends a request to a backend server under an id that the answer must carry back.
+/// Sends a request to a backend server under an id that the response must echo.
 pub(crate) async fn send_replica(
     core: &GatewayCore,
     outbound: &OutboundRequest,
@@ -135,7 +136,7 @@
     let response = send(outbound, request).await?;
     let echoed = headers::text(response.headers(), headers::BACKEND_REQUEST);
     if echoed.is_some_and(|echo| echo != id) {
-        // An answer to another request on this connection: it is not passed on.
+        // This response belongs to another request on the same connection and must not be relayed.
         return Err(SendFailure::Broken);
     }
     if headers::text(response.headers(), headers::NOT_RUN).is_some() {
@@ -179,7 +180,7 @@
     Ok(response)
 }
 
-/// Makes a forwarded request with the proof that it comes from a node.
+/// Builds a forwarded request with the proof that a node of the cluster sent it.
 pub(crate) fn forward(
     core: &GatewayCore,
     outbound: &OutboundRequest,
@@ -210,7 +211,7 @@
     request
 }
 
-/// Gives the fields that a proof covers.
+/// Returns the fields that the proof of a forwarded request covers.
 pub(crate) fn signed_fields(
     stage: &str,
     id: &str,
@@ -230,7 +231,7 @@
     ]
 }
 
-/// Gives the digest by which a key knows its request again.
+/// Returns the digest that identifies the request of an idempotency key.
 pub(crate) fn request_digest(outbound: &OutboundRequest) -> PartHash {
     let body = blake3::hash(&outbound.body).to_hex();
     digest_text(&format!(
@@ -243,13 +244,15 @@
     outbound: &OutboundRequest,
     request: RequestBuilder,
 ) -> Result<Response, SendFailure> {
-    // Noted beforehand: a deadline may end this future while the request is on its way.
+    // Set before sending, because the deadline may cancel this future while the request is in
+    // transit.
     let before = outbound.sent.swap(true, Ordering::SeqCst);
     let result = if outbound.at_most_once {
         request.send().await
     } else {
-        // A pooled connection that has gone silent takes a request and never answers. A repeatable
-        // one is tried elsewhere instead; one that is not waits, since nothing else is safe.
+        // A pooled connection that is dead without having been closed accepts a request and never
+        // answers. A repeatable request is tried elsewhere; any other must wait, because it cannot
+        // be safely resent.
         match timeout(outbound.response_timeout(), request.send()).await {
             Ok(result) => result,
             Err(_) => return Err(SendFailure::Broken),
@@ -263,7 +266,7 @@
             Err(SendFailure::NotSent)
         }
         Err(_) => {
-            // A hedge that was refused meanwhile may have taken the note back.
+            // A concurrent hedge that was refused may have reset the flag.
             outbound.sent.store(true, Ordering::SeqCst);
             Err(SendFailure::Broken)
         }
--- a/crates/zinniahatch_gateway/src/engine_stream.rs
+++ b/crates/zinniahatch_gateway/src/engine_stream.rs
@@ -1,4 +1,5 @@
-//! A model's stream: relayed in whole events, probed when it stalls, resumed when it breaks.
+//! Streamed model responses: relayed in complete events, probed on a stall, resumed after a
+//! failure.
 
 use crate::GatewayCore;
 use crate::core::lock;
@@ -27,16 +28,16 @@
 use tokio::time::timeout;
 use zinniahatch_base::prelude::*;
 
-/// Probes of one replica before another is asked to go on.
+/// Number of probes of one replica before another one continues the stream.
 const MAX_PROBES: u32 = 2;
 
-/// The source of an answer, which the watchdog may take away.
+/// Source of a response, which the watchdog task may take and release.
 type SharedSource = Arc<Mutex<Option<ResponseSource>>>;
 
-/// Time after the deadline at which a slot is taken back.
+/// Time after the deadline at which the watchdog releases the slot.
 const WATCHDOG_DELAY: Duration = Duration::from_secs(1);
 
-/// One model answer on its way.
+/// A streamed model response in progress.
 pub(crate) struct EngineStream {
     core: Arc<GatewayCore>,
     pub(crate) outbound: Arc<OutboundRequest>,
@@ -47,14 +48,14 @@
     splitter: EventSplitter,
     probes: u32,
     pub(crate) served: RegionId,
-    /// Wakes the stream to look whether it stalls. Set anew only when it has rung: a timer for
-    /// each event would cost more than the event.
+    /// Wakes the stream to check for a stall. It is reset only after it has fired: resetting a
+    /// timer for each event would cost more than handling the event.
     stall_timer: Pin<Box<Sleep>>,
     last_progress: Instant,
 }
 
 impl EngineStream {
-    /// Gets an answer to begin.
+    /// Opens a stream and waits until the response begins.
     pub(crate) async fn open(
         core: &Arc<GatewayCore>,
         outbound: Arc<OutboundRequest>,
@@ -98,7 +99,7 @@
         })
     }
 
-    /// Says whether the end mark was seen; only then is the answer whole.
+    /// Reports whether the end marker was received; only then is the response complete.
     pub(crate) fn is_complete(&self) -> bool {
         self.splitter.done
     }
@@ -107,7 +108,7 @@
         self.splitter.usage()
     }
 
-    /// Gives the next whole events, or `None` after the end mark.
+    /// Returns the next complete events, or `None` after the end marker.
     pub(crate) async fn next(&mut self) -> Result<Option<Bytes>, Box<Refusal>> {
         loop {
             if self.splitter.done {
@@ -149,7 +150,8 @@
         }
     }
 
-    /// Goes on from the last event: on the same replica over a new connection, or on another one.
+    /// Continues after the last event, on the same replica over a new connection or on another
+    /// replica.
     async fn recover(&mut self, reason: &str) -> Result<(), Box<Refusal>> {
         self.core
             .counters
@@ -189,10 +191,10 @@
         Ok(())
     }
 
-    /// Asks the same replica for the rest over a new connection.
+    /// Requests the remainder from the same replica over a new connection.
     ///
-    /// A connection that a middlebox has forgotten delivers nothing and reports nothing, while
-    /// new ones work; the pool is therefore not used here.
+    /// A connection whose state a middlebox has dropped delivers nothing and reports no error,
+    /// while new connections work. The connection pool is therefore not used here.
     async fn resume_same_replica(&mut self) -> bool {
         let Some((address, id)) = self.replica_and_attempt() else {
             return false;
@@ -214,10 +216,11 @@
         true
     }
 
-    /// Gives the silence after which the stream is probed.
+    /// Returns the time without data after which the stream is probed.
     ///
-    /// The first token waits for the whole prompt to be read. An answer from another data centre
-    /// stalls later, so that the node there resumes first.
+    /// The first token takes longer, because the whole prompt must be processed before it. A
+    /// response from another data centre gets the longest time, so that the node there resumes
+    /// first.
     fn stall_after(&self) -> Duration {
         const FIRST_TOKEN: u32 = 3;
         const REMOTE: u32 = 4;
@@ -229,8 +232,8 @@
         }
     }
 
-    /// Gives the address of the replica and the id that it knows, if one of this data centre
-    /// answers.
+    /// Returns the replica's address and its id of the attempt, if a replica of this data centre
+    /// serves the request.
     fn replica_and_attempt(&self) -> Option<(Box<str>, Box<str>)> {
         match &*lock(&self.source) {
             Some(ResponseSource::Slot(_, address, id)) => Some((address.clone(), id.clone())),
@@ -269,10 +272,10 @@
     }
 }
 
-/// Takes the slot back when the deadline has passed.
+/// Releases the slot when the deadline has passed.
 ///
-/// A caller that does not read its answer keeps the stream from being polled, so the stream's own
-/// look at its deadline never comes; without this its slot would be held for ever.
+/// If the caller does not read its response, the stream is not polled and never checks its
+/// deadline; without this task the slot would be held forever.
 async fn release_after_deadline(core: Arc<GatewayCore>, source: SharedSource, deadline: Instant) {
     sleep_until((deadline + WATCHDOG_DELAY).into()).await;
     let taken = lock(&source).take();
--- a/crates/zinniahatch_gateway/src/headers.rs
+++ b/crates/zinniahatch_gateway/src/headers.rs
@@ -1,4 +1,4 @@
-//! Names of headers, and which headers pass through.
+//! Header names, and the filters for headers that are passed on.
 
 use salvo::http::HeaderMap;
 use salvo::http::header::HeaderName;
@@ -24,7 +24,7 @@
 pub(crate) const CALLER: &str = "x-zinnia-caller";
 pub(crate) const KEYED: &str = "x-zinnia-keyed";
 
-/// Headers that belong to one connection and are never passed on.
+/// Hop-by-hop headers, which are never passed on.
 const HOP_HEADERS: [&str; 9] = [
     "connection",
     "keep-alive",
@@ -37,10 +37,9 @@
     "proxy-connection",
 ];
 
-/// Says whether a header of a caller's request goes on to the backend server.
+/// Reports whether a header of a caller's request is forwarded to the backend server.
 ///
-/// The caller's API key stays here: a backend server has no use for it, and its log is no place
-/// for it.
+/// The caller's API key is removed: a backend server does not need it and must not log it.
 pub(crate) fn forwards_request_header(name: &HeaderName) -> bool {
     let name = name.as_str();
     !HOP_HEADERS.contains(&name)
@@ -58,7 +57,7 @@
         .contains(&name)
 }
 
-/// Says whether a header of a backend server's answer goes on to the caller.
+/// Reports whether a header of a backend server's response is returned to the caller.
 pub(crate) fn forwards_response_header(name: &HeaderName) -> bool {
     let name = name.as_str();
     !HOP_HEADERS.contains(&name)
@@ -66,12 +65,12 @@
         && !["content-length", BACKEND_REQUEST].contains(&name)
 }
 
-/// Gives a header's text.
+/// Returns the value of a header as text.
 pub(crate) fn text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     headers.get(name).and_then(|value| value.to_str().ok())
 }
 
-/// Gives the token of an `authorization: Bearer` header.
+/// Returns the token of an `authorization: Bearer` header.
 pub(crate) fn bearer(headers: &HeaderMap) -> Option<&str> {
     text(headers, "authorization")?
         .strip_prefix("Bearer ")
--- a/crates/zinniahatch_gateway/src/idempotency.rs
+++ b/crates/zinniahatch_gateway/src/idempotency.rs
@@ -1,4 +1,5 @@
-//! Requests that may not be repeated: claimed by key, run once, their answers kept.
+//! Requests that must not run twice: claimed by idempotency key, run once, and their responses
+//! stored.
 
 use crate::GatewayCore;
 use crate::dispatch::OutboundRequest;
@@ -19,17 +20,17 @@
 use zinniahatch_control::MintedKey;
 use zinniahatch_control::NodeIdentity;
 
-/// Time for which a key may be used after it was made.
+/// Time for which a key may be used after it was issued.
 pub(crate) const KEY_LIFETIME: Duration = Duration::from_secs(900);
-/// Time after its deadline for which a running request's answer is still awaited, to be kept.
+/// Time after its deadline for which a running request may still produce a response to be stored.
 const LATE_RESPONSE_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Time after its deadline in which a run that was sent to no backend server ends.
+/// Time after its deadline within which a run that was sent to no backend server ends.
 const REFUSAL_GRACE: Duration = Duration::from_millis(500);
 
 type ResponseTable = KeyBook<Arc<CachedResponse>>;
 
-/// The books of this incarnation and of those it took over.
+/// Key tables of this incarnation and of those that it took over.
 pub struct KeyTables {
     limit: usize,
     cached_bytes: usize,
@@ -37,7 +38,7 @@
     own: (NodeId, Incarnation),
 }
 
-/// A book as it passes to an heir.
+/// Key table as sent to the node that takes it over.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct KeyTableSnapshot {
     node: NodeId,
@@ -70,7 +71,7 @@
         }
     }
 
-    /// Says whether the book of a key is here.
+    /// Reports whether this node holds the table of a key.
     pub(crate) fn owns(&self, key: &MintedKey) -> bool {
         self.tables
             .contains_key(&(key.node.clone(), key.incarnation))
@@ -91,14 +92,14 @@
         }
     }
 
-    /// Forgets what is old.
+    /// Removes expired keys and responses.
     pub fn sweep(&mut self, now: Instant, store_response: Duration) {
         for table in self.tables.values_mut() {
             table.sweep(now, store_response);
         }
     }
 
-    /// Closes every book and gives them for an heir.
+    /// Closes all tables and returns their content for the successor.
     pub fn close(&mut self, now: Instant) -> Vec<KeyTableSnapshot> {
         let mut handed = Vec::new();
         for ((node, incarnation), table) in &mut self.tables {
@@ -125,7 +126,7 @@
         handed
     }
 
-    /// Takes over the books of a node that leaves; gives whose they are.
+    /// Takes over the tables of a node that shuts down and returns their owners.
     pub(crate) fn take_over(
         &mut self,
         now: Instant,
@@ -156,7 +157,8 @@
         owners
     }
 
-    /// Keeps an answer under its key; where memory is short, the oldest answers are forgotten.
+    /// Stores a response under its key; evicts the oldest responses when the memory limit is
+    /// exceeded.
     fn store_response(&mut self, key: &MintedKey, answer: &Arc<CachedResponse>) {
         self.cached_bytes += answer.body.len();
         if let Some(table) = self.table(key) {
@@ -165,7 +167,8 @@
         if self.cached_bytes <= self.limit {
             return;
         }
-        // Down to half, so that the search for the oldest is not made for every answer.
+        // Evicts down to half the limit, so that the oldest responses need not be searched for on
+        // every call.
         let share = self.limit / 2 / self.tables.len().max(1);
         for table in self.tables.values_mut() {
             table.fit_answers(share, |answer| answer.body.len());
@@ -178,10 +181,10 @@
     }
 }
 
-/// Runs a request under a key that is owned here.
+/// Runs a request under a key that this node owns.
 ///
-/// The run goes on when the caller's connection breaks, and its answer is kept: a caller that
-/// lost its connection collects the answer with the same key.
+/// The run continues when the caller's connection breaks, and its response is stored: a caller
+/// that lost its connection fetches the response with the same key.
 pub(crate) async fn run_as_owner(
     core: &Arc<GatewayCore>,
     outbound: OutboundRequest,
@@ -200,7 +203,8 @@
     let mut run = tokio::spawn(run_and_record(Arc::clone(core), Arc::clone(&outbound), key));
     let mut ended = timeout_at(deadline, &mut run).await;
     if ended.is_err() && !outbound.was_sent() {
-        // A run that only waited ends at the same deadline, and says that it did not run.
+        // A run that was still waiting for a slot ends at the same deadline and reports that it
+        // did not run.
         ended = timeout_at(deadline + REFUSAL_GRACE, run).await;
     }
     match ended {
@@ -222,7 +226,7 @@
     record_outcome(&core, &outbound, &key, result)
 }
 
-/// Gives what a claim means for its caller; `None` for a fresh key.
+/// Converts a claim into the result for its caller; returns `None` for a new key.
 pub(crate) fn claim_result(
     claim: KeyClaim<Arc<CachedResponse>>,
 ) -> Option<Result<Arc<CachedResponse>, Box<Refusal>>> {
@@ -267,10 +271,10 @@
     }
 }
 
-/// Enters the outcome into the book before the caller hears it.
+/// Stores the outcome in the key table before the caller receives it.
 ///
-/// "Not run" buries the key first: a copy of the same request that is still on its way to this
-/// node then cannot run after the caller was told that it did not.
+/// For "not run" the key is invalidated first, so that a copy of the same request still in transit
+/// to this node cannot run after the caller was told that the request did not.
 fn record_outcome(
     core: &GatewayCore,
     outbound: &OutboundRequest,
--- a/crates/zinniahatch_gateway/src/key_owner.rs
+++ b/crates/zinniahatch_gateway/src/key_owner.rs
@@ -1,4 +1,4 @@
-//! A request whose key another node owns: one hop to the owner, never a second.
+//! Forwards requests to the node that owns their idempotency key, with at most one hop.
 
 use crate::GatewayCore;
 use crate::dispatch::OutboundRequest;
@@ -14,10 +14,10 @@
 use zinniahatch_base::prelude::*;
 use zinniahatch_control::MintedKey;
 
-/// Time beyond the deadline in which the owner's refusal still arrives.
+/// Time beyond the deadline within which the owner's refusal still arrives.
 const OWNER_TIMEOUT_MARGIN: Duration = Duration::from_secs(1);
 
-/// The owner's answer, passed on as it is.
+/// The owner's response, passed on unchanged.
 pub(crate) struct OwnerResponse {
     status: u16,
     headers: Vec<(Box<str>, Box<str>)>,
@@ -25,7 +25,7 @@
 }
 
 impl OwnerResponse {
-    /// Reads the owner's answer; `None` where it did not come whole.
+    /// Reads the owner's response, or returns `None` if it is incomplete.
     pub(crate) async fn read(response: reqwest::Response) -> Option<Self> {
         let status = response.status().as_u16();
         let headers = response
@@ -44,7 +44,7 @@
         })
     }
 
-    /// Counts the request as its caller sees it.
+    /// Counts the request with the result that its caller receives.
     pub(crate) fn record_result(&self, count: &mut CountGuard, is_engine: bool) {
         count.mark_first_byte();
         let code = self.code();
@@ -57,7 +57,7 @@
         count.record_result(code);
     }
 
-    /// Gives the result; an answer without one is no answer of a node.
+    /// Returns the result code; a response without one did not come from a node.
     fn code(&self) -> ResultCode {
         let number = self.text(headers::CODE).and_then(|text| text.parse().ok());
         number
@@ -85,14 +85,14 @@
     }
 }
 
-/// The part of a model's whole answer that says what it used.
+/// The part of a model's complete response that holds the token usage.
 #[derive(Deserialize)]
 struct UsageBody {
     #[serde(default)]
     usage: TokenUsage,
 }
 
-/// Gives the address of the node that holds a key's book, as far as this node knows.
+/// Returns the address of the node that holds a key's table, if this node knows it.
 pub(crate) fn key_owner_address(core: &GatewayCore, key: &MintedKey) -> Option<Box<str>> {
     let control = core.control();
     if let Some((_, entry)) = control.members().key_holder(&key.node, key.incarnation) {
@@ -104,13 +104,13 @@
         .map(|entry| entry.http.clone())
 }
 
-/// Passes a request to the owner of its key.
+/// Forwards a request to the owner of its key.
 ///
-/// When the owner is gone the outcome is unknown: the key may have been used there, and nobody
-/// else can tell. It is never run here instead.
+/// If the owner is gone, the outcome is unknown: the key may have been used there, and no other
+/// node can tell. The request is never run here instead.
 ///
-/// The request is counted here, whatever becomes of it: nobody knows whether an owner that gives no answer ever
-/// read it.
+/// The request is counted here in any case, because it is unknown whether an owner that gives no
+/// response ever read it.
 pub(crate) async fn forward_to_owner(
     core: &GatewayCore,
     outbound: &OutboundRequest,
--- a/crates/zinniahatch_gateway/src/lib.rs
+++ b/crates/zinniahatch_gateway/src/lib.rs
@@ -1,4 +1,5 @@
-//! The way of a request: headers, account, binding, key, body, slot, dispatch, relay, count.
+//! Request path of the gateway daemon: authentication, admission, idempotency keys, placement,
+//! dispatch, response relay, usage counts, and the administration API.
 
 mod account_change;
 mod admin;
--- a/crates/zinniahatch_gateway/src/observe.rs
+++ b/crates/zinniahatch_gateway/src/observe.rs
@@ -1,4 +1,4 @@
-//! Handlers for counters and health.
+//! Handlers for metrics and health checks.
 
 use crate::GatewayCore;
 use crate::admin::fail;
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 use zinniahatch_base::prelude::*;
 
-/// Gives the counters in the text format of Prometheus.
+/// Returns the counters in the Prometheus text format.
 pub(crate) struct MetricsHandler(pub(crate) Arc<GatewayCore>);
 
 #[handler]
@@ -21,7 +21,7 @@
     }
 }
 
-/// Says that the process lives, or that it serves.
+/// Answers a liveness check, or a readiness check if the flag is set.
 pub(crate) struct HealthHandler(pub(crate) Arc<GatewayCore>, pub(crate) bool);
 
 #[handler]
@@ -38,7 +38,7 @@
 }
 
 impl GatewayCore {
-    /// Brings the gauges up to date.
+    /// Updates the gauges from the control state.
     pub fn refresh_gauges(&self) {
         let control = self.control();
         let config = control.config();
--- a/crates/zinniahatch_gateway/src/peer.rs
+++ b/crates/zinniahatch_gateway/src/peer.rs
@@ -1,4 +1,4 @@
-//! Handlers for other nodes.
+//! Handlers for requests from other nodes.
 
 use crate::GatewayCore;
 use crate::KeyTableSnapshot;
@@ -35,49 +35,50 @@
 use zinniahatch_control::AskScope;
 use zinniahatch_control::MintedKey;
 
-/// Bytes of a handover; it carries every kept answer of the node that leaves.
+/// Maximum size in bytes of a handover, which carries every stored response of the node that shuts
+/// down.
 const MAX_HANDOVER_BYTES: usize = 64 << 20;
 const PEER_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What a node says of itself to another.
+/// Status of a node, as reported to other nodes.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct NodeStatus {
-    /// The node.
+    /// Name of the node.
     pub node: NodeId,
     /// Its data centre.
     pub data_centre: DataCentreId,
     /// Its region.
     pub region: RegionId,
-    /// The revision in force there.
+    /// Configuration revision in force on the node.
     pub revision: Revision,
-    /// The preset in force there.
+    /// Preset in force on the node.
     pub preset: PresetId,
-    /// Whether it serves.
+    /// Whether the node is ready to serve.
     pub ready: bool,
-    /// Whether it leaves.
+    /// Whether the node is shutting down.
     pub leaving: bool,
-    /// Live members that it knows, itself included.
+    /// Live members that the node knows, itself included.
     pub members: usize,
-    /// Requests in progress.
+    /// Requests in flight.
     pub active: u64,
-    /// Milliseconds since the epoch when the revision came into force there.
+    /// Time in milliseconds since the epoch at which the revision took effect there.
     pub adopted_ms: u64,
 }
 
-/// The keys and answers of a node that leaves.
+/// Idempotency keys and responses of a node that shuts down.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct KeyHandover {
-    /// Its books.
+    /// Key tables of the node.
     pub books: Vec<KeyTableSnapshot>,
 }
 
-/// A forwarded request with its proof checked.
+/// A forwarded request whose proof was verified.
 struct VerifiedRequest {
     admitted: AdmittedRequest,
     body: Bytes,
 }
 
-/// Runs a request that another data centre sent; there is no way on from here.
+/// Runs a request from another data centre; it is not forwarded further.
 pub(crate) struct ForwardedHandler(pub(crate) Arc<GatewayCore>);
 
 #[handler]
@@ -101,7 +102,7 @@
     }
 }
 
-/// Serves a request whose key is owned here.
+/// Serves a forwarded request whose key this node owns.
 pub(crate) struct KeyOwnerHandler(pub(crate) Arc<GatewayCore>);
 
 #[handler]
@@ -117,7 +118,7 @@
         let owned = key.filter(|key| core.keys().owns(key));
         let reply = match owned {
             Some(key) => serve_body(core, verified.admitted, verified.body, Some(key)).await,
-            // The sender was wrong about the owner. A second hop is never made.
+            // The sender assumed the wrong owner; a request is never forwarded a second time.
             None => Reply::Refused(
                 verified.admitted.id,
                 Box::new(Refusal::new(ResultCode::KeyOwnerGone)),
@@ -127,7 +128,7 @@
     }
 }
 
-/// Tells another node how this one stands.
+/// Returns the status of this node.
 pub(crate) struct StatusHandler(pub(crate) Arc<GatewayCore>);
 
 #[handler]
@@ -137,7 +138,7 @@
     }
 }
 
-/// Takes over the keys and answers of a node that leaves.
+/// Takes over the keys and responses of a node that shuts down.
 pub(crate) struct HandoverHandler(pub(crate) Arc<GatewayCore>);
 
 #[handler]
@@ -177,7 +178,7 @@
 }
 
 impl GatewayCore {
-    /// Gives how this node stands.
+    /// Returns the status of this node.
     pub fn node_status(&self) -> NodeStatus {
         let control = self.control();
         let config = control.config();
@@ -203,10 +204,11 @@
         }
     }
 
-    /// Sends the keys and answers of this node to its heir; gives whether the heir has them.
+    /// Sends the keys and responses of this node to its successor; returns whether the successor
+    /// has them.
     ///
-    /// The books are closed before they are sent, so that no key can start here once it might be
-    /// known elsewhere.
+    /// The tables are closed before they are sent, so that no key can start a request here once
+    /// another node may hold it.
     pub async fn hand_over_keys(&self, successor: &str) -> bool {
         let books = self.keys().close(Instant::now());
         let Ok(body) = serde_json::to_vec(&KeyHandover { books }) else {
@@ -226,7 +228,7 @@
         matches!(request.send().await, Ok(response) if response.status().is_success())
     }
 
-    /// Asks another node how it stands.
+    /// Fetches the status of another node.
     pub async fn fetch_node_status(&self, http: &str) -> Option<NodeStatus> {
         let request = self
             .client
@@ -239,7 +241,7 @@
     }
 }
 
-/// Collects a kept answer from the node that owns its key.
+/// Fetches a stored response from the node that owns its key.
 pub(crate) async fn fetch_answer(
     core: &GatewayCore,
     address: &str,
@@ -311,7 +313,8 @@
     let home = who.entry.home == core.identity.region;
     let bound = service.is_bound(request.method().as_str());
     if bound && !home {
-        // A node with an older configuration may have sent a bound request; it is not run here.
+        // A node with an older configuration may have forwarded a bound request; it is not run
+        // here.
         return Err(Box::new(Refusal::new(ResultCode::BoundElsewhere)));
     }
     let in_flight = core
--- a/crates/zinniahatch_gateway/src/peer_auth.rs
+++ b/crates/zinniahatch_gateway/src/peer_auth.rs
@@ -1,23 +1,23 @@
-//! Proof that a forwarded request comes from a node that knows the shared secret.
+//! Authentication of forwarded requests by a keyed hash with the cluster's shared secret.
 
-/// Context string from which the proof key is derived.
+/// Context string from which the key is derived.
 const KEY_CONTEXT: &str = "zinniahatch 2026 requests between nodes";
 
-/// Makes and checks proofs.
+/// Signs and verifies requests between nodes.
 #[derive(Clone)]
 pub struct PeerAuth {
     key: [u8; 32],
 }
 
 impl PeerAuth {
-    /// Makes a prover from the secret of the settings.
+    /// Derives the key from the secret of the settings.
     pub fn new(secret: &str) -> Self {
         Self {
             key: blake3::derive_key(KEY_CONTEXT, secret.as_bytes()),
         }
     }
 
-    /// Gives the proof for the fields that a forwarded request must not change.
+    /// Returns the proof for the fields that must not change in transit.
     pub fn sign(&self, fields: &[&str]) -> String {
         let mut hasher = blake3::Hasher::new_keyed(&self.key);
         for field in fields {
@@ -27,7 +27,7 @@
         hasher.finalize().to_hex().to_string()
     }
 
-    /// Checks a proof in a time that does not depend on it.
+    /// Verifies a proof in constant time.
     pub fn verify(&self, fields: &[&str], proof: &str) -> bool {
         let Ok(given) = blake3::Hash::from_hex(proof) else {
             return false;
--- a/crates/zinniahatch_gateway/src/placement.rs
+++ b/crates/zinniahatch_gateway/src/placement.rs
@@ -1,4 +1,4 @@
-//! Getting a slot: at once, after a wait, or in another data centre.
+//! Waits for a placement: a slot of this data centre, or a node of another one.
 
 use crate::GatewayCore;
 use crate::core::lock;
@@ -12,25 +12,25 @@
 use zinniahatch_control::Placement;
 use zinniahatch_protocol::EntryAddress;
 
-/// A slot in use; given back when dropped.
+/// A slot in use, returned when dropped.
 pub(crate) struct SlotGuard {
     core: Arc<GatewayCore>,
     ticket: PlaceTicket,
     refused: bool,
 }
 
-/// Where a request goes.
+/// Where a request is sent.
 pub(crate) enum Assignment {
     /// A slot of this data centre.
     Slot(SlotGuard),
-    /// One of these nodes of another data centre.
+    /// Entry VMs of another data centre, to be tried in order.
     Remote(DataCentreId, Vec<EntryAddress>),
 }
 
-/// What a request learns of its place.
+/// Result of waiting for an assignment.
 type AssignmentResult = Result<Assignment, Box<Refusal>>;
 
-/// Requests that wait for a decision of the tables.
+/// Requests that wait for a placement decision.
 #[derive(Default)]
 pub(crate) struct WaiterTable {
     waiters: Mutex<BTreeMap<u64, oneshot::Sender<AssignmentResult>>>,
@@ -49,7 +49,8 @@
         &self.ticket.replica
     }
 
-    /// Notes that the backend server took no work, so the time says nothing about it.
+    /// Marks that the backend server did not accept the request, so that its duration is not used
+    /// as a measurement.
     pub(crate) fn mark_refused(&mut self) {
         self.refused = true;
     }
@@ -67,7 +68,7 @@
     }
 }
 
-/// Takes a waiting request out of its queue when its caller goes away.
+/// Removes a waiting request from its queue when its caller disconnects.
 struct WaitGuard<'a> {
     core: &'a GatewayCore,
     service: &'a str,
@@ -85,7 +86,7 @@
     }
 }
 
-/// Gets a place for a request.
+/// Waits until a request is assigned or refused.
 pub(crate) async fn wait_for_assignment(
     core: &Arc<GatewayCore>,
     query: PlaceAsk,
@@ -113,7 +114,7 @@
     }
 }
 
-/// Gets a slot of this data centre if one is free now, for a hedge.
+/// Takes a slot of this data centre for a hedge if one is free now.
 pub(crate) fn try_assign_now(core: &Arc<GatewayCore>, query: &PlaceAsk) -> Option<SlotGuard> {
     let mut control = core.control();
     match control.place(Instant::now(), query) {
@@ -127,11 +128,11 @@
 }
 
 impl GatewayCore {
-    /// Hands the decisions of the tables to the requests that wait for them.
+    /// Delivers placement decisions to the requests that wait for them.
     pub fn deliver_placements(self: &Arc<Self>, decisions: Vec<(u64, Placement)>) {
         for (number, placement) in decisions {
-            // Converted before the sender is looked up: a slot whose request has gone is then
-            // dropped as a guard and so given back.
+            // Converted before the sender is looked up: the slot of an abandoned request is then
+            // dropped as a guard and thereby returned.
             let place = to_assignment(self, placement);
             let sender = lock(&self.waiters.waiters).remove(&number);
             if let Some(sender) = sender {
--- a/crates/zinniahatch_gateway/src/refusal.rs
+++ b/crates/zinniahatch_gateway/src/refusal.rs
@@ -1,10 +1,10 @@
-//! Refusals: a result code, and what the caller needs to do better.
+//! Refusals: a result code and details for the caller.
 
 use serde::Serialize;
 use zinniahatch_base::prelude::*;
 use zinniahatch_protocol::EntryAddress;
 
-/// Why a request gets no answer of a backend server.
+/// Why a request gets no response from a backend server.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct Refusal {
     pub(crate) code: ResultCode,
@@ -14,7 +14,7 @@
     pub(crate) detail: Option<Box<str>>,
 }
 
-/// The body of a refusal.
+/// JSON body of a refusal.
 #[derive(Serialize)]
 pub(crate) struct RefusalBody<'a> {
     code: u16,
--- a/crates/zinniahatch_gateway/src/report_read.rs
+++ b/crates/zinniahatch_gateway/src/report_read.rs
@@ -1,4 +1,4 @@
-//! Reading hourly counts back from the store.
+//! Reads hourly usage counts from the store.
 
 use crate::GatewayCore;
 use futures_util::StreamExt;
@@ -8,21 +8,21 @@
 use zinniahatch_report::GapNote;
 use zinniahatch_report::HourLedger;
 
-/// Reads in flight for one report, far below the store's rate.
+/// Concurrent reads for one report, far below the store's rate limit.
 const CONCURRENT_READS: usize = 8;
 const PREFIX: &str = "report/";
 
-/// Gives the key of one data centre's counts of one shard and hour.
+/// Returns the store key of one data centre's counts for a shard and hour.
 pub fn hour_key(data_centre: &str, shard: u16, hour: u64) -> String {
     format!("{PREFIX}{data_centre}/{shard:02}/{hour}")
 }
 
-/// Gives the hour that a key names.
+/// Returns the hour in a store key.
 pub(crate) fn hour_of(key: &str) -> Option<u64> {
     key.rsplit('/').next()?.parse().ok()
 }
 
-/// What a report is made from.
+/// Counts from which a report is made.
 #[derive(Default)]
 pub(crate) struct ReadCounts {
     pub(crate) sheet: CountSheet,
@@ -30,7 +30,7 @@
     pub(crate) unread: Vec<Box<str>>,
 }
 
-/// Reads the counts of a span of hours, the last included.
+/// Reads the counts of the hours `from` to `until`, both included.
 pub(crate) async fn read_counts(core: &GatewayCore, from: u64, until: u64) -> ReadCounts {
     let store = core.changes.store();
     let mut counts = ReadCounts::default();
@@ -41,7 +41,7 @@
             return counts;
         }
     };
-    // Counts of an hour may stand in the value of the next one, where their sheet was sealed.
+    // Counts of an hour may be in the value of the next hour, if their batch was sealed then.
     let wanted = keys
         .into_iter()
         .filter(|key| hour_of(key).is_some_and(|hour| (from..=until + 1).contains(&hour)));
--- a/crates/zinniahatch_gateway/src/request_count.rs
+++ b/crates/zinniahatch_gateway/src/request_count.rs
@@ -1,4 +1,4 @@
-//! Last stage: each request is counted once, whatever became of it.
+//! Usage counts: each request is counted once, whatever its outcome.
 
 use crate::GatewayCore;
 use crate::admit::CallerIdentity;
@@ -11,10 +11,11 @@
 use zinniahatch_report::CountRow;
 
 const SECONDS_PER_HOUR: u64 = 3_600;
-/// Millionths in one unit of money.
+/// Millionths per currency unit.
 const MICROS_PER_UNIT: f64 = 1e6;
 
-/// Counts one request when it is settled, or as given up by its caller when it is dropped.
+/// Counts one request when its result is recorded, or as abandoned by the caller when it is
+/// dropped.
 pub(crate) struct CountGuard {
     core: Arc<GatewayCore>,
     config: Arc<ClusterConfig>,
@@ -38,7 +39,7 @@
             caller: who.caller.clone(),
             home: who.entry.home.clone(),
             served: core.identity.region.clone(),
-            // A name that is not configured is text from outside and is not kept.
+            // The name of a service that is not configured is untrusted input and is not stored.
             service: if config.services.contains_key(service) {
                 service.clone()
             } else {
@@ -57,29 +58,29 @@
         }
     }
 
-    /// Notes the first byte.
+    /// Records the time to the first byte, once.
     pub(crate) fn mark_first_byte(&mut self) {
         self.first_byte.get_or_insert(self.arrived.elapsed());
     }
 
-    /// Notes what the answer used.
+    /// Sets the token usage of the response.
     pub(crate) fn set_usage(&mut self, usage: TokenUsage) {
         self.usage = usage;
     }
 
-    /// Notes the region that served.
+    /// Sets the region that served the request.
     pub(crate) fn set_served_region(&mut self, region: &RegionId) {
         if let Some(key) = &mut self.key {
             key.served.clone_from(region);
         }
     }
 
-    /// Leaves the counting to the node that the caller is connected to.
+    /// Disables this guard, because the node to which the caller is connected counts the request.
     pub(crate) fn leave_to_sender(&mut self) {
         self.key = None;
     }
 
-    /// Counts the request.
+    /// Counts the request with its result code.
     pub(crate) fn record_result(&mut self, code: ResultCode) {
         let Some(mut key) = self.key.take() else {
             return;
--- a/crates/zinniahatch_gateway/src/respond.rs
+++ b/crates/zinniahatch_gateway/src/respond.rs
@@ -1,4 +1,4 @@
-//! Giving answers: whole, as a stream, or as a refusal.
+//! Writes responses: complete, as a stream, or as a refusal.
 
 use crate::GatewayCore;
 use crate::core::InFlightGuard;
@@ -43,7 +43,7 @@
     content: String,
 }
 
-/// A stream on its way to the caller.
+/// State of a response stream to the caller.
 struct StreamState {
     stream: EngineStream,
     first: Option<Bytes>,
@@ -52,7 +52,7 @@
     failed: bool,
 }
 
-/// Reads a model's whole answer, for callers that want it in one piece.
+/// Reads a model's stream to its end, for callers that want the response in one piece.
 pub(crate) async fn collect_stream(
     core: &Arc<GatewayCore>,
     outbound: Arc<OutboundRequest>,
@@ -92,7 +92,7 @@
     })
 }
 
-/// Writes a whole answer.
+/// Writes a complete response.
 pub(crate) fn write_response(response: &mut Response, answer: &CachedResponse) {
     response.status_code(StatusCode::from_u16(answer.status).unwrap_or(StatusCode::BAD_GATEWAY));
     for (name, value) in &answer.headers {
@@ -138,7 +138,7 @@
     let _ = response.write_body(serde_json::to_vec(body).unwrap_or_default());
 }
 
-/// Writes the headers that every answer carries.
+/// Writes the headers that every response carries.
 pub(crate) fn write_standard_headers(
     response: &mut Response,
     request: &str,
@@ -153,7 +153,7 @@
     set(response, headers::EXECUTION, code.execution().as_str());
 }
 
-/// Writes a model's stream; `first` is what has been read of it.
+/// Writes a model's stream; `first` is the part that was already read.
 pub(crate) fn write_stream(
     response: &mut Response,
     stream: EngineStream,
@@ -186,8 +186,9 @@
 
 async fn next_chunk(mut state: StreamState) -> Option<(Result<Bytes, io::Error>, StreamState)> {
     if state.failed {
-        // The connection is broken off, so that no caller takes the cut answer for a whole one.
-        return Some((Err(io::Error::other("the answer was cut off")), state));
+        // The connection is aborted, so that no caller takes a truncated response for a complete
+        // one.
+        return Some((Err(io::Error::other("the response was cut off")), state));
     }
     if let Some(first) = state.first.take() {
         return Some((Ok(first), state));
--- a/crates/zinniahatch_gateway/src/response.rs
+++ b/crates/zinniahatch_gateway/src/response.rs
@@ -1,11 +1,11 @@
-//! A whole answer, as it is kept and as it is given.
+//! Complete responses and their token usage.
 
 use bytes::Bytes;
 use serde::Deserialize;
 use serde::Serialize;
 use zinniahatch_base::prelude::*;
 
-/// What an answer used, in the names of the chat protocol.
+/// Token usage of a response, with the field names of the chat protocol.
 #[expect(
     clippy::struct_field_names,
     reason = "the names are those of the protocol"
@@ -20,7 +20,7 @@
     pub(crate) completion_tokens: u64,
 }
 
-/// An answer whose end was seen.
+/// A response that was received completely.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) struct CachedResponse {
     pub(crate) request: RequestId,
--- a/crates/zinniahatch_gateway/src/response_cache.rs
+++ b/crates/zinniahatch_gateway/src/response_cache.rs
@@ -1,11 +1,11 @@
-//! Answers kept for collection, in bounded memory.
+//! Bounded in-memory cache of responses for later collection.
 
 use crate::response::CachedResponse;
 use std::collections::VecDeque;
 use std::sync::Arc;
 use zinniahatch_base::prelude::*;
 
-/// Answers by request id; the oldest go first.
+/// Responses by request id; the oldest are evicted first.
 #[derive(Debug)]
 pub(crate) struct ResponseCache {
     limit: usize,
--- a/crates/zinniahatch_gateway/src/run.rs
+++ b/crates/zinniahatch_gateway/src/run.rs
@@ -1,4 +1,4 @@
-//! Running a request: attempts, retries and hedges until an answer begins.
+//! Runs requests: attempts, retries and hedges until a response begins.
 
 use crate::GatewayCore;
 use crate::dispatch::OutboundRequest;
@@ -25,26 +25,26 @@
 use zinniahatch_control::AskScope;
 use zinniahatch_control::BackendMark;
 
-/// Attempts for one request, the first included.
+/// Maximum number of attempts for one request, the first included.
 const MAX_ATTEMPTS: u32 = 6;
-/// Bytes of an answer that is passed on whole.
+/// Maximum size in bytes of a response that is buffered completely.
 const MAX_RESPONSE_BYTES: usize = 32 << 20;
 
-/// Where an answer comes from; the slot is held until this is dropped.
+/// Source of a response; the slot is held until this is dropped.
 pub(crate) enum ResponseSource {
-    /// A backend server of this data centre: its slot, its address, the id it knows.
+    /// A backend server of this data centre: its slot, its address and its id of the attempt.
     Slot(SlotGuard, Box<str>, Box<str>),
     /// A node of another data centre.
     Remote(DataCentreId),
 }
 
-/// An answer that has begun.
+/// A response that has begun.
 pub(crate) struct OpenResponse {
     pub(crate) response: Response,
     pub(crate) source: ResponseSource,
 }
 
-/// What an attempt learns for the next one.
+/// What the next attempt needs to know of the earlier ones.
 #[derive(Default)]
 pub(crate) struct AttemptState {
     pub(crate) avoid: BTreeSet<ShortTag>,
@@ -52,7 +52,7 @@
     attempts: u32,
 }
 
-/// Gets an answer to begin, within the deadline.
+/// Runs attempts until a response begins, within the deadline.
 pub(crate) async fn open_response(
     core: &Arc<GatewayCore>,
     outbound: &OutboundRequest,
@@ -64,7 +64,7 @@
         Ok(Err(mut refusal))
             if refusal.code.execution() == Execution::NotRun && outbound.was_sent() =>
         {
-            // An attempt before this refusal may have run.
+            // An earlier attempt may have run.
             refusal.code = ResultCode::OutcomeUnknown;
             Err(refusal)
         }
@@ -74,7 +74,7 @@
     }
 }
 
-/// Runs a plain service's request and reads its whole answer.
+/// Runs a request of a plain service and reads its complete response.
 pub(crate) async fn run_plain(
     core: &Arc<GatewayCore>,
     outbound: &OutboundRequest,
@@ -91,7 +91,8 @@
         let body = match timeout_at(deadline, read_whole(core, outbound, open.response)).await {
             Ok(Ok(body)) => body,
             Ok(Err(reason)) => {
-                // The answer began, so the request ran; only a repeatable one is sent again.
+                // The response has begun, so the request ran; only a repeatable request is sent
+                // again.
                 if outbound.at_most_once {
                     return Err(Box::new(Refusal::new(ResultCode::OutcomeUnknown)));
                 }
@@ -121,13 +122,13 @@
     }
 }
 
-/// Gives the region that served an answer.
+/// Returns the region that served a response.
 pub(crate) fn served_region(core: &GatewayCore, response: &Response) -> RegionId {
     headers::text(response.headers(), headers::REGION)
         .map_or_else(|| core.identity.region.clone(), Box::from)
 }
 
-/// Notes that the source of a broken answer shall not be tried again.
+/// Excludes the source of a failed response from further attempts.
 pub(crate) fn avoid_source(state: &mut AttemptState, source: &ResponseSource) {
     match source {
         ResponseSource::Slot(guard, _, _) => {
@@ -139,7 +140,7 @@
     }
 }
 
-/// Takes a retry from the budget, or gives the refusal that ends the request.
+/// Takes a retry from the budget, or returns the refusal that ends the request.
 pub(crate) fn take_retry(
     core: &GatewayCore,
     outbound: &OutboundRequest,
@@ -165,7 +166,7 @@
     )))
 }
 
-/// Sends a cancel without waiting for its answer.
+/// Sends a cancellation without waiting for the reply.
 pub(crate) fn cancel(core: &Arc<GatewayCore>, address: &str, id: &str, reason: &str) {
     core.counters.cancels.with_label_values(&[reason]).inc();
     let engine = core.engine.clone();
@@ -202,7 +203,7 @@
     }
 }
 
-/// Tries a slot; `None` means that another place may be tried.
+/// Tries a slot; returns `None` if another placement may be tried.
 async fn try_slot(
     core: &Arc<GatewayCore>,
     outbound: &OutboundRequest,
@@ -267,13 +268,13 @@
     Ok(None)
 }
 
-/// Which of two sends ended the race.
+/// Which of two sends decided the race.
 enum HedgeResult {
     First(Result<Response, SendFailure>),
     Second(OpenResponse),
 }
 
-/// Sends to a slot, and to a second one when the first does not answer in time.
+/// Sends to a slot, and hedges to a second one if the first does not respond in time.
 async fn send_hedged(
     core: &Arc<GatewayCore>,
     outbound: &OutboundRequest,
@@ -346,7 +347,7 @@
     Some((guard, address))
 }
 
-/// Tries the nodes of another data centre; `None` means that another place may be tried.
+/// Tries the nodes of another data centre; returns `None` if another placement may be tried.
 async fn try_remote(
     core: &Arc<GatewayCore>,
     outbound: &OutboundRequest,
@@ -384,7 +385,7 @@
     Ok(None)
 }
 
-/// Reads a whole answer; a repeatable one that stays silent for too long counts as broken.
+/// Reads a complete response; for a repeatable request, a stall counts as a failure.
 async fn read_whole(
     core: &GatewayCore,
     outbound: &OutboundRequest,
@@ -422,7 +423,7 @@
         .collect()
 }
 
-/// Gives the id under which a backend server knows an attempt.
+/// Returns the id under which a backend server knows an attempt.
 fn attempt_id(outbound: &OutboundRequest, state: &AttemptState) -> String {
     if state.attempts == 0 {
         return outbound.id.to_string();
--- a/crates/zinniahatch_gateway/src/server.rs
+++ b/crates/zinniahatch_gateway/src/server.rs
@@ -1,4 +1,4 @@
-//! The paths of one node.
+//! HTTP routes of one node.
 
 use crate::GatewayCore;
 use crate::admin::AdminHandler;
@@ -16,7 +16,7 @@
 use salvo::Service;
 use std::sync::Arc;
 
-/// Makes the service with every path.
+/// Builds the HTTP service with all routes.
 pub fn build_service(core: &Arc<GatewayCore>) -> Service {
     let share = || Arc::clone(core);
     let router = Router::new()
--- a/crates/zinniahatch_gateway/src/sse.rs
+++ b/crates/zinniahatch_gateway/src/sse.rs
@@ -1,4 +1,4 @@
-//! Server-sent events: whole events out of chunks, and what the last ones say.
+//! Server-sent events: splits chunks into complete events and reads tokens and usage from them.
 
 use crate::response::TokenUsage;
 use bytes::Bytes;
@@ -9,13 +9,13 @@
 const DONE_EVENT: &[u8] = b"data: [DONE]";
 const DATA_FIELD: &[u8] = b"data: ";
 
-/// Cuts a stream of chunks at the ends of events.
+/// Splits a stream of chunks at the ends of events.
 #[derive(Debug, Default)]
 pub(crate) struct EventSplitter {
     pending: BytesMut,
-    /// Events passed, the end mark left out.
+    /// Events passed on, without the end marker.
     pub(crate) events: u64,
-    /// Whether the end mark was seen.
+    /// Whether the end marker was received.
     pub(crate) done: bool,
     last: Bytes,
 }
@@ -43,7 +43,7 @@
 }
 
 impl EventSplitter {
-    /// Takes a chunk and gives the whole events that it completes.
+    /// Adds a chunk and returns the events that it completes.
     pub(crate) fn push(&mut self, chunk: Bytes) -> Bytes {
         let complete = if self.pending.is_empty() && chunk.ends_with(EVENT_END) {
             chunk
@@ -68,12 +68,12 @@
         complete
     }
 
-    /// Drops a half event, after a connection broke in its middle.
+    /// Drops an incomplete event after a connection broke.
     pub(crate) fn reset(&mut self) {
         self.pending.clear();
     }
 
-    /// Gives the usage that the last event before the end mark carries.
+    /// Returns the usage in the last event before the end marker.
     pub(crate) fn usage(&self) -> TokenUsage {
         let data = self.last.strip_prefix(DATA_FIELD).unwrap_or(&self.last);
         let event: Option<UsageEvent> = serde_json::from_slice(data).ok();
@@ -81,7 +81,7 @@
     }
 }
 
-/// Gives the text of the tokens in whole events.
+/// Returns the token text of complete events.
 pub(crate) fn token_text(events: &[u8]) -> String {
     let mut text = String::new();
     for event in events.split(|byte| *byte == b'\n') {
