--- a/crates/zinniahatch_daemon/src/counts.rs
+++ b/crates/zinniahatch_daemon/src/counts.rs
@@ -213,7 +213,7 @@
 /// When the answer of the write is lost, the next try reads the value, finds the marks that were
 /// written with the counts, and writes nothing.
 async fn merge_task(core: &GatewayCore, task: &MergeTask) -> MergeOutcome {
-    let store = core.changes.store();
+    let store = core.config_updater.store();
     let key = hour_key(&core.identity.data_centre, task.shard, task.hour);
     let mut outcome = MergeOutcome::NotRead;
     for _ in 0..MOST_TRIES {
@@ -269,7 +269,7 @@
         }
         let oldest = (epoch_minute() / MINUTES_PER_HOUR).saturating_sub(core.settings.report_hours);
         let prefix = format!("report/{}/", core.identity.data_centre);
-        let store = core.changes.store();
+        let store = core.config_updater.store();
         for key in store.list(&prefix).await.unwrap_or_default() {
             let hour = key
                 .rsplit('/')
--- a/crates/zinniahatch_daemon/src/orders.rs
+++ b/crates/zinniahatch_daemon/src/orders.rs
@@ -56,7 +56,7 @@
 impl OrderGiver {
     /// Renews the lease, or tries to take it. The time counts from the sending of the call.
     async fn hold_lease(&mut self, core: &GatewayCore) {
-        let store = core.changes.store();
+        let store = core.config_updater.store();
         if let Some(lease) = &self.lease {
             let sent = Instant::now();
             match store.renew_lease(lease).await {
--- a/crates/zinniahatch_daemon/src/watch.rs
+++ b/crates/zinniahatch_daemon/src/watch.rs
@@ -62,7 +62,11 @@
             continue;
         }
         last_check = Instant::now();
-        let result = core.changes.store().watch(HEAD_KEY, seen, WATCH_TIME).await;
+        let result = core
+            .config_updater
+            .store()
+            .watch(HEAD_KEY, seen, WATCH_TIME)
+            .await;
         core.note_store("watch", &result);
         match result {
             Ok(Some(value)) => {
--- a/crates/zinniahatch_gateway/src/admin_change.rs
+++ b/crates/zinniahatch_gateway/src/admin_change.rs
@@ -119,7 +119,10 @@
     response: &mut Response,
 ) {
     let local = |hash: &str| core.control().ledger().part(hash).map(Box::from);
-    let result = core.changes.apply(change, &operator.operator, local).await;
+    let result = core
+        .config_updater
+        .apply(change, &operator.operator, local)
+        .await;
     let (status, body) = match result {
         Ok(ChangeOutcome::Accepted(revision)) => (
             StatusCode::OK,
--- a/crates/zinniahatch_gateway/src/caller.rs
+++ b/crates/zinniahatch_gateway/src/caller.rs
@@ -60,7 +60,7 @@
     }
 }
 
-/// Lists the entry VMs that a caller may use, and issues idempotency keys.
+/// Handles requests for the list of entry VMs, with optional idempotency keys.
 pub(crate) struct EntriesHandler(pub(crate) Arc<GatewayCore>);
 
 #[derive(Serialize)]
@@ -117,7 +117,7 @@
     }
 }
 
-/// Issues idempotency keys.
+/// Handles requests for idempotency keys.
 pub(crate) struct KeysHandler(pub(crate) Arc<GatewayCore>);
 
 #[derive(Serialize)]
@@ -148,7 +148,7 @@
     }
 }
 
-/// Returns the stored response of an earlier request, by request id or idempotency key.
+/// Handles lookups of stored responses by request id or idempotency key.
 pub(crate) struct AnswersHandler(pub(crate) Arc<GatewayCore>);
 
 #[handler]
@@ -204,7 +204,7 @@
         return CollectResult::Refused(Box::new(Refusal::new(ResultCode::KeyOwnerGone)));
     };
     let token = headers::bearer(request.headers()).unwrap_or_default();
-    match crate::peer::fetch_answer(core, &address, name, token).await {
+    match crate::peer::fetch_response(core, &address, name, token).await {
         Some(answer) => CollectResult::FromOwner(answer),
         None => CollectResult::Refused(Box::new(Refusal::new(ResultCode::KeyOwnerGone))),
     }
@@ -312,7 +312,7 @@
         None if outbound.is_engine() && info.stream => {
             serve_stream(core, Arc::new(outbound), Some(count), in_flight).await
         }
-        None => serve_whole(core, Arc::new(outbound), count, in_flight).await,
+        None => serve_complete(core, Arc::new(outbound), count, in_flight).await,
     }
 }
 
@@ -340,7 +340,7 @@
     }
 }
 
-async fn serve_whole(
+async fn serve_complete(
     core: &Arc<GatewayCore>,
     outbound: Arc<OutboundRequest>,
     mut count: CountGuard,
--- a/crates/zinniahatch_gateway/src/config_sync.rs
+++ b/crates/zinniahatch_gateway/src/config_sync.rs
@@ -15,7 +15,7 @@
     /// An empty store yields a revision that no node holds, so that no node serves before the
     /// first configuration is written.
     pub async fn read_head(&self) -> Option<Revision> {
-        let result = self.changes.store().get(HEAD_KEY).await;
+        let result = self.config_updater.store().get(HEAD_KEY).await;
         self.note_store("head read", &result);
         match result {
             Ok(Some(value)) => self.apply_head(&value).await,
@@ -42,7 +42,7 @@
         let missing = self.control().take_store(head.clone(), Vec::new());
         let mut texts = Vec::new();
         for hash in missing {
-            let part = self.changes.store().get(&part_key(&hash)).await;
+            let part = self.config_updater.store().get(&part_key(&hash)).await;
             self.note_store("part read", &part);
             if let Ok(Some(part)) = part {
                 texts.push(part.value);
--- a/crates/zinniahatch_gateway/src/core.rs
+++ b/crates/zinniahatch_gateway/src/core.rs
@@ -54,10 +54,10 @@
     /// Counters and gauges.
     pub counters: CounterSet,
     /// Applies configuration changes to the store.
-    pub changes: ConfigUpdater<KvClient>,
+    pub config_updater: ConfigUpdater<KvClient>,
     /// Client for engine orders and cancellations, outside the request path.
     pub engine: HttpEngine,
-    pub(crate) proof: PeerAuth,
+    pub(crate) peer_auth: PeerAuth,
     pub(crate) client: Client,
     pub(crate) unpooled_client: Client,
     pub(crate) waiters: WaiterTable,
@@ -82,9 +82,9 @@
         Arc::new(Self {
             wake: Notify::new(),
             counters: CounterSet::new(&identity.node, &identity.data_centre),
-            changes: ConfigUpdater::new(parts.store),
+            config_updater: ConfigUpdater::new(parts.store),
             engine: HttpEngine::new(),
-            proof: PeerAuth::new(&settings.secret),
+            peer_auth: PeerAuth::new(&settings.secret),
             client: build_client(usize::MAX),
             // A request that must not run twice gets a new connection: a pooled connection may be
             // dead without having been closed, and the request could not be sent again to find
--- a/crates/zinniahatch_gateway/src/dispatch.rs
+++ b/crates/zinniahatch_gateway/src/dispatch.rs
@@ -33,15 +33,22 @@
     pub(crate) path: Box<str>,
     pub(crate) headers: HeaderMap,
     pub(crate) body: Bytes,
+    /// Idempotency key of the request.
     pub(crate) key: Option<Box<str>>,
+    /// Whether the request must not run twice.
     pub(crate) at_most_once: bool,
     pub(crate) work: WorkKind,
     pub(crate) scope: AskScope,
+    /// Whether another data centre sent the request and its account has another home region.
     pub(crate) guest: bool,
     pub(crate) deadline: Instant,
+    /// Hash of the start of the first message, for prefix-cache affinity.
     pub(crate) prefix: Option<ShortTag>,
+    /// Estimated prompt length in tokens.
     pub(crate) prompt: u64,
+    /// Number of events that were already relayed to the caller.
     pub(crate) resume: u64,
+    /// Whether the request may have reached a backend server or another data centre.
     pub(crate) sent: AtomicBool,
 }
 
@@ -204,7 +211,7 @@
         .header(headers::CALLER, &*outbound.who.caller)
         .header(headers::DEADLINE, remaining_ms)
         .header(headers::WORK, outbound.work.as_str())
-        .header(headers::PROOF, core.proof.sign(&fields));
+        .header(headers::PROOF, core.peer_auth.sign(&fields));
     if outbound.at_most_once {
         request = request.header(headers::REPEAT, "once");
     }
--- a/crates/zinniahatch_gateway/src/idempotency.rs
+++ b/crates/zinniahatch_gateway/src/idempotency.rs
@@ -93,29 +93,29 @@
     }
 
     /// Removes expired keys and responses.
-    pub fn sweep(&mut self, now: Instant, store_response: Duration) {
+    pub fn sweep(&mut self, now: Instant, retention: Duration) {
         for table in self.tables.values_mut() {
-            table.sweep(now, store_response);
+            table.sweep(now, retention);
         }
     }
 
     /// Closes all tables and returns their content for the successor.
     pub fn close(&mut self, now: Instant) -> Vec<KeyTableSnapshot> {
-        let mut handed = Vec::new();
+        let mut snapshots = Vec::new();
         for ((node, incarnation), table) in &mut self.tables {
             let (secret, age, lines) = table.close(now);
             let lines = lines
                 .into_iter()
-                .map(|(number, digest, answer, buried)| {
+                .map(|(number, digest, response, invalidated)| {
                     (
                         number,
                         digest,
-                        answer.map(|answer| (*answer).clone()),
-                        buried,
+                        response.map(|response| (*response).clone()),
+                        invalidated,
                     )
                 })
                 .collect();
-            handed.push(KeyTableSnapshot {
+            snapshots.push(KeyTableSnapshot {
                 node: node.clone(),
                 incarnation: *incarnation,
                 secret,
@@ -123,23 +123,23 @@
                 lines,
             });
         }
-        handed
+        snapshots
     }
 
     /// Takes over the tables of a node that shuts down and returns their owners.
     pub(crate) fn take_over(
         &mut self,
         now: Instant,
-        handed: Vec<KeyTableSnapshot>,
+        snapshots: Vec<KeyTableSnapshot>,
     ) -> Vec<(NodeId, Incarnation)> {
         let mut owners = Vec::new();
-        for table in handed {
+        for table in snapshots {
             let owner = (table.node.clone(), table.incarnation);
             let lines = table
                 .lines
                 .into_iter()
-                .map(|(number, digest, answer, buried)| {
-                    (number, digest, answer.map(Arc::new), buried)
+                .map(|(number, digest, response, invalidated)| {
+                    (number, digest, response.map(Arc::new), invalidated)
                 })
                 .collect();
             let inherited = KeyBook::inherit(
@@ -159,10 +159,10 @@
 
     /// Stores a response under its key; evicts the oldest responses when the memory limit is
     /// exceeded.
-    fn store_response(&mut self, key: &MintedKey, answer: &Arc<CachedResponse>) {
-        self.cached_bytes += answer.body.len();
+    fn store_response(&mut self, key: &MintedKey, response: &Arc<CachedResponse>) {
+        self.cached_bytes += response.body.len();
         if let Some(table) = self.table(key) {
-            table.answer(key.number, Arc::clone(answer));
+            table.answer(key.number, Arc::clone(response));
         }
         if self.cached_bytes <= self.limit {
             return;
@@ -171,7 +171,7 @@
         // every call.
         let share = self.limit / 2 / self.tables.len().max(1);
         for table in self.tables.values_mut() {
-            table.fit_answers(share, |answer| answer.body.len());
+            table.fit_answers(share, |response| response.body.len());
         }
         self.cached_bytes = self.limit / 2;
     }
@@ -233,8 +233,8 @@
     let refuse = |code| Some(Err(Box::new(Refusal::new(code))));
     match claim {
         KeyClaim::Fresh => None,
-        KeyClaim::Answered(answer) => {
-            let mut earlier = (*answer).clone();
+        KeyClaim::Answered(response) => {
+            let mut earlier = (*response).clone();
             earlier.code = if earlier.code == ResultCode::Answered {
                 ResultCode::AnsweredEarlier
             } else {
@@ -283,10 +283,10 @@
 ) -> Result<Arc<CachedResponse>, Box<Refusal>> {
     let mut keys = core.keys();
     match result {
-        Ok(answer) => {
-            let answer = Arc::new(answer);
-            keys.store_response(key, &answer);
-            Ok(answer)
+        Ok(response) => {
+            let response = Arc::new(response);
+            keys.store_response(key, &response);
+            Ok(response)
         }
         Err(refusal) if refusal.code.execution() == Execution::NotRun && !outbound.was_sent() => {
             if let Some(table) = keys.table(key) {
--- a/crates/zinniahatch_gateway/src/observe.rs
+++ b/crates/zinniahatch_gateway/src/observe.rs
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 use zinniahatch_base::prelude::*;
 
-/// Returns the counters in the Prometheus text format.
+/// Serves the metrics in the Prometheus text format.
 pub(crate) struct MetricsHandler(pub(crate) Arc<GatewayCore>);
 
 #[handler]
@@ -21,7 +21,7 @@
     }
 }
 
-/// Answers a liveness check, or a readiness check if the flag is set.
+/// Handles liveness checks, or readiness checks if the flag is set.
 pub(crate) struct HealthHandler(pub(crate) Arc<GatewayCore>, pub(crate) bool);
 
 #[handler]
--- a/crates/zinniahatch_gateway/src/peer.rs
+++ b/crates/zinniahatch_gateway/src/peer.rs
@@ -78,7 +78,7 @@
     body: Bytes,
 }
 
-/// Runs a request from another data centre; it is not forwarded further.
+/// Handles requests from other data centres; they are not forwarded further.
 pub(crate) struct ForwardedHandler(pub(crate) Arc<GatewayCore>);
 
 #[handler]
@@ -102,7 +102,7 @@
     }
 }
 
-/// Serves a forwarded request whose key this node owns.
+/// Handles forwarded requests whose key this node owns.
 pub(crate) struct KeyOwnerHandler(pub(crate) Arc<GatewayCore>);
 
 #[handler]
@@ -128,7 +128,7 @@
     }
 }
 
-/// Returns the status of this node.
+/// Handles requests for the status of this node.
 pub(crate) struct StatusHandler(pub(crate) Arc<GatewayCore>);
 
 #[handler]
@@ -138,7 +138,7 @@
     }
 }
 
-/// Takes over the keys and responses of a node that shuts down.
+/// Receives the keys and responses of a node that shuts down.
 pub(crate) struct HandoverHandler(pub(crate) Arc<GatewayCore>);
 
 #[handler]
@@ -157,17 +157,17 @@
             return;
         };
         let digest = blake3::hash(&body).to_hex().to_string();
-        if !core.proof.verify(&["handover", &digest], &proof) {
+        if !core.peer_auth.verify(&["handover", &digest], &proof) {
             core.counters.proofs_refused.inc();
             response.status_code(StatusCode::FORBIDDEN);
             return;
         }
-        let Ok(note) = serde_json::from_slice::<KeyHandover>(&body) else {
+        let Ok(handover) = serde_json::from_slice::<KeyHandover>(&body) else {
             response.status_code(StatusCode::BAD_REQUEST);
             return;
         };
         let now = Instant::now();
-        let owners = core.keys().take_over(now, note.books);
+        let owners = core.keys().take_over(now, handover.books);
         let mut control = core.control();
         for (node, incarnation) in owners {
             control.add_heir(now, node, incarnation);
@@ -215,7 +215,7 @@
             return false;
         };
         let digest = blake3::hash(&body).to_hex().to_string();
-        let proof = self.proof.sign(&["handover", &digest]);
+        let proof = self.peer_auth.sign(&["handover", &digest]);
         let request = self
             .client
             .post(format!(
@@ -242,7 +242,7 @@
 }
 
 /// Fetches a stored response from the node that owns its key.
-pub(crate) async fn fetch_answer(
+pub(crate) async fn fetch_response(
     core: &GatewayCore,
     address: &str,
     name: &str,
@@ -293,7 +293,7 @@
     let body = read_body(request, service.body_limit, core.settings.body_timeout).await?;
     let fields = signed_fields(stage, &id, &account, &caller, remaining_ms, &body);
     let fields: Vec<&str> = fields.iter().map(|field| &**field).collect();
-    if !core.proof.verify(&fields, &proof) {
+    if !core.peer_auth.verify(&fields, &proof) {
         core.counters.proofs_refused.inc();
         return Err(Box::new(Refusal::new(ResultCode::BadCredential)));
     }
--- a/crates/zinniahatch_gateway/src/placement.rs
+++ b/crates/zinniahatch_gateway/src/placement.rs
@@ -109,7 +109,7 @@
         number: query.number,
     };
     match receiver.await {
-        Ok(place) => place,
+        Ok(assignment) => assignment,
         Err(_) => Err(Box::new(Refusal::new(ResultCode::QueueFull))),
     }
 }
@@ -133,10 +133,10 @@
         for (number, placement) in decisions {
             // Converted before the sender is looked up: the slot of an abandoned request is then
             // dropped as a guard and thereby returned.
-            let place = to_assignment(self, placement);
+            let assignment = to_assignment(self, placement);
             let sender = lock(&self.waiters.waiters).remove(&number);
             if let Some(sender) = sender {
-                let _ = sender.send(place);
+                let _ = sender.send(assignment);
             }
         }
     }
--- a/crates/zinniahatch_gateway/src/report_read.rs
+++ b/crates/zinniahatch_gateway/src/report_read.rs
@@ -32,7 +32,7 @@
 
 /// Reads the counts of the hours `from` to `until`, both included.
 pub(crate) async fn read_counts(core: &GatewayCore, from: u64, until: u64) -> ReadCounts {
-    let store = core.changes.store();
+    let store = core.config_updater.store();
     let mut counts = ReadCounts::default();
     let keys = match store.list(PREFIX).await {
         Ok(keys) => keys,
--- a/crates/zinniahatch_gateway/src/request_count.rs
+++ b/crates/zinniahatch_gateway/src/request_count.rs
@@ -87,7 +87,7 @@
         };
         self.core.counters.count_result(code);
         key.code = code.number();
-        let away = key.served != key.home;
+        let outside_home = key.served != key.home;
         let mut row = CountRow {
             requests: 1,
             ..CountRow::default()
@@ -107,7 +107,7 @@
                 usage.prompt_tokens,
                 usage.cached_tokens,
                 usage.completion_tokens,
-                away,
+                outside_home,
             );
             row.cost_micros = (cost * MICROS_PER_UNIT) as u64;
         }
--- a/crates/zinniahatch_gateway/src/response_cache.rs
+++ b/crates/zinniahatch_gateway/src/response_cache.rs
@@ -10,7 +10,7 @@
 pub(crate) struct ResponseCache {
     limit: usize,
     size: usize,
-    answers: BTreeMap<RequestId, CacheEntry>,
+    responses: BTreeMap<RequestId, CacheEntry>,
     order: VecDeque<RequestId>,
 }
 
@@ -18,7 +18,7 @@
 struct CacheEntry {
     account: AccountId,
     until: Instant,
-    answer: Arc<CachedResponse>,
+    response: Arc<CachedResponse>,
 }
 
 impl ResponseCache {
@@ -26,7 +26,7 @@
         Self {
             limit,
             size: 0,
-            answers: BTreeMap::new(),
+            responses: BTreeMap::new(),
             order: VecDeque::new(),
         }
     }
@@ -37,10 +37,10 @@
         account: &str,
         request: &str,
     ) -> Option<Arc<CachedResponse>> {
-        self.answers
+        self.responses
             .get(request)
-            .filter(|line| &*line.account == account && now < line.until)
-            .map(|line| Arc::clone(&line.answer))
+            .filter(|entry| &*entry.account == account && now < entry.until)
+            .map(|entry| Arc::clone(&entry.response))
     }
 
     pub(crate) fn put(
@@ -48,24 +48,24 @@
         request: RequestId,
         account: AccountId,
         until: Instant,
-        answer: Arc<CachedResponse>,
+        response: Arc<CachedResponse>,
     ) {
-        self.size += answer.body.len();
+        self.size += response.body.len();
         self.order.push_back(request.clone());
-        self.answers.insert(
+        self.responses.insert(
             request,
             CacheEntry {
                 account,
                 until,
-                answer,
+                response,
             },
         );
         while self.size > self.limit {
             let Some(oldest) = self.order.pop_front() else {
                 break;
             };
-            if let Some(line) = self.answers.remove(&oldest) {
-                self.size -= line.answer.body.len();
+            if let Some(entry) = self.responses.remove(&oldest) {
+                self.size -= entry.response.body.len();
             }
         }
     }
--- a/crates/zinniahatch_gateway/src/run.rs
+++ b/crates/zinniahatch_gateway/src/run.rs
@@ -88,7 +88,7 @@
         let served = served_region(core, &open.response);
         let status = open.response.status().as_u16();
         let headers = response_headers(&open.response);
-        let body = match timeout_at(deadline, read_whole(core, outbound, open.response)).await {
+        let body = match timeout_at(deadline, read_complete(core, outbound, open.response)).await {
             Ok(Ok(body)) => body,
             Ok(Err(reason)) => {
                 // The response has begun, so the request ran; only a repeatable request is sent
@@ -386,7 +386,7 @@
 }
 
 /// Reads a complete response; for a repeatable request, a stall counts as a failure.
-async fn read_whole(
+async fn read_complete(
     core: &GatewayCore,
     outbound: &OutboundRequest,
     mut response: Response,
