--- a/crates/zinniahatch_gateway/src/counters.rs
+++ b/crates/zinniahatch_gateway/src/counters.rs
@@ -16,7 +16,7 @@
     pub results: IntCounterVec,
     /// Retries by reason.
     pub retries: IntCounterVec,
-    /// Retries denied by the retry budget, by reason.
+    /// Retries denied by the retry budget, the attempt limit or the deadline, by reason.
     pub retries_denied: IntCounterVec,
     /// Hedges by outcome.
     pub hedges: IntCounterVec,
