--- a/crates/zinniahatch_change/src/desk.rs
+++ b/crates/zinniahatch_change/src/updater.rs
@@ -1,4 +1,4 @@
-//! The desk that makes changes: written as parts, put in force by one compare-and-swap of the head.
+//! Applies configuration changes: writes the new parts, then swaps the head by compare-and-swap.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -16,184 +16,187 @@
 use zinniahatch_platform::StoreClient;
 use zinniahatch_platform::StoreError;
 
-/// The key of the head.
+/// Store key of the configuration head.
 pub const HEAD_KEY: &str = "config/head";
-/// How the note of a change names the preset in force, beside the names of parts.
+/// Name under which a change record lists a switch of the preset, beside the names of parts.
 const PRESET_MARK: &str = "preset in force";
-/// Rounds of one change; each reads the head and tries one swap.
-const MOST_ROUNDS: u32 = 8;
-const ROUND_GAP: Duration = Duration::from_millis(120);
+/// Maximum number of attempts per change; each reads the head and tries one compare-and-swap.
+const MAX_ATTEMPTS: u32 = 8;
+const RETRY_DELAY: Duration = Duration::from_millis(120);
 
-/// Gives the key under which a part is kept.
+/// Returns the store key of a part.
 pub fn part_key(hash: &str) -> String {
     format!("config/part/{hash}")
 }
 
-/// One change asked for.
+/// A requested configuration change.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub struct ChangeAsk {
-    /// Names the change; asking again with the same id never makes it twice.
+pub struct ChangeRequest {
+    /// Id of the change; a repeated request with the same id is applied only once.
     pub change: Box<str>,
-    /// The revision that the change was made against.
+    /// Revision against which the change was made.
     pub expect_revision: Revision,
-    /// The preset to put in force.
+    /// Preset to put in force.
     #[serde(default)]
     pub preset: Option<PresetId>,
     /// New texts by part; `None` removes a part.
     #[serde(default)]
     pub parts: BTreeMap<Box<str>, Option<Box<str>>>,
-    /// Whether only to check.
+    /// Whether to validate the change without applying it.
     #[serde(default)]
     pub check: bool,
 }
 
-/// What became of a change.
+/// Result of a change request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum ChangeVerdict {
-    /// It is in force from this revision on.
+pub enum ChangeOutcome {
+    /// The change is in force from this revision on.
     Accepted(Revision),
-    /// It would be accepted.
+    /// The change is valid and was not applied.
     Checked,
     /// Another change of the same part came first; nothing was changed.
     Conflict(Revision),
-    /// The answer of the store was lost; asking again with the same id settles it.
+    /// The response of the store was lost; a repeated request with the same id settles the
+    /// outcome.
     Unknown,
 }
 
-/// Why a change was not made.
+/// Why a change was not applied.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ChangeError {
-    /// It is wrong; nothing was changed.
+    /// The change is invalid; nothing was changed.
     #[error(transparent)]
     Invalid(#[from] ConfigError),
-    /// The store was not reached; nothing was changed.
+    /// The store could not be reached; nothing was changed.
     #[error("the store is not reached and nothing was changed: {0}")]
     StoreDown(Box<str>),
 }
 
-/// Makes changes through the store.
+/// Applies configuration changes through the store.
 #[derive(Clone, Debug)]
-pub struct ChangeDesk<S> {
+pub struct ConfigUpdater<S> {
     store: S,
 }
 
-struct ReadHead {
+struct StoredHead {
     head: ConfigHead,
     stored: u64,
 }
 
-impl<S: StoreClient> ChangeDesk<S> {
-    /// Makes a desk on a store.
+impl<S: StoreClient> ConfigUpdater<S> {
+    /// Creates an updater for a store.
     pub fn new(store: S) -> Self {
         Self { store }
     }
 
-    /// Gives the store.
+    /// Returns the store client.
     pub fn store(&self) -> &S {
         &self.store
     }
 
-    /// Makes a change; `local` gives parts that this node holds, so that they need not be read.
+    /// Applies a change; `local` returns parts that this node holds, so that they need not be
+    /// read.
     ///
     /// # Errors
     ///
-    /// Nothing was changed when an error is given.
+    /// Returns an error only if nothing was changed.
     pub async fn apply(
         &self,
-        ask: &ChangeAsk,
+        request: &ChangeRequest,
         operator: &str,
         local: impl Fn(&str) -> Option<Box<str>>,
-    ) -> Result<ChangeVerdict, ChangeError> {
-        let mut lost_at: Option<u64> = None;
-        let mut problem: Box<str> = "no answer".into();
-        for _ in 0..MOST_ROUNDS {
+    ) -> Result<ChangeOutcome, ChangeError> {
+        let mut unconfirmed_at: Option<u64> = None;
+        let mut last_error: Box<str> = "no answer".into();
+        for _ in 0..MAX_ATTEMPTS {
             let read = match self.read_head().await {
                 Ok(read) => read,
                 Err(error) => {
-                    problem = error.to_string().into();
-                    sleep(ROUND_GAP).await;
+                    last_error = error.to_string().into();
+                    sleep(RETRY_DELAY).await;
                     continue;
                 }
             };
-            if let Some(revision) = read.head.revision_of(&ask.change) {
-                return Ok(ChangeVerdict::Accepted(revision));
+            if let Some(revision) = read.head.revision_of(&request.change) {
+                return Ok(ChangeOutcome::Accepted(revision));
             }
-            if lost_at.is_some_and(|stored| stored != read.stored) {
-                // The head moved on without the change: its swap can no longer take effect.
-                lost_at = None;
+            if unconfirmed_at.is_some_and(|stored| stored != read.stored) {
+                // The head changed without including this change, so its lost compare-and-swap can
+                // no longer succeed.
+                unconfirmed_at = None;
             }
-            if conflicts(&read.head, ask) {
-                if lost_at.is_some() {
+            if conflicts(&read.head, request) {
+                if unconfirmed_at.is_some() {
                     break;
                 }
-                return Ok(ChangeVerdict::Conflict(read.head.revision));
+                return Ok(ChangeOutcome::Conflict(read.head.revision));
             }
-            let (head, fresh) = match self.build(&read.head, ask, operator, &local).await {
+            let (head, new_parts) = match self.build(&read.head, request, operator, &local).await {
                 Ok(built) => built,
                 Err(ChangeError::StoreDown(text)) => {
-                    problem = text;
-                    sleep(ROUND_GAP).await;
+                    last_error = text;
+                    sleep(RETRY_DELAY).await;
                     continue;
                 }
                 Err(error) => return Err(error),
             };
-            if ask.check {
-                return Ok(ChangeVerdict::Checked);
+            if request.check {
+                return Ok(ChangeOutcome::Checked);
             }
-            match self.swap(&head, &fresh, read.stored).await {
-                Ok(PutOutcome::Done(_)) => return Ok(ChangeVerdict::Accepted(head.revision)),
+            match self.swap(&head, &new_parts, read.stored).await {
+                Ok(PutOutcome::Done(_)) => return Ok(ChangeOutcome::Accepted(head.revision)),
                 Ok(PutOutcome::Conflict) => {}
-                Err(StoreError::Unavailable(text)) => problem = text,
+                Err(StoreError::Unavailable(text)) => last_error = text,
                 Err(StoreError::ResponseLost(text)) => {
-                    lost_at = Some(read.stored);
-                    problem = text;
+                    unconfirmed_at = Some(read.stored);
+                    last_error = text;
                 }
             }
-            sleep(ROUND_GAP).await;
+            sleep(RETRY_DELAY).await;
         }
-        if lost_at.is_some() {
-            return Ok(ChangeVerdict::Unknown);
+        if unconfirmed_at.is_some() {
+            return Ok(ChangeOutcome::Unknown);
         }
-        Err(ChangeError::StoreDown(problem))
+        Err(ChangeError::StoreDown(last_error))
     }
 
-    async fn read_head(&self) -> Result<ReadHead, StoreError> {
+    async fn read_head(&self) -> Result<StoredHead, StoreError> {
         let Some(value) = self.store.get(HEAD_KEY).await? else {
-            return Ok(ReadHead {
+            return Ok(StoredHead {
                 head: ConfigHead::default(),
                 stored: 0,
             });
         };
         let head = serde_json::from_str(&value.value)
             .map_err(|error| StoreError::Unavailable(error.to_string().into()))?;
-        Ok(ReadHead {
+        Ok(StoredHead {
             head,
             stored: value.revision,
         })
     }
 
-    /// Builds and checks the head that the change would make.
+    /// Builds and validates the head that results from the change.
     async fn build(
         &self,
         base: &ConfigHead,
-        ask: &ChangeAsk,
+        request: &ChangeRequest,
         operator: &str,
         local: &impl Fn(&str) -> Option<Box<str>>,
     ) -> Result<(ConfigHead, PartTexts), ChangeError> {
         let mut texts = self.read_parts(base, local).await?;
-        let mut what: Vec<&str> = ask.parts.keys().map(|name| &**name).collect();
-        if ask.preset.is_some() {
+        let mut what: Vec<&str> = request.parts.keys().map(|name| &**name).collect();
+        if request.preset.is_some() {
             what.push(PRESET_MARK);
         }
         let at = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .map_or(0, |age| age.as_secs());
-        let mut head = base.next(&ask.change, operator, at, &what.join(","));
-        let mut fresh = PartTexts::new();
-        for (name, text) in &ask.parts {
+        let mut head = base.next(&request.change, operator, at, &what.join(","));
+        let mut new_parts = PartTexts::new();
+        for (name, text) in &request.parts {
             if let Some(text) = text {
                 let hash = digest_text(text);
-                fresh.insert(hash.clone(), text.clone());
+                new_parts.insert(hash.clone(), text.clone());
                 head.parts.insert(name.clone(), hash);
                 texts.insert(name.clone(), text.clone());
             } else {
@@ -201,11 +204,11 @@
                 texts.remove(name);
             }
         }
-        if let Some(preset) = &ask.preset {
+        if let Some(preset) = &request.preset {
             head.preset.clone_from(preset);
         }
         ClusterConfig::build(&head, &texts)?;
-        Ok((head, fresh))
+        Ok((head, new_parts))
     }
 
     async fn read_parts(
@@ -234,15 +237,15 @@
         }
     }
 
-    /// Writes the parts, which is harmless as often as it is done, and then swaps the head.
+    /// Writes the parts, which is idempotent, and then swaps the head.
     async fn swap(
         &self,
         head: &ConfigHead,
-        fresh: &PartTexts,
+        new_parts: &PartTexts,
         stored: u64,
     ) -> Result<PutOutcome, StoreError> {
-        for (hash, text) in fresh {
-            // A lost answer here is no doubt about the change: the head is not swapped yet.
+        for (hash, text) in new_parts {
+            // A lost response here leaves the outcome certain: the head is not swapped yet.
             self.store
                 .put(&part_key(hash), text, None, None)
                 .await
@@ -254,24 +257,24 @@
     }
 }
 
-/// Says whether a change since the expected revision touched a part that this one touches.
-fn conflicts(head: &ConfigHead, ask: &ChangeAsk) -> bool {
-    if head.revision == ask.expect_revision {
+/// Reports whether a change after the expected revision touched a part that this one touches.
+fn conflicts(head: &ConfigHead, request: &ChangeRequest) -> bool {
+    if head.revision == request.expect_revision {
         return false;
     }
-    let since: Vec<_> = head
+    let later: Vec<_> = head
         .changes
         .iter()
-        .filter(|note| note.revision > ask.expect_revision)
+        .filter(|record| record.revision > request.expect_revision)
         .collect();
-    let known = head.revision > ask.expect_revision
-        && since.len() as u64 == head.revision - ask.expect_revision;
+    let known = head.revision > request.expect_revision
+        && later.len() as u64 == head.revision - request.expect_revision;
     if !known {
         return true;
     }
-    since.iter().any(|note| {
-        note.what.split(',').any(|name| {
-            ask.parts.contains_key(name) || (name == PRESET_MARK && ask.preset.is_some())
+    later.iter().any(|record| {
+        record.what.split(',').any(|name| {
+            request.parts.contains_key(name) || (name == PRESET_MARK && request.preset.is_some())
         })
     })
 }
--- a/crates/zinniahatch_ctl/src/commands.rs
+++ b/crates/zinniahatch_ctl/src/commands.rs
@@ -24,10 +24,10 @@
 use serde_json::json;
 use zinniahatch_base::digest_text;
 use zinniahatch_base::prelude::*;
-use zinniahatch_change::ChangeAsk;
-use zinniahatch_change::ChangeDesk;
 use zinniahatch_change::ChangeError;
-use zinniahatch_change::ChangeVerdict;
+use zinniahatch_change::ChangeOutcome;
+use zinniahatch_change::ChangeRequest;
+use zinniahatch_change::ConfigUpdater;
 use zinniahatch_platform::KvClient;
 
 /// Runs a command and returns the text to print.
@@ -126,7 +126,7 @@
             current.revision
         ));
     }
-    let req = ChangeAsk {
+    let req = ChangeRequest {
         change: args.change.clone().map_or_else(new_change_id, Box::from),
         expect_revision: args.expect_revision.unwrap_or(current.revision),
         preset: None,
@@ -139,7 +139,7 @@
 async fn run_bootstrap(args: &BootstrapArgs) -> Result<String, CtlError> {
     let parts = read_parts(&args.folder)?;
     check_parts(&parts, Some(&args.preset))?;
-    let req = ChangeAsk {
+    let req = ChangeRequest {
         change: new_change_id(),
         expect_revision: 0,
         preset: Some(args.preset.as_str().into()),
@@ -149,14 +149,14 @@
             .collect(),
         check: false,
     };
-    let changes = ChangeDesk::new(KvClient::new(&args.store));
+    let changes = ConfigUpdater::new(KvClient::new(&args.store));
     match changes.apply(&req, "bootstrap", |_| None).await {
-        Ok(ChangeVerdict::Accepted(revision)) => Ok(accepted(Some(revision))),
-        Ok(ChangeVerdict::Checked) => Ok(accepted(None)),
-        Ok(ChangeVerdict::Conflict(revision)) => Err(CtlError::Conflict(format!(
+        Ok(ChangeOutcome::Accepted(revision)) => Ok(accepted(Some(revision))),
+        Ok(ChangeOutcome::Checked) => Ok(accepted(None)),
+        Ok(ChangeOutcome::Conflict(revision)) => Err(CtlError::Conflict(format!(
             "the store already contains revision {revision}; use `config apply`"
         ))),
-        Ok(ChangeVerdict::Unknown) => Err(CtlError::Unknown(
+        Ok(ChangeOutcome::Unknown) => Err(CtlError::Unknown(
             "the store's response was lost; run the command again".to_owned(),
         )),
         Err(ChangeError::Invalid(error)) => Err(CtlError::Config(error)),
@@ -194,7 +194,7 @@
             .map(ToString::to_string)
             .ok_or_else(|| CtlError::Refused(format!("no preset `{}` exists", show.name))),
         PresetCommand::Switch(switch) => {
-            let req = ChangeAsk {
+            let req = ChangeRequest {
                 change: switch.change.map_or_else(new_change_id, Box::from),
                 expect_revision: switch.expect_revision.unwrap_or(current.revision),
                 preset: Some(switch.name.into()),
@@ -236,7 +236,7 @@
             let change = new_change_id();
             let body = json!({
                 "change": change, "expect_revision": remove.expect_revision.unwrap_or(current.revision),
-                "account": remove.account, "home": known["home"], "class": known["class"], "team": known["team"], "remove": true,
+                "account": remove.account, "home": known["home"], "class": known["class"], "team": known["team"], "remove": true
             });
             Ok(accepted(client.change("accounts", &change, &body).await?))
         }
@@ -256,7 +256,7 @@
     Ok(json!({
         "change": change, "expect_revision": set.expect_revision.unwrap_or(revision),
         "account": set.account, "home": set.home, "class": set.class, "team": set.team,
-        "in_progress_limit": set.in_progress_limit, "callers": callers,
+        "in_progress_limit": set.in_progress_limit, "callers": callers
     }))
 }
 
--- a/crates/zinniahatch_daemon/src/counts.rs
+++ b/crates/zinniahatch_daemon/src/counts.rs
@@ -55,7 +55,7 @@
         }
         for (shard, incarnation, numbers) in output.merged {
             if incarnation == core.identity.incarnation {
-                core.book().note_merged(shard, &numbers, Instant::now());
+                core.counts().note_merged(shard, &numbers, Instant::now());
             }
         }
         for (node, incarnation) in output.returns {
@@ -88,7 +88,7 @@
     let timeout = core.settings.merge_interval * RESEND_INTERVALS;
     let due = {
         let control = core.control();
-        let mut buffer = core.book();
+        let mut buffer = core.counts();
         buffer.seal(epoch_minute());
         buffer.take_due(now, timeout, |shard| control.duty_owner(now, &role(shard)))
     };
@@ -115,7 +115,7 @@
 
 /// Updates the metrics of this node's sealed batches.
 fn update_metrics(core: &GatewayCore) {
-    let states = core.book().states();
+    let states = core.counts().states();
     let counts = [
         ("unsent", states.unsent),
         ("sent", states.sent),
@@ -213,7 +213,7 @@
 /// If the response to a write is lost, the next attempt reads the value, finds the batch numbers that
 /// were written with the counts, and writes nothing.
 async fn merge_task(core: &GatewayCore, task: &MergeTask) -> MergeOutcome {
-    let store = core.changes.store();
+    let store = core.config_updater.store();
     let key = hour_key(&core.identity.data_centre, task.shard, task.hour);
     let mut outcome = MergeOutcome::NotRead;
     for _ in 0..MAX_ATTEMPTS {
@@ -272,7 +272,7 @@
         }
         let oldest = (epoch_minute() / MINUTES_PER_HOUR).saturating_sub(core.settings.report_hours);
         let prefix = format!("report/{}/", core.identity.data_centre);
-        let store = core.changes.store();
+        let store = core.config_updater.store();
         for key in store.list(&prefix).await.unwrap_or_default() {
             let hour = key
                 .rsplit('/')
--- a/crates/zinniahatch_daemon/src/orders.rs
+++ b/crates/zinniahatch_daemon/src/orders.rs
@@ -56,7 +56,7 @@
 impl OrderIssuer {
     /// Renews the lease, or tries to acquire it. Its time is counted from when the call was sent.
     async fn maintain_lease(&mut self, core: &GatewayCore) {
-        let store = core.changes.store();
+        let store = core.config_updater.store();
         if let Some(lease) = &self.lease {
             let sent = Instant::now();
             match store.renew_lease(lease).await {
--- a/crates/zinniahatch_daemon/src/shutdown.rs
+++ b/crates/zinniahatch_daemon/src/shutdown.rs
@@ -28,19 +28,19 @@
     core.wake.notify_one();
     directory::withdraw(core).await;
     sleep(LEAVE_GRACE).await;
-    core.refuse_new();
-    let finished = wait_for(core.settings.stop_timeout, || core.active() == 0).await;
+    core.start_draining();
+    let finished = wait_for(core.settings.stop_timeout, || core.in_flight() == 0).await;
     if !finished {
         warn!(
             "{} requests are aborted because the stop timeout has expired",
-            core.active()
+            core.in_flight()
         );
     }
     hand_over_keys(core).await;
     merger.set_closing();
     seal_and_send(core, merger);
     merge_round(core, merger).await;
-    if !wait_for(COUNT_FLUSH_TIMEOUT, || core.book().is_flushed()).await {
+    if !wait_for(COUNT_FLUSH_TIMEOUT, || core.counts().is_flushed()).await {
         warn!("the last counts are not confirmed in the store; their merger has a copy");
     }
     sleep(HANDOVER_NOTICE_TIME).await;
@@ -64,7 +64,7 @@
     };
     successors.sort_by_key(|(name, _)| std::cmp::Reverse(rendezvous_rank("keys", name)));
     for (name, http) in successors {
-        if core.hand_over(&http).await {
+        if core.hand_over_keys(&http).await {
             info!("{name} took over the keys and answers");
             return;
         }
--- a/crates/zinniahatch_daemon/src/transport.rs
+++ b/crates/zinniahatch_daemon/src/transport.rs
@@ -63,7 +63,7 @@
             .frame_bytes
             .with_label_values(&["out"])
             .inc_by(bytes.len() as u64);
-        if !self.enqueue(core.reach(&parcel.to), PeerCommand::Send(bytes)) {
+        if !self.enqueue(core.translate_address(&parcel.to), PeerCommand::Send(bytes)) {
             let dropped = &core.counters.messages_dropped;
             dropped.with_label_values(&["queue-full"]).inc();
         }
@@ -72,7 +72,7 @@
     /// Opens a new connection to a peer from which nothing was received for some time.
     pub(crate) fn redial(&mut self, core: &GatewayCore, peer: &str) {
         core.counters.redials.inc();
-        self.enqueue(core.reach(peer), PeerCommand::Redial);
+        self.enqueue(core.translate_address(peer), PeerCommand::Redial);
     }
 
     /// Queues a command for the sender task of a peer; returns whether the queue had room.
--- a/crates/zinniahatch_daemon/src/watch.rs
+++ b/crates/zinniahatch_daemon/src/watch.rs
@@ -65,7 +65,7 @@
         }
         last_read = Instant::now();
         let result = core
-            .changes
+            .config_updater
             .store()
             .watch(HEAD_KEY, seen, WATCH_TIMEOUT)
             .await;
@@ -73,7 +73,7 @@
         match result {
             Ok(Some(value)) => {
                 seen = value.revision;
-                core.take_head(&value).await;
+                core.apply_head(&value).await;
             }
             Ok(None) => {}
             Err(_) => {
--- a/crates/zinniahatch_gateway/src/core.rs
+++ b/crates/zinniahatch_gateway/src/core.rs
@@ -1,11 +1,11 @@
-//! What all handlers of one node share.
+//! State shared by all handlers of one node.
 
 use crate::CounterSet;
-use crate::PeerProof;
+use crate::PeerAuth;
 use crate::budget::SendBudget;
-use crate::keyed::KeyShelf;
-use crate::placing::WaiterTable;
-use crate::shelf::AnswerShelf;
+use crate::idempotency::KeyTables;
+use crate::placement::WaiterTable;
+use crate::response_cache::ResponseCache;
 use reqwest::Client;
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -18,7 +18,7 @@
 use std::time::UNIX_EPOCH;
 use tokio::sync::Notify;
 use zinniahatch_base::prelude::*;
-use zinniahatch_change::ChangeDesk;
+use zinniahatch_change::ConfigUpdater;
 use zinniahatch_config::NodeSettings;
 use zinniahatch_control::ControlNode;
 use zinniahatch_control::NodeIdentity;
@@ -26,141 +26,142 @@
 use zinniahatch_platform::KvClient;
 use zinniahatch_report::CountBuffer;
 
-/// Time for a connection to a backend server or another node.
-const CONNECT_TIME: Duration = Duration::from_millis(800);
-/// Idle connections are closed before a middlebox would forget them.
-const IDLE_TIME: Duration = Duration::from_secs(15);
+/// Connect timeout for backend servers and other nodes.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(800);
+/// Idle connections are closed before a middlebox would drop their state.
+const POOL_IDLE_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// The parts from which a core is made.
+/// Components needed to build a [`GatewayCore`].
 pub struct GatewayParts {
     /// The node's settings.
     pub settings: NodeSettings,
-    /// The tables.
+    /// Membership, slot leases and placement state.
     pub control: ControlNode,
-    /// The store.
+    /// Client of the platform's key-value store.
     pub store: KvClient,
-    /// Random bytes that only this process knows.
+    /// Secret random bytes of this process, used to mint idempotency keys.
     pub key_secret: [u8; 32],
 }
 
-/// The state of one node's request path.
+/// State of one node's request path.
 pub struct GatewayCore {
     /// The node's settings.
     pub settings: NodeSettings,
-    /// Who the node is.
+    /// Node name, data centre, region and addresses.
     pub identity: NodeIdentity,
-    /// Wakes the pump of the tables.
+    /// Wakes the task that runs the control ticks.
     pub wake: Notify,
-    /// Counters.
+    /// Counters and gauges.
     pub counters: CounterSet,
-    /// Changes of configuration.
-    pub changes: ChangeDesk<KvClient>,
-    /// Engines beside the request path.
+    /// Applies configuration changes to the store.
+    pub config_updater: ConfigUpdater<KvClient>,
+    /// Client for engine orders and cancellations, outside the request path.
     pub engine: HttpEngine,
-    pub(crate) proof: PeerProof,
+    pub(crate) peer_auth: PeerAuth,
     pub(crate) client: Client,
-    pub(crate) once_client: Client,
+    pub(crate) unpooled_client: Client,
     pub(crate) waiters: WaiterTable,
     control: Mutex<ControlNode>,
-    book: Mutex<CountBuffer>,
-    keys: Mutex<KeyShelf>,
-    shelf: Mutex<AnswerShelf>,
+    counts: Mutex<CountBuffer>,
+    keys: Mutex<KeyTables>,
+    response_cache: Mutex<ResponseCache>,
     retry_budget: Mutex<SendBudget>,
     hedge_budget: Mutex<SendBudget>,
-    account_running: Mutex<BTreeMap<AccountId, u32>>,
+    in_flight_by_account: Mutex<BTreeMap<AccountId, u32>>,
     next_number: AtomicU64,
-    active: AtomicU64,
-    refusing: AtomicBool,
+    in_flight: AtomicU64,
+    draining: AtomicBool,
     adopted_ms: AtomicU64,
 }
 
 impl GatewayCore {
-    /// Makes the core of a node.
+    /// Builds the shared state of a node.
     pub fn new(parts: GatewayParts, now: Instant) -> Arc<Self> {
         let identity = parts.control.identity().clone();
         let settings = parts.settings;
         Arc::new(Self {
             wake: Notify::new(),
             counters: CounterSet::new(&identity.node, &identity.data_centre),
-            changes: ChangeDesk::new(parts.store),
+            config_updater: ConfigUpdater::new(parts.store),
             engine: HttpEngine::new(),
-            proof: PeerProof::new(&settings.secret),
+            peer_auth: PeerAuth::new(&settings.secret),
             client: build_client(usize::MAX),
-            // A call that may not be repeated gets a connection of its own: one from a pool may
-            // have gone silent, and nothing could be sent again to find out.
-            once_client: build_client(0),
+            // A request that must not run twice gets a new connection: a pooled connection may be
+            // dead without having been closed, and the request could not be sent again to find
+            // out.
+            unpooled_client: build_client(0),
             waiters: WaiterTable::default(),
             control: Mutex::new(parts.control),
-            book: Mutex::new(CountBuffer::default()),
-            keys: Mutex::new(KeyShelf::new(
+            counts: Mutex::new(CountBuffer::default()),
+            keys: Mutex::new(KeyTables::new(
                 &identity,
                 parts.key_secret,
                 now,
                 settings.answer_memory,
             )),
-            shelf: Mutex::new(AnswerShelf::new(settings.answer_memory)),
+            response_cache: Mutex::new(ResponseCache::new(settings.answer_memory)),
             retry_budget: Mutex::default(),
             hedge_budget: Mutex::default(),
-            account_running: Mutex::default(),
+            in_flight_by_account: Mutex::default(),
             next_number: AtomicU64::new(1),
-            active: AtomicU64::new(0),
-            refusing: AtomicBool::new(false),
+            in_flight: AtomicU64::new(0),
+            draining: AtomicBool::new(false),
             adopted_ms: AtomicU64::new(0),
             identity,
             settings,
         })
     }
 
-    /// Locks the tables; never held across an await.
+    /// Locks the control state; the guard must not be held across an await.
     pub fn control(&self) -> MutexGuard<'_, ControlNode> {
         lock(&self.control)
     }
 
-    /// Locks the counts.
-    pub fn book(&self) -> MutexGuard<'_, CountBuffer> {
-        lock(&self.book)
+    /// Locks the usage counts.
+    pub fn counts(&self) -> MutexGuard<'_, CountBuffer> {
+        lock(&self.counts)
     }
 
-    /// Gives how many requests are in progress.
-    pub fn active(&self) -> u64 {
-        self.active.load(Ordering::SeqCst)
+    /// Returns the number of requests in flight.
+    pub fn in_flight(&self) -> u64 {
+        self.in_flight.load(Ordering::SeqCst)
     }
 
-    /// Gives the address at which another node is reached from here.
-    pub fn reach<'a>(&'a self, address: &'a str) -> &'a str {
+    /// Returns the address at which this node reaches another one, after address translation.
+    pub fn translate_address<'a>(&'a self, address: &'a str) -> &'a str {
         self.settings
             .translate
             .get(address)
             .map_or(address, |to| &**to)
     }
 
-    /// Refuses new requests from now on; what runs goes on.
-    pub fn refuse_new(&self) {
-        self.refusing.store(true, Ordering::SeqCst);
+    /// Refuses new requests from now on; requests in flight continue.
+    pub fn start_draining(&self) {
+        self.draining.store(true, Ordering::SeqCst);
     }
 
-    /// Says whether new requests are refused.
-    pub fn refuses_new(&self) -> bool {
-        self.refusing.load(Ordering::SeqCst)
+    /// Reports whether new requests are refused.
+    pub fn is_draining(&self) -> bool {
+        self.draining.load(Ordering::SeqCst)
     }
 
-    /// Notes when the revision in force came into force here, in milliseconds since the epoch.
-    pub fn note_adopted(&self, millis: u64) {
+    /// Records when the current revision took effect here, in milliseconds since the epoch.
+    pub fn set_adopted_ms(&self, millis: u64) {
         self.adopted_ms.store(millis, Ordering::Relaxed);
     }
 
-    /// Gives when the revision in force came into force here.
+    /// Returns when the current revision took effect here, in milliseconds since the epoch.
     pub fn adopted_ms(&self) -> u64 {
         self.adopted_ms.load(Ordering::Relaxed)
     }
 
-    /// Locks the keys.
-    pub fn keys(&self) -> MutexGuard<'_, KeyShelf> {
+    /// Locks the idempotency key tables.
+    pub fn keys(&self) -> MutexGuard<'_, KeyTables> {
         lock(&self.keys)
     }
 
-    pub(crate) fn shelf(&self) -> MutexGuard<'_, AnswerShelf> {
-        lock(&self.shelf)
+    pub(crate) fn response_cache(&self) -> MutexGuard<'_, ResponseCache> {
+        lock(&self.response_cache)
     }
 
     pub(crate) fn retry_budget(&self) -> MutexGuard<'_, SendBudget> {
@@ -175,7 +176,7 @@
         self.next_number.fetch_add(1, Ordering::Relaxed)
     }
 
-    /// Makes the id of a new request.
+    /// Returns a unique id for a new request.
     pub(crate) fn request_id(&self) -> RequestId {
         format!(
             "{}-{:x}-{}",
@@ -186,57 +187,63 @@
         .into()
     }
 
-    /// Counts a request of an account as in progress, unless the account is at its limit.
-    pub(crate) fn enter(self: &Arc<Self>, account: &AccountId, limit: u32) -> Option<ActiveGuard> {
-        let mut running = lock(&self.account_running);
-        let count = running.entry(account.clone()).or_default();
+    /// Counts a request of an account as in flight, or returns `None` if the account is at its
+    /// limit.
+    pub(crate) fn try_begin(
+        self: &Arc<Self>,
+        account: &AccountId,
+        limit: u32,
+    ) -> Option<InFlightGuard> {
+        let mut by_account = lock(&self.in_flight_by_account);
+        let count = by_account.entry(account.clone()).or_default();
         if limit > 0 && *count >= limit {
             return None;
         }
         *count += 1;
-        self.active.fetch_add(1, Ordering::SeqCst);
-        Some(ActiveGuard {
+        self.in_flight.fetch_add(1, Ordering::SeqCst);
+        Some(InFlightGuard {
             core: Arc::clone(self),
             account: account.clone(),
         })
     }
 }
 
-/// Counts a request as in progress until it is dropped.
-pub(crate) struct ActiveGuard {
+/// Counts a request as in flight until it is dropped.
+pub(crate) struct InFlightGuard {
     core: Arc<GatewayCore>,
     account: AccountId,
 }
 
-impl Drop for ActiveGuard {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
-        let mut running = lock(&self.core.account_running);
-        if let Some(count) = running.get_mut(&self.account) {
+        let mut by_account = lock(&self.core.in_flight_by_account);
+        if let Some(count) = by_account.get_mut(&self.account) {
             *count -= 1;
             if *count == 0 {
-                running.remove(&self.account);
+                by_account.remove(&self.account);
             }
         }
-        self.core.active.fetch_sub(1, Ordering::SeqCst);
+        self.core.in_flight.fetch_sub(1, Ordering::SeqCst);
     }
 }
 
-/// Gives seconds since the epoch.
+/// Returns the seconds since the Unix epoch.
 pub(crate) fn epoch_seconds() -> u64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .map_or(0, |age| age.as_secs())
 }
 
-/// Locks a mutex; a panic elsewhere leaves counters and tables usable.
+/// Locks a mutex and ignores poisoning, because a panic elsewhere leaves counters and tables
+/// usable.
 pub(crate) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
 fn build_client(idle: usize) -> Client {
     Client::builder()
-        .connect_timeout(CONNECT_TIME)
-        .pool_idle_timeout(IDLE_TIME)
+        .connect_timeout(CONNECT_TIMEOUT)
+        .pool_idle_timeout(POOL_IDLE_TIMEOUT)
         .pool_max_idle_per_host(idle)
         .tcp_nodelay(true)
         .no_proxy()
--- a/crates/zinniahatch_gateway/src/proof.rs
+++ b/crates/zinniahatch_gateway/src/peer_auth.rs
@@ -1,24 +1,24 @@
-//! Proof that a forwarded request comes from a node that knows the shared secret.
+//! Authentication of forwarded requests by a keyed hash with the cluster's shared secret.
 
-/// Context string from which the proof key is derived.
+/// Context string from which the key is derived.
 const KEY_CONTEXT: &str = "zinniahatch 2026 requests between nodes";
 
-/// Makes and checks proofs.
+/// Signs and verifies requests between nodes.
 #[derive(Clone)]
-pub struct PeerProof {
+pub struct PeerAuth {
     key: [u8; 32],
 }
 
-impl PeerProof {
-    /// Makes a prover from the secret of the settings.
+impl PeerAuth {
+    /// Derives the key from the secret of the settings.
     pub fn new(secret: &str) -> Self {
         Self {
             key: blake3::derive_key(KEY_CONTEXT, secret.as_bytes()),
         }
     }
 
-    /// Gives the proof for the fields that a forwarded request must not change.
-    pub fn make(&self, fields: &[&str]) -> String {
+    /// Returns the proof for the fields that must not change in transit.
+    pub fn sign(&self, fields: &[&str]) -> String {
         let mut hasher = blake3::Hasher::new_keyed(&self.key);
         for field in fields {
             hasher.update(&(field.len() as u64).to_le_bytes());
@@ -27,11 +27,11 @@
         hasher.finalize().to_hex().to_string()
     }
 
-    /// Checks a proof in a time that does not depend on it.
-    pub fn check(&self, fields: &[&str], proof: &str) -> bool {
+    /// Verifies a proof in constant time.
+    pub fn verify(&self, fields: &[&str], proof: &str) -> bool {
         let Ok(given) = blake3::Hash::from_hex(proof) else {
             return false;
         };
-        blake3::Hash::from_hex(self.make(fields)).is_ok_and(|expected| expected == given)
+        blake3::Hash::from_hex(self.sign(fields)).is_ok_and(|expected| expected == given)
     }
 }
--- a/crates/zinniahatch_gateway/src/report_read.rs
+++ b/crates/zinniahatch_gateway/src/report_read.rs
@@ -1,4 +1,4 @@
-//! Reading hourly counts back from the store.
+//! Reads hourly usage counts from the store.
 
 use crate::GatewayCore;
 use futures_util::StreamExt;
@@ -8,21 +8,21 @@
 use zinniahatch_report::CountTable;
 use zinniahatch_report::HourlyCounts;
 
-/// Reads in flight for one report, far below the store's rate.
-const READS_AT_ONCE: usize = 8;
+/// Concurrent reads for one report, far below the store's rate limit.
+const CONCURRENT_READS: usize = 8;
 const PREFIX: &str = "report/";
 
-/// Gives the key of one data centre's counts of one shard and hour.
+/// Returns the store key of one data centre's counts for a shard and hour.
 pub fn hour_key(data_centre: &str, shard: u16, hour: u64) -> String {
     format!("{PREFIX}{data_centre}/{shard:02}/{hour}")
 }
 
-/// Gives the hour that a key names.
+/// Returns the hour in a store key.
 pub(crate) fn hour_of(key: &str) -> Option<u64> {
     key.rsplit('/').next()?.parse().ok()
 }
 
-/// What a report is made from.
+/// Counts from which a report is made.
 #[derive(Default)]
 pub(crate) struct ReadCounts {
     pub(crate) sheet: CountTable,
@@ -30,9 +30,9 @@
     pub(crate) unread: Vec<Box<str>>,
 }
 
-/// Reads the counts of a span of hours, the last included.
+/// Reads the counts of the hours `from` to `until`, both included.
 pub(crate) async fn read_counts(core: &GatewayCore, from: u64, until: u64) -> ReadCounts {
-    let store = core.changes.store();
+    let store = core.config_updater.store();
     let mut counts = ReadCounts::default();
     let keys = match store.list(PREFIX).await {
         Ok(keys) => keys,
@@ -41,13 +41,13 @@
             return counts;
         }
     };
-    // Counts of an hour may stand in the value of the next one, where their sheet was sealed.
+    // Counts of an hour may be in the value of the next hour, if their batch was sealed then.
     let wanted = keys
         .into_iter()
         .filter(|key| hour_of(key).is_some_and(|hour| (from..=until + 1).contains(&hour)));
     let mut values = stream::iter(wanted)
         .map(|key| async move { (store.get(&key).await, key) })
-        .buffer_unordered(READS_AT_ONCE);
+        .buffer_unordered(CONCURRENT_READS);
     while let Some((result, key)) = values.next().await {
         let ledger = match result {
             Ok(Some(value)) => serde_json::from_str::<HourlyCounts>(&value.value).ok(),
--- a/crates/zinniahatch_gateway/src/counting.rs
+++ b/crates/zinniahatch_gateway/src/request_count.rs
@@ -1,9 +1,9 @@
-//! Last stage: each request is counted once, whatever became of it.
+//! Usage counts: each request is counted once, whatever its outcome.
 
 use crate::GatewayCore;
-use crate::admit::KnownCaller;
-use crate::answer::TokenUsage;
+use crate::admit::CallerIdentity;
 use crate::core::epoch_seconds;
+use crate::response::TokenUsage;
 use std::sync::Arc;
 use zinniahatch_base::prelude::*;
 use zinniahatch_config::ClusterConfig;
@@ -11,10 +11,11 @@
 use zinniahatch_report::CountRow;
 
 const SECONDS_PER_HOUR: u64 = 3_600;
-/// Millionths in one unit of money.
-const MICROS: f64 = 1e6;
+/// Millionths per currency unit.
+const MICROS_PER_UNIT: f64 = 1e6;
 
-/// Counts one request when it is settled, or as given up by its caller when it is dropped.
+/// Counts one request when its result is recorded, or as abandoned by the caller when it is
+/// dropped.
 pub(crate) struct CountGuard {
     core: Arc<GatewayCore>,
     config: Arc<ClusterConfig>,
@@ -28,7 +29,7 @@
     pub(crate) fn new(
         core: &Arc<GatewayCore>,
         config: &Arc<ClusterConfig>,
-        who: &KnownCaller,
+        who: &CallerIdentity,
         service: &ServiceId,
         arrived: Instant,
     ) -> Self {
@@ -38,7 +39,7 @@
             caller: who.caller.clone(),
             home: who.entry.home.clone(),
             served: core.identity.region.clone(),
-            // A name that is not configured is text from outside and is not kept.
+            // The name of a service that is not configured is untrusted input and is not stored.
             service: if config.services.contains_key(service) {
                 service.clone()
             } else {
@@ -57,36 +58,36 @@
         }
     }
 
-    /// Notes the first byte.
-    pub(crate) fn mark_first(&mut self) {
+    /// Records the time to the first byte, once.
+    pub(crate) fn mark_first_byte(&mut self) {
         self.first_byte.get_or_insert(self.arrived.elapsed());
     }
 
-    /// Notes what the answer used.
-    pub(crate) fn note_usage(&mut self, usage: TokenUsage) {
+    /// Sets the token usage of the response.
+    pub(crate) fn set_usage(&mut self, usage: TokenUsage) {
         self.usage = usage;
     }
 
-    /// Notes the region that served.
-    pub(crate) fn note_served(&mut self, region: &RegionId) {
+    /// Sets the region that served the request.
+    pub(crate) fn set_served_region(&mut self, region: &RegionId) {
         if let Some(key) = &mut self.key {
             key.served.clone_from(region);
         }
     }
 
-    /// Leaves the counting to the node that the caller is connected to.
+    /// Disables this guard, because the node to which the caller is connected counts the request.
     pub(crate) fn leave_to_sender(&mut self) {
         self.key = None;
     }
 
-    /// Counts the request.
-    pub(crate) fn settle(&mut self, code: ResultCode) {
+    /// Counts the request with its result code.
+    pub(crate) fn record_result(&mut self, code: ResultCode) {
         let Some(mut key) = self.key.take() else {
             return;
         };
         self.core.counters.count_result(code);
         key.code = code.number();
-        let away = key.served != key.home;
+        let outside_home = key.served != key.home;
         let mut row = CountRow {
             requests: 1,
             ..CountRow::default()
@@ -106,20 +107,20 @@
                 usage.prompt_tokens,
                 usage.cached_tokens,
                 usage.completion_tokens,
-                away,
+                outside_home,
             );
-            row.cost_micros = (cost * MICROS) as u64;
+            row.cost_micros = (cost * MICROS_PER_UNIT) as u64;
         }
         if let Some(first) = self.first_byte {
             row.first_byte.record(first);
         }
         row.whole.record(self.arrived.elapsed());
-        self.core.book().add(key, &row);
+        self.core.counts().add(key, &row);
     }
 }
 
 impl Drop for CountGuard {
     fn drop(&mut self) {
-        self.settle(ResultCode::CallerGone);
+        self.record_result(ResultCode::CallerGone);
     }
 }
--- a/crates/zinniahatch_gateway/src/shelf.rs
+++ b/crates/zinniahatch_gateway/src/response_cache.rs
@@ -1,32 +1,32 @@
-//! Answers kept for collection, in bounded memory.
+//! Bounded in-memory cache of responses for later collection.
 
-use crate::answer::KeptAnswer;
+use crate::response::CachedResponse;
 use std::collections::VecDeque;
 use std::sync::Arc;
 use zinniahatch_base::prelude::*;
 
-/// Answers by request id; the oldest go first.
+/// Responses by request id; the oldest are evicted first.
 #[derive(Debug)]
-pub(crate) struct AnswerShelf {
+pub(crate) struct ResponseCache {
     limit: usize,
     size: usize,
-    answers: BTreeMap<RequestId, ShelfLine>,
+    responses: BTreeMap<RequestId, CacheEntry>,
     order: VecDeque<RequestId>,
 }
 
 #[derive(Debug)]
-struct ShelfLine {
+struct CacheEntry {
     account: AccountId,
     until: Instant,
-    answer: Arc<KeptAnswer>,
+    response: Arc<CachedResponse>,
 }
 
-impl AnswerShelf {
+impl ResponseCache {
     pub(crate) fn new(limit: usize) -> Self {
         Self {
             limit,
             size: 0,
-            answers: BTreeMap::new(),
+            responses: BTreeMap::new(),
             order: VecDeque::new(),
         }
     }
@@ -36,11 +36,11 @@
         now: Instant,
         account: &str,
         request: &str,
-    ) -> Option<Arc<KeptAnswer>> {
-        self.answers
+    ) -> Option<Arc<CachedResponse>> {
+        self.responses
             .get(request)
-            .filter(|line| &*line.account == account && now < line.until)
-            .map(|line| Arc::clone(&line.answer))
+            .filter(|entry| &*entry.account == account && now < entry.until)
+            .map(|entry| Arc::clone(&entry.response))
     }
 
     pub(crate) fn put(
@@ -48,24 +48,24 @@
         request: RequestId,
         account: AccountId,
         until: Instant,
-        answer: Arc<KeptAnswer>,
+        response: Arc<CachedResponse>,
     ) {
-        self.size += answer.body.len();
+        self.size += response.body.len();
         self.order.push_back(request.clone());
-        self.answers.insert(
+        self.responses.insert(
             request,
-            ShelfLine {
+            CacheEntry {
                 account,
                 until,
-                answer,
+                response,
             },
         );
         while self.size > self.limit {
             let Some(oldest) = self.order.pop_front() else {
                 break;
             };
-            if let Some(line) = self.answers.remove(&oldest) {
-                self.size -= line.answer.body.len();
+            if let Some(entry) = self.responses.remove(&oldest) {
+                self.size -= entry.response.body.len();
             }
         }
     }
--- a/crates/zinniahatch_gateway/src/sse.rs
+++ b/crates/zinniahatch_gateway/src/sse.rs
@@ -1,6 +1,6 @@
-//! Server-sent events: whole events out of chunks, and what the last ones say.
+//! Server-sent events: splits chunks into complete events and reads tokens and usage from them.
 
-use crate::answer::TokenUsage;
+use crate::response::TokenUsage;
 use bytes::Bytes;
 use bytes::BytesMut;
 use serde::Deserialize;
@@ -9,13 +9,13 @@
 const DONE_EVENT: &[u8] = b"data: [DONE]";
 const DATA_FIELD: &[u8] = b"data: ";
 
-/// Cuts a stream of chunks at the ends of events.
+/// Splits a stream of chunks at the ends of events.
 #[derive(Debug, Default)]
-pub(crate) struct EventCutter {
+pub(crate) struct EventSplitter {
     pending: BytesMut,
-    /// Events passed, the end mark left out.
+    /// Events passed on, without the end marker.
     pub(crate) events: u64,
-    /// Whether the end mark was seen.
+    /// Whether the end marker was received.
     pub(crate) done: bool,
     last: Bytes,
 }
@@ -42,10 +42,10 @@
     content: String,
 }
 
-impl EventCutter {
-    /// Takes a chunk and gives the whole events that it completes.
-    pub(crate) fn take(&mut self, chunk: Bytes) -> Bytes {
-        let whole = if self.pending.is_empty() && chunk.ends_with(EVENT_END) {
+impl EventSplitter {
+    /// Adds a chunk and returns the events that it completes.
+    pub(crate) fn push(&mut self, chunk: Bytes) -> Bytes {
+        let complete = if self.pending.is_empty() && chunk.ends_with(EVENT_END) {
             chunk
         } else {
             self.pending.extend_from_slice(&chunk);
@@ -55,8 +55,8 @@
             }
         };
         let mut from = 0;
-        while let Some(end) = find_end(&whole[from..]) {
-            let event = whole.slice(from..from + end);
+        while let Some(end) = find_end(&complete[from..]) {
+            let event = complete.slice(from..from + end);
             from += end + EVENT_END.len();
             if event.as_ref() == DONE_EVENT {
                 self.done = true;
@@ -65,15 +65,15 @@
             self.events += 1;
             self.last = event;
         }
-        whole
+        complete
     }
 
-    /// Drops a half event, after a connection broke in its middle.
+    /// Drops an incomplete event after a connection broke.
     pub(crate) fn reset(&mut self) {
         self.pending.clear();
     }
 
-    /// Gives the usage that the last event before the end mark carries.
+    /// Returns the usage in the last event before the end marker.
     pub(crate) fn usage(&self) -> TokenUsage {
         let data = self.last.strip_prefix(DATA_FIELD).unwrap_or(&self.last);
         let event: Option<UsageEvent> = serde_json::from_slice(data).ok();
@@ -81,7 +81,7 @@
     }
 }
 
-/// Gives the text of the tokens in whole events.
+/// Returns the token text of complete events.
 pub(crate) fn token_text(events: &[u8]) -> String {
     let mut text = String::new();
     for event in events.split(|byte| *byte == b'\n') {
