--- a/crates/zinniahatch_entry/src/auth/allowances.rs
+++ b/crates/zinniahatch_entry/src/auth/allowances.rs
@@ -11,10 +11,10 @@
 use zinniahatch_route::DesiredState;
 use zinniahatch_route::QuotaLimit;
 
-/// Part of the permitted overrun and slack that is granted to the account, so that callers that
+/// Fraction of the permitted overrun and slack that is granted to the account, so that callers that
 /// track their own usage are not refused within their allowance. The rest covers requests that
-/// nodes admit before they have heard of each other's usage.
-const GRANTED_PART: f64 = 0.1;
+/// nodes admit before they learn of each other's usage.
+const GRANTED_FRACTION: f64 = 0.1;
 
 /// Quota units charged for a request; refunded on drop unless the request may have run.
 pub(crate) struct ChargedUnits {
@@ -44,18 +44,18 @@
 /// Returns the time until the account has enough quota again.
 pub(crate) fn charge_units(
     core: &Rc<EntryCore>,
-    call: &ReceivedRequest,
+    request: &ReceivedRequest,
     plan: &RequestPlan,
 ) -> Result<Option<ChargedUnits>, Duration> {
     // A forwarded request was charged by the node that received it from the caller.
-    let identity = plan.identity.as_ref().filter(|_| call.is_direct());
+    let identity = plan.identity.as_ref().filter(|_| request.is_direct());
     let Some((account, allowance)) = identity
         .map(|identity| &identity.account)
         .and_then(|account| Some((account, account.allowance?)))
     else {
         return Ok(None);
     };
-    let (tag, units) = (account_tag(&account.name), allowance.charge(&call.size));
+    let (tag, units) = (account_tag(&account.name), allowance.charge(&request.size));
     let now = Instant::now();
     let taken = core.quotas.borrow_mut().try_take(tag, units, now);
     if let Err(after) = taken {
@@ -63,7 +63,7 @@
         core.metrics.note_over_allowance();
         core.log.write(
             "over-allowance",
-            serde_json::json!({"request": call.attempt, "account": account.name, "units": units,
+            serde_json::json!({"request": request.attempt, "account": account.name, "units": units,
                 "left": left.map(|left| left as i64), "rate": allowance.rate, "burst": allowance.burst,
                 "retry_ms": after.as_millis() as u64})
         );
@@ -92,7 +92,7 @@
 
 fn quota_limit(core: &EntryCore, allowance: &Allowance) -> QuotaLimit {
     let bounds = &core.settings.bounds;
-    let factor = 1.0 + GRANTED_PART * bounds.quota_overrun;
+    let factor = 1.0 + GRANTED_FRACTION * bounds.quota_overrun;
     let slack = match allowance.unit {
         AllowanceUnit::Tokens => bounds.quota_slack,
         // The configured slack is given in tokens.
@@ -100,6 +100,6 @@
     };
     QuotaLimit {
         rate: allowance.rate * factor,
-        burst: allowance.burst * factor + GRANTED_PART * slack,
+        burst: allowance.burst * factor + GRANTED_FRACTION * slack,
     }
 }
--- a/crates/zinniahatch_entry/src/auth/identity.rs
+++ b/crates/zinniahatch_entry/src/auth/identity.rs
@@ -3,14 +3,14 @@
 use crate::core::EntryCore;
 use crate::request::received::ForwardedAccount;
 use crate::request::received::ReceivedRequest;
-use crate::request::received::RequestHop;
+use crate::request::received::RequestOrigin;
 use std::rc::Rc;
 use zinniahatch_base::prelude::*;
 use zinniahatch_platform::Credential;
 use zinniahatch_route::AccountTable;
 use zinniahatch_route::DesiredAccount;
 use zinniahatch_route::DesiredRoute;
-use zinniahatch_route::KeyVerdict;
+use zinniahatch_route::KeyLookup;
 
 /// The account that a request is served for, and the key that identified it.
 #[derive(Clone, Debug)]
@@ -25,50 +25,50 @@
 /// require one.
 pub(crate) fn identify(
     core: &EntryCore,
-    call: &ReceivedRequest,
+    request: &ReceivedRequest,
     route: &DesiredRoute,
 ) -> Result<Option<RequestIdentity>, ResultCode> {
     let table = core.identities.borrow().clone();
-    if let RequestHop::Forwarded(note) = &call.hop {
-        if let Some(account) = &note.account {
-            return identify_forwarded(core, account, note.version, &table).map(Some);
+    if let RequestOrigin::Forwarded(info) = &request.origin {
+        if let Some(account) = &info.account {
+            return identify_forwarded(core, account, info.version, &table).map(Some);
         }
         // The forwarding node required no account; this node does so if it has a newer desired
         // state.
-        if note.version >= core.version() {
+        if info.version >= core.version() {
             return Ok(None);
         }
     }
     if !table.requires_key() {
         return Ok(None);
     }
-    identify_caller(core, call, route, &table)
+    identify_caller(core, request, route, &table)
 }
 
 fn identify_caller(
     core: &EntryCore,
-    call: &ReceivedRequest,
+    request: &ReceivedRequest,
     route: &DesiredRoute,
     table: &AccountTable,
 ) -> Result<Option<RequestIdentity>, ResultCode> {
-    if route.open && call.credential == Credential::Missing {
+    if route.open && request.credential == Credential::Missing {
         return Ok(None);
     }
     if !core.trusts_keys() {
         core.metrics.note_refused_key("unproven");
         return Err(ResultCode::KeysUnproven);
     }
-    let problem = match call.credential {
+    let problem = match request.credential {
         Credential::Key(key) => match table.find(&key) {
-            KeyVerdict::Known(account) => {
+            KeyLookup::Known(account) => {
                 return Ok(Some(RequestIdentity {
                     account,
                     key,
                     version: core.version(),
                 }));
             }
-            KeyVerdict::Revoked => "revoked",
-            KeyVerdict::Unknown => "unknown",
+            KeyLookup::Revoked => "revoked",
+            KeyLookup::Unknown => "unknown",
         },
         Credential::Missing => "missing",
         Credential::Malformed => "malformed",
@@ -79,7 +79,7 @@
     core.metrics.note_refused_key(problem);
     core.log.write(
         "key-refused",
-        serde_json::json!({"request": call.attempt, "reason": problem, "version": core.version()}),
+        serde_json::json!({"request": request.attempt, "reason": problem, "version": core.version()}),
     );
     Err(ResultCode::BadCredential)
 }
@@ -88,19 +88,19 @@
 /// that contradicts it.
 fn identify_forwarded(
     core: &EntryCore,
-    note: &ForwardedAccount,
+    forwarded: &ForwardedAccount,
     version: u64,
     table: &AccountTable,
 ) -> Result<RequestIdentity, ResultCode> {
-    if core.version() >= version && !table.holds(&note.key, &note.name) {
+    if core.version() >= version && !table.holds(&forwarded.key, &forwarded.name) {
         core.metrics.note_refused_key("revoked");
         return Err(ResultCode::BadCredential);
     }
-    let account = table.named(&note.name).cloned().unwrap_or_else(|| {
+    let account = table.named(&forwarded.name).cloned().unwrap_or_else(|| {
         // The forwarding node chose this region by the account's homes, which are not known here
         // yet.
         Rc::new(DesiredAccount {
-            name: note.name.clone(),
+            name: forwarded.name.clone(),
             keys: BTreeSet::new(),
             priority: None,
             homes: BTreeSet::new(),
@@ -109,7 +109,7 @@
     });
     Ok(RequestIdentity {
         account,
-        key: note.key,
+        key: forwarded.key,
         version,
     })
 }
--- a/crates/zinniahatch_entry/src/auth/proofs.rs
+++ b/crates/zinniahatch_entry/src/auth/proofs.rs
@@ -1,9 +1,9 @@
 //! Proofs that this node knows of all revoked keys.
 //!
-//! One node of a region asks the store once per second whether the operators' keys changed, and
-//! sends the proof to the others with its heartbeats. A node whose proof grows old asks the store
-//! itself. The nodes are ranked, and each waits a little longer than the one before it: the failure
-//! of the first costs a fraction of a second and needs no agreement protocol.
+//! One node of a region polls the store once per second for changes of the operators' keys, and
+//! sends the proof to the others with its heartbeats. A node whose proof grows old queries the
+//! store itself. The nodes are ranked, and each waits a little longer than the one before it: the
+//! failure of the first costs a fraction of a second and needs no agreement protocol.
 
 use crate::core::EntryCore;
 use crate::nodes::roles::nodes_ranked_above;
@@ -20,15 +20,15 @@
 
 /// Interval between checks of the proof's age.
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
-/// Age at which the first node requests a new proof, as a part of the operators' bound:
+/// Age at which the first node requests a new proof, as a fraction of the operators' bound:
 /// 1.25 s of 5 s.
-const FIRST_AGE_PART: f64 = 0.25;
-/// Extra age for each rank, as a part of the bound: 0.6 s of 5 s. A node first has to receive the
-/// proof of the one ranked before it, and heartbeats come every 0.5 s. `MAX_AGE_PART` is the
-/// highest age at which any node requests a proof.
-const AGE_PART_PER_RANK: f64 = 0.12;
-const MAX_AGE_PART: f64 = 0.55;
-/// Range of ages over which the requests of the last ranks are spread, as a part of the bound.
+const FIRST_AGE_FRACTION: f64 = 0.25;
+/// Extra age for each rank, as a fraction of the bound: 0.6 s of 5 s. A node first has to receive
+/// the proof of the one ranked before it, and heartbeats come every 0.5 s. `MAX_AGE_FRACTION` is
+/// the highest age at which any node requests a proof.
+const AGE_FRACTION_PER_RANK: f64 = 0.12;
+const MAX_AGE_FRACTION: f64 = 0.55;
+/// Range of ages over which the requests of the last ranks are spread, as a fraction of the bound.
 const MAX_AGE_SPREAD: f64 = 0.1;
 /// Role name that is hashed to rank the nodes of a region.
 const PROVER_ROLE: &str = "keys";
@@ -46,7 +46,7 @@
             continue;
         }
         wait_for_store(&core).await;
-        // The scout topic's own call may have brought a proof.
+        // The listing or watch of the recovery probe may have brought a proof.
         if !is_due(&core) {
             continue;
         }
@@ -80,11 +80,11 @@
     };
     let above = nodes_ranked_above(core, PROVER_ROLE) as f64;
     let others = core.members.borrow().names_in(&core.settings.region).len();
-    let part = (FIRST_AGE_PART + AGE_PART_PER_RANK * above).min(MAX_AGE_PART);
+    let fraction = (FIRST_AGE_FRACTION + AGE_FRACTION_PER_RANK * above).min(MAX_AGE_FRACTION);
     // If all nodes of the first ranks are cut off, the others do not send their requests at the
     // same time.
     let spread = MAX_AGE_SPREAD * above / others.max(1) as f64;
-    age >= bound.mul_f64(part + spread)
+    age >= bound.mul_f64(fraction + spread)
 }
 
 /// Reads changes of the operators' keys from the store.
@@ -106,7 +106,7 @@
             core.operator_revision.set(None);
             return Ok(());
         }
-        answer => answer?,
+        result => result?,
     };
     core.metrics.note_store("prove", "done");
     let now = Instant::now();
@@ -132,9 +132,11 @@
 
 /// Merges a proof from another node.
 ///
-/// `asked` is a time before the other node sent the proof; the age in the proof counts back from
-/// that time.
-pub(crate) fn apply_proof(core: &EntryCore, proof: FreshnessProof, asked: Duration) {
+/// `sent_after` is a time before the other node sent the proof; the age in the proof counts back
+/// from that time.
+pub(crate) fn apply_proof(core: &EntryCore, proof: FreshnessProof, sent_after: Duration) {
     let version = core.version();
-    core.key_freshness.borrow_mut().merge(proof, asked, version);
+    core.key_freshness
+        .borrow_mut()
+        .merge(proof, sent_after, version);
 }
--- a/crates/zinniahatch_entry/src/core.rs
+++ b/crates/zinniahatch_entry/src/core.rs
@@ -284,8 +284,8 @@
     /// a newer version.
     ///
     /// Guards against a store that is restored from an older backup and still contains a revoked
-    /// key. A node that starts at that moment reads the key and would accept it until it hears from
-    /// the other nodes, a tenth of a second later.
+    /// key. A node that starts at that moment reads the key and would accept it until it receives
+    /// the heartbeats of the other nodes, a tenth of a second later.
     pub(crate) fn may_be_stale(&self) -> bool {
         let alone = self.members_read.get() && self.heartbeat_targets.borrow().is_empty();
         if self.started.elapsed() >= DISCOVERY_TIME || alone {
--- a/crates/zinniahatch_entry/src/counts/counting.rs
+++ b/crates/zinniahatch_entry/src/counts/counting.rs
@@ -67,14 +67,14 @@
 /// A forwarded request is recorded only by the node that answered the caller.
 pub(crate) fn record_request(
     core: &EntryCore,
-    call: &ReceivedRequest,
+    request: &ReceivedRequest,
     plan: &RequestPlan,
     served: &RegionId,
     code: ResultCode,
     first: Option<Duration>,
 ) {
     const MINUTES: u64 = 60;
-    if !call.is_direct() {
+    if !request.is_direct() {
         return;
     }
     let key = CountKey {
@@ -90,9 +90,9 @@
     let answered = code == ResultCode::Answered;
     let mut row = CountRow {
         requests: 1,
-        tokens_in: u64::from(call.size.tokens_in),
+        tokens_in: u64::from(request.size.tokens_in),
         tokens_out: if answered {
-            u64::from(call.size.tokens_out)
+            u64::from(request.size.tokens_out)
         } else {
             0
         },
@@ -101,7 +101,7 @@
     if let Some(first) = first {
         row.first_byte.record(first);
     }
-    row.whole.record(call.arrived.elapsed());
+    row.whole.record(request.arrived.elapsed());
     core.counts.book.borrow_mut().add(key, &row);
 }
 
@@ -162,12 +162,12 @@
             return;
         };
         let permit = core.members.borrow().permit(&node);
-        let Some(answer) = post_to_merger(core, permit, &body).await else {
+        let Some(response) = post_to_merger(core, permit, &body).await else {
             core.log
                 .write("counts-not-taken", serde_json::json!({"merger": node}));
             return;
         };
-        postcard::from_bytes(&answer).unwrap_or_default()
+        postcard::from_bytes(&response).unwrap_or_default()
     };
     let mut book = core.counts.book.borrow_mut();
     book.merged(SHARD, &merged, Instant::now());
@@ -212,8 +212,8 @@
         .unwrap_or_default()
 }
 
-/// Records that a node died, so that reports show the minutes after its last counts as a gap.
-pub(crate) fn note_death(core: &EntryCore, node: &NodeId, incarnation: Incarnation) {
+/// Records that a node failed, so that reports show the minutes after its last counts as a gap.
+pub(crate) fn record_node_failure(core: &EntryCore, node: &NodeId, incarnation: Incarnation) {
     if merger(core) != core.settings.name {
         return;
     }
--- a/crates/zinniahatch_entry/src/lib.rs
+++ b/crates/zinniahatch_entry/src/lib.rs
@@ -1,6 +1,6 @@
 //! The entry VM: the process between callers and backend servers.
 //!
-//! `request` serves callers from the state in `core`, which `nodes`, `store`, `replicas` and `who`
+//! `request` serves callers from the state in `core`, which `nodes`, `store`, `replicas` and `auth`
 //! keep up to date.
 
 mod auth;
--- a/crates/zinniahatch_entry/src/listeners.rs
+++ b/crates/zinniahatch_entry/src/listeners.rs
@@ -196,14 +196,14 @@
     let region = query.region.as_deref().unwrap_or(own);
     let members = core.members.borrow();
     // A fresh node that knows no others would name itself although nodes of the other region are
-    // alive. With an empty response, callers ask the next directory.
-    let unacquainted = now.saturating_duration_since(core.started) < DISCOVERY_TIME;
-    if **own != *region && unacquainted && members.known().next().is_none() {
+    // alive. With an empty response, callers query the next directory.
+    let discovering = now.saturating_duration_since(core.started) < DISCOVERY_TIME;
+    if **own != *region && discovering && members.known().next().is_none() {
         return Vec::new();
     }
     let known = core.desired.borrow().is_some();
     let host = query.host.as_deref().unwrap_or_default();
-    let ask = DirectoryQuery {
+    let directory_query = DirectoryQuery {
         region,
         homes: known.then(|| core.routes.borrow().homes_of(host)),
         max_proof_age: core.key_bound(),
@@ -212,15 +212,15 @@
         own_front: core.settings.listen.front,
         own_stage: core.stage(),
     };
-    let named = select_nodes(&members, &ask, now);
-    if let DirectoryAnswer::Remote(addresses) = &named {
+    let answer = select_nodes(&members, &directory_query, now);
+    if let DirectoryAnswer::Remote(addresses) = &answer {
         core.log.write(
             "directory-elsewhere",
-            serde_json::json!({"region": region, "homes": ask.homes, "addresses": addresses,
+            serde_json::json!({"region": region, "homes": directory_query.homes, "addresses": addresses,
                 "members": members.known().count()}),
         );
     }
-    let mut found = named.addresses();
+    let mut found = answer.addresses();
     found.sort_unstable();
     found.dedup();
     found.shuffle(&mut rand::rng());
--- a/crates/zinniahatch_entry/src/metrics.rs
+++ b/crates/zinniahatch_entry/src/metrics.rs
@@ -19,7 +19,7 @@
 #[derive(Debug)]
 pub(crate) struct EntryMetrics {
     registry: Registry,
-    answers: IntCounterVec,
+    responses: IntCounterVec,
     retries: IntCounterVec,
     remote_sends: IntCounterVec,
     store_calls: IntCounterVec,
@@ -35,7 +35,7 @@
     over_allowance: IntCounter,
     proof_age: IntGauge,
     store_restores: IntCounter,
-    channels: IntGauge,
+    connections: IntGauge,
     dropped_sheets: IntGauge,
 }
 
@@ -57,7 +57,7 @@
             registry.register(Box::new(gauge.clone()))?;
             Ok::<_, prometheus::Error>(gauge)
         };
-        let answers = counter(
+        let responses = counter(
             "zinniahatch_answers_total",
             "Answers to callers and other nodes, by service and result.",
             &["service", "result"],
@@ -119,7 +119,7 @@
             "Times that the platform's store came back from an older copy.",
         )?;
         registry.register(Box::new(store_restores.clone()))?;
-        let channels = gauge(
+        let connections = gauge(
             "zinniahatch_backend_channels",
             "Open channels to backend servers and other nodes.",
         )?;
@@ -131,7 +131,7 @@
             limits: LimitMetrics::new(&registry)?,
             notices: NoticeMetrics::new(&registry)?,
             registry,
-            answers,
+            responses,
             retries,
             remote_sends,
             store_calls,
@@ -143,14 +143,14 @@
             over_allowance,
             proof_age,
             store_restores,
-            channels,
+            connections,
             dropped_sheets,
         })
     }
 
-    /// Counts an answer.
-    pub(crate) fn note_answer(&self, service: &str, result: &str) {
-        self.answers.with_label_values(&[service, result]).inc();
+    /// Counts a response to a caller or another node.
+    pub(crate) fn note_response(&self, service: &str, result: &str) {
+        self.responses.with_label_values(&[service, result]).inc();
     }
 
     /// Counts a request that is sent again.
@@ -185,7 +185,7 @@
         self.quarantined.set(count as i64);
     }
 
-    /// Records the time to the first event of an answer.
+    /// Records the time to the first event of a response.
     pub(crate) fn note_first_event(&self, service: &str, took: Duration) {
         self.first_event
             .with_label_values(&[service])
@@ -219,8 +219,8 @@
     }
 
     /// Encodes all metrics in the text format.
-    pub(crate) fn text(&self, channels: usize) -> String {
-        self.channels.set(channels as i64);
+    pub(crate) fn text(&self, open_connections: usize) -> String {
+        self.connections.set(open_connections as i64);
         TextEncoder::new()
             .encode_to_string(&self.registry.gather())
             .unwrap_or_default()
--- a/crates/zinniahatch_entry/src/nodes/gossip.rs
+++ b/crates/zinniahatch_entry/src/nodes/gossip.rs
@@ -3,7 +3,7 @@
 use crate::auth::proofs::apply_proof;
 use crate::core::DISCOVERY_TIME;
 use crate::core::EntryCore;
-use crate::counts::counting::note_death;
+use crate::counts::counting::record_node_failure;
 use crate::nodes::broadcast::broadcast_replica_updates;
 use crate::nodes::broadcast::broadcast_suspects;
 use crate::nodes::broadcast::send_known_notices;
@@ -124,10 +124,10 @@
         heartbeat.member.proof = core.key_freshness.borrow().to_share(sent);
         let message = GossipMessage::Heartbeat(heartbeat);
         let bytes = postcard::to_allocvec(&message);
-        let GossipMessage::Heartbeat(back) = message else {
+        let GossipMessage::Heartbeat(sent_heartbeat) = message else {
             return;
         };
-        heartbeat = back;
+        heartbeat = sent_heartbeat;
         let Ok(bytes) = bytes else {
             return;
         };
@@ -156,7 +156,7 @@
 }
 
 /// Returns the addresses that receive a heartbeat now, and whether each is asked to reply with its
-/// own: the contacts of this node, and the nodes that have it as a contact.
+/// own: the heartbeat targets of this node, and the nodes that have it as a target.
 fn heartbeat_receivers(core: &EntryCore, now: Instant) -> BTreeMap<SocketAddrV4, bool> {
     let members = core.members.borrow();
     let mut found: BTreeMap<SocketAddrV4, bool> = members
@@ -242,44 +242,44 @@
     let now = Instant::now();
     echoes.insert(node.clone(), (heartbeat.stamp, now));
     {
-        let mut contacts = core.heartbeat_targets.borrow_mut();
-        contacts.note_heard(heartbeat.member.peer, &heartbeat.member.region, now);
+        let mut targets = core.heartbeat_targets.borrow_mut();
+        targets.note_received(heartbeat.member.peer, &heartbeat.member.region, now);
         for (address, region) in &heartbeat.peers {
-            contacts.add(*address, Some(region));
+            targets.add(*address, Some(region));
         }
     }
     let (region, stage) = (heartbeat.member.region.clone(), heartbeat.member.stage);
     let proof = heartbeat.member.proof;
     if region == core.settings.region {
         let mut quotas = core.quotas.borrow_mut();
-        quotas.note_heard(tag_of(&region), now);
+        quotas.note_contact(tag_of(&region), now);
     }
     let wants_reply = heartbeat.wants_reply;
-    let (fresh, replaced) = core
+    let (is_new, replaced) = core
         .members
         .borrow_mut()
         .update(heartbeat.member, wants_reply, now);
     if let Some(incarnation) = replaced
         && region == core.settings.region
     {
-        note_death(core, &node, incarnation);
+        record_node_failure(core, &node, incarnation);
     }
     // The sender may have been discovered while it was starting; a later heartbeat reports it as
     // ready.
     core.state_learned.notify_waiters();
-    if fresh {
+    if is_new {
         core.log.write(
             "member",
             serde_json::json!({"member": node, "region": region, "stage": stage}),
         );
     }
-    if let Some((stamp, held)) = heartbeat.echo {
+    if let Some((stamp, hold_time)) = heartbeat.echo {
         handle_echo(
             core,
             &node,
             &region,
             stamp,
-            Duration::from_micros(held),
+            Duration::from_micros(hold_time),
             proof,
         );
     }
@@ -291,22 +291,22 @@
     node: &NodeId,
     region: &RegionId,
     stamp: u64,
-    held: Duration,
+    hold_time: Duration,
     proof: Option<FreshnessProof>,
 ) {
     let now = core.clock.now();
-    // A node that has not heard from this process yet may echo a timestamp of an earlier process.
-    let Some(asked) = core.clock.sent_at(stamp, now) else {
+    // A node that has no heartbeat of this process yet may echo a timestamp of an earlier process.
+    let Some(stamped) = core.clock.sent_at(stamp, now) else {
         return;
     };
     // The heartbeat that carries the echo was sent no earlier than this.
-    let answered = asked + held;
-    let round_trip = now.saturating_sub(answered);
+    let replied = stamped + hold_time;
+    let round_trip = now.saturating_sub(replied);
     core.members.borrow_mut().note_round_trip(node, round_trip);
     if let Some(proof) = proof {
-        apply_proof(core, proof, answered);
+        apply_proof(core, proof, replied);
     }
-    let sent = Instant::now().checked_sub(now.saturating_sub(asked));
+    let sent = Instant::now().checked_sub(now.saturating_sub(stamped));
     if let Some(sent) = sent {
         core.region_paths.borrow_mut().note_delivered(region, sent);
     }
--- a/crates/zinniahatch_entry/src/nodes/own_info.rs
+++ b/crates/zinniahatch_entry/src/nodes/own_info.rs
@@ -14,8 +14,8 @@
 
 /// Returns whether this node is an active store reader for its region.
 fn is_store_reader(core: &EntryCore, now: Instant) -> bool {
-    let served = !core.replicas.borrow().store_failed_recently(now);
-    served && core.is_initialized() && holds_role(core, STORE_READER_ROLE, STORE_READERS)
+    let store_ok = !core.replicas.borrow().store_failed_recently(now);
+    store_ok && core.is_initialized() && holds_role(core, STORE_READER_ROLE, STORE_READERS)
 }
 
 fn store_digest(core: &EntryCore) -> StoreDigest {
@@ -33,17 +33,17 @@
     topic: WatchTopic,
     now: Instant,
 ) -> CoverageState {
-    let Some(part) = topic.digest() else {
+    let Some(digest_part) = topic.digest() else {
         return CoverageState::NoReaders;
     };
-    let own = part(&store_digest(core));
+    let own = digest_part(&store_digest(core));
     let members = core.members.borrow();
     let reader_digests = members.live_in(&core.settings.region, now);
     let reader_digests = reader_digests
         .into_iter()
-        .filter_map(|member| member.store_digest.as_ref().map(part));
-    let mut covers = core.topic_coverage.borrow_mut();
-    covers
+        .filter_map(|member| member.store_digest.as_ref().map(digest_part));
+    let mut coverage = core.topic_coverage.borrow_mut();
+    coverage
         .entry(topic)
         .or_default()
         .check(own, reader_digests, now)
@@ -52,16 +52,14 @@
 /// Returns the state that this node reports in its heartbeats.
 pub(crate) fn own_member_info(core: &EntryCore, now: Instant) -> MemberInfo {
     let replicas = core.replicas.borrow();
-    let names: BTreeSet<&ServiceId> = replicas
-        .rows()
-        .map(|replica_state| &replica_state.entry.service)
-        .collect();
+    let names: BTreeSet<&ServiceId> = replicas.rows().map(|state| &state.entry.service).collect();
     let region = &core.settings.region;
     let services = names
         .into_iter()
         .map(|name| {
-            let digest = ServiceCapacity::of(&replicas, &core.settings.regions, name, region, now);
-            (tag_of(name), digest)
+            let capacity =
+                ServiceCapacity::of(&replicas, &core.settings.regions, name, region, now);
+            (tag_of(name), capacity)
         })
         .collect();
     MemberInfo {
--- a/crates/zinniahatch_entry/src/nodes/roles.rs
+++ b/crates/zinniahatch_entry/src/nodes/roles.rs
@@ -27,8 +27,8 @@
     let own = rendezvous_rank(role, &core.settings.name);
     let members = core.members.borrow();
     let live = members.live_in(&core.settings.region, Instant::now());
-    let above = live.iter();
-    above
+    let others = live.iter();
+    others
         .filter(|member| rendezvous_rank(role, &member.node) > own)
         .count()
 }
--- a/crates/zinniahatch_entry/src/nodes/snapshot.rs
+++ b/crates/zinniahatch_entry/src/nodes/snapshot.rs
@@ -39,9 +39,9 @@
 pub(crate) fn encode_snapshot(core: &EntryCore) -> Vec<u8> {
     let desired = core.desired.borrow().as_deref().cloned();
     let replicas = core.replicas.borrow();
-    let entries = replicas.rows().map(|replica_state| {
-        let mut entry = replica_state.entry.clone();
-        entry.leaving |= replica_state.leaving.is_some();
+    let entries = replicas.rows().map(|state| {
+        let mut entry = state.entry.clone();
+        entry.leaving |= state.leaving.is_some();
         entry
     });
     let snapshot = NodeSnapshot {
@@ -77,16 +77,16 @@
     }
     core.apply_preset(snapshot.preset, "peer");
     let mut replicas = core.replicas.borrow_mut();
-    let first = !core.has_listed_replicas();
+    let first_listing = !core.has_listed_replicas();
     replicas.merge_peer_snapshot(snapshot.replicas, &snapshot.gone, now);
-    if first {
+    if first_listing {
         // Evacuations that this node learned from the store or its region take precedence over
         // those of a peer.
         replicas.set_evacuated(&snapshot.evacuated, StoreRevision::default(), now);
     }
-    let any = replicas.rows().next().is_some();
+    let has_replicas = replicas.rows().next().is_some();
     drop(replicas);
-    if any {
+    if has_replicas {
         core.mark_replicas_listed();
     }
     true
@@ -97,7 +97,7 @@
     postcard::from_bytes(&body).ok()
 }
 
-/// Posts a body to a peer and returns the body of the answer, or `None` on failure.
+/// Posts a body to a peer and returns the body of the response, or `None` on failure.
 pub(crate) async fn post_to_peer(
     core: &Rc<EntryCore>,
     peer: NodePermit,
@@ -116,7 +116,7 @@
     body: &[u8],
 ) -> Option<Vec<u8>> {
     let address = peer.address();
-    let mut channel = core
+    let mut connection = core
         .pool
         .acquire(address, usize::MAX, Instant::now())
         .await
@@ -124,16 +124,16 @@
     let length = body.len();
     let head =
         format!("{method} {path} HTTP/1.1\r\nhost: {address}\r\ncontent-length: {length}\r\n\r\n");
-    let mut answer = Vec::new();
+    let mut response_body = Vec::new();
     let read = async {
-        channel.send(peer, head.as_bytes(), body).await.ok()?;
-        let head = channel.read_head(&Method::GET, EXCHANGE_ID).await.ok()?;
-        while let Some(chunk) = channel.read_body().await.ok()? {
-            answer.extend_from_slice(&chunk);
+        connection.send(peer, head.as_bytes(), body).await.ok()?;
+        let head = connection.read_head(&Method::GET, EXCHANGE_ID).await.ok()?;
+        while let Some(chunk) = connection.read_body().await.ok()? {
+            response_body.extend_from_slice(&chunk);
         }
         Some(head.status)
     };
     let status = read.await;
-    core.pool.release(address, channel, Instant::now());
-    (status? == StatusCode::OK).then_some(answer)
+    core.pool.release(address, connection, Instant::now());
+    (status? == StatusCode::OK).then_some(response_body)
 }
--- a/crates/zinniahatch_entry/src/nodes/work_reporter.rs
+++ b/crates/zinniahatch_entry/src/nodes/work_reporter.rs
@@ -207,8 +207,8 @@
         let now = Instant::now();
         {
             let members = core.members.borrow();
-            let neighbours = members.live_in(&core.settings.region, now).len();
-            core.quotas.borrow_mut().set_region_peers(neighbours);
+            let peers = members.live_in(&core.settings.region, now).len();
+            core.quotas.borrow_mut().set_region_peers(peers);
         }
         if core.quotas.borrow().is_empty() {
             return;
@@ -281,7 +281,7 @@
         if quotas.is_empty() {
             return;
         }
-        quotas.note_heard(tag_of(&core.settings.region), now);
+        quotas.note_contact(tag_of(&core.settings.region), now);
         let mut changed = Vec::new();
         for usage in &report.usage {
             changed.push(quotas.apply_update(usage, now));
--- a/crates/zinniahatch_entry/src/replicas/crash_detection.rs
+++ b/crates/zinniahatch_entry/src/replicas/crash_detection.rs
@@ -1,6 +1,6 @@
-//! Check whether a replica has crashed after a channel to it broke off.
+//! Check whether a replica has crashed after a connection to it broke.
 //!
-//! Channels break for many reasons: a replica that fails some requests resets them, links lose
+//! Connections break for many reasons: a replica that fails some requests resets them, links lose
 //! packets, and leaving replicas close idle connections. Only a refused connection, from a machine
 //! that runs but has no listener, counts as a crash. A loss of power is not detected here, since no
 //! machine is left to refuse the connection.
@@ -23,27 +23,27 @@
 /// requests beside it were quarantined.
 const WATCH_PERIOD: Duration = Duration::from_millis(20);
 
-/// Handles a channel that broke off during a request; the request becomes suspect if its replica
+/// Handles a connection that broke during a request; the request becomes suspect if its replica
 /// crashed.
-pub(crate) async fn handle_channel_break(
+pub(crate) async fn handle_connection_break(
     core: &Rc<EntryCore>,
-    call: &ReceivedRequest,
-    open: &InFlightRequest,
+    request: &ReceivedRequest,
+    in_flight: &InFlightRequest,
     reason: &str,
 ) {
-    let Some(replica) = open.replica() else {
+    let Some(replica) = in_flight.replica() else {
         return;
     };
-    let ran = open.time_in_flight();
-    open.log_break(call, reason);
+    let ran = in_flight.time_in_flight();
+    in_flight.log_break(request, reason);
     let target = {
         let replicas = core.replicas.borrow();
         // A replica that announced that it is leaving may end during its requests, and none of them
         // is the cause.
-        let replica_state = replicas
+        let state = replicas
             .get(replica)
-            .filter(|replica_state| replica_state.leaving.is_none());
-        replica_state.map(|replica_state| (replica_state.tag, replica_state.entry.address))
+            .filter(|state| state.leaving.is_none());
+        state.map(|state| (state.tag, state.entry.address))
     };
     let Some((tag, address)) = target else {
         return;
@@ -53,8 +53,8 @@
     if !refused {
         return;
     }
-    open.update_replica(|replica_state| replica_state.health.note_unreachable(Instant::now()));
-    note_crash(core, call, replica, tag, ran);
+    in_flight.update_replica(|state| state.health.note_unreachable(Instant::now()));
+    note_crash(core, request, replica, tag, ran);
 }
 
 /// Returns whether an address has no listener, connecting a second time if the first connection
@@ -62,7 +62,7 @@
 async fn has_no_listener(address: SocketAddrV4) -> bool {
     match BackendConnection::connect(address, CONNECT_TIMEOUT).await {
         Err(error) => error == ConnectionError::Refused,
-        Ok(channel) if !channel.closes_within(WATCH_PERIOD).await => false,
+        Ok(connection) if !connection.closes_within(WATCH_PERIOD).await => false,
         Ok(_) => {
             let again = BackendConnection::connect(address, CONNECT_TIMEOUT).await;
             again.is_err_and(|error| error == ConnectionError::Refused)
--- a/crates/zinniahatch_entry/src/replicas/notice.rs
+++ b/crates/zinniahatch_entry/src/replicas/notice.rs
@@ -19,16 +19,16 @@
 /// Applies the notice in the response to a request.
 pub(crate) fn apply_response_notice(
     core: &EntryCore,
-    call: &ReceivedRequest,
-    open: &InFlightRequest,
+    request: &ReceivedRequest,
+    in_flight: &InFlightRequest,
     head: &ResponseHead,
 ) {
     let parsed = &head.parsed_headers;
-    note_unknown_headers(core, open.replica(), &head.headers);
+    note_unknown_headers(core, in_flight.replica(), &head.headers);
     let sender = if head.status == StatusCode::MISDIRECTED_REQUEST {
-        misdirected_responder(core, open, parsed).map(|tag| (tag, ResponseAuth::Identified))
+        misdirected_responder(core, in_flight, parsed).map(|tag| (tag, ResponseAuth::Identified))
     } else {
-        responder(call, open, parsed)
+        responder(request, in_flight, parsed)
     };
     let Some((replica, auth)) = sender else {
         core.metrics.notices.note("unknown_replica");
@@ -39,10 +39,10 @@
         notice: &parsed.notice,
         auth,
         taken: !parsed.not_run && head.status != StatusCode::MISDIRECTED_REQUEST,
-        sent: open.sent_at(),
+        sent: in_flight.sent_at(),
         draw: rand::random(),
     };
-    apply_notice(core, &received, "answer", Some(&call.attempt));
+    apply_notice(core, &received, "answer", Some(&request.attempt));
 }
 
 /// Applies the notice in the response to a probe, which any process at the address may have
@@ -55,8 +55,8 @@
 ) {
     let parsed = &head.parsed_headers;
     note_unknown_headers(core, Some(&incarnation.id), &head.headers);
-    let named = parsed.replica.as_ref() == Some(&incarnation.id);
-    let auth = if named {
+    let names_itself = parsed.replica.as_ref() == Some(&incarnation.id);
+    let auth = if names_itself {
         ResponseAuth::Identified
     } else {
         ResponseAuth::Unverified
@@ -75,15 +75,15 @@
 /// Returns the replica incarnation that the request was sent to, and the evidence that it answered.
 /// No other incarnation accepts a request that names this one.
 fn responder(
-    call: &ReceivedRequest,
-    open: &InFlightRequest,
+    request: &ReceivedRequest,
+    in_flight: &InFlightRequest,
     parsed: &ResponseHeaders,
 ) -> Option<(ShortTag, ResponseAuth)> {
     let mut tag = None;
-    open.update_replica(|replica_state| tag = Some(replica_state.tag));
-    let named = parsed.replica.is_some() && parsed.replica.as_ref() == open.replica();
-    let echoed = parsed.attempt.as_deref() == Some(&*call.attempt);
-    let auth = match (parsed.sealed, named || echoed) {
+    in_flight.update_replica(|state| tag = Some(state.tag));
+    let names_itself = parsed.replica.is_some() && parsed.replica.as_ref() == in_flight.replica();
+    let echoed = parsed.attempt.as_deref() == Some(&*request.attempt);
+    let auth = match (parsed.sealed, names_itself || echoed) {
         (true, _) => ResponseAuth::Authenticated,
         (false, true) => ResponseAuth::Identified,
         (false, false) => ResponseAuth::Unverified,
@@ -95,19 +95,19 @@
 /// for.
 fn misdirected_responder(
     core: &EntryCore,
-    open: &InFlightRequest,
+    in_flight: &InFlightRequest,
     parsed: &ResponseHeaders,
 ) -> Option<ShortTag> {
     let replicas = core.replicas.borrow();
-    let replica_state = replicas.get(parsed.replica.as_deref()?)?;
-    (replica_state.entry.address == open.address()).then_some(replica_state.tag)
+    let state = replicas.get(parsed.replica.as_deref()?)?;
+    (state.entry.address == in_flight.address()).then_some(state.tag)
 }
 
 fn apply_notice(
     core: &EntryCore,
     received: &ReceivedNotice<'_>,
     source: &'static str,
-    request: Option<&RequestId>,
+    request_id: Option<&RequestId>,
 ) {
     let (effect, incarnation) = {
         let mut replicas = core.replicas.borrow_mut();
@@ -116,11 +116,8 @@
             return;
         }
         let id = replicas.id_of(received.replica);
-        let replica_state = id.and_then(|id| replicas.get(id));
-        (
-            effect,
-            replica_state.map(|replica_state| replica_state.entry.incarnation()),
-        )
+        let state = id.and_then(|id| replicas.get(id));
+        (effect, state.map(|state| state.entry.incarnation()))
     };
     let replica = incarnation.as_ref().map(|incarnation| &incarnation.id);
     if let Some(change) = &effect.limit {
@@ -131,20 +128,20 @@
         core.metrics.notices.note("rejected");
         core.log.write(
             "value-rejected",
-            serde_json::json!({"request": request, "replica": replica, "value": value}),
+            serde_json::json!({"request": request_id, "replica": replica, "value": value}),
         );
     }
-    for value in &effect.unproven {
+    for value in &effect.unverified {
         core.metrics.notices.note("unproven");
         core.log.write(
             "notice-unproven",
-            serde_json::json!({"request": request, "replica": replica, "value": value,
+            serde_json::json!({"request": request_id, "replica": replica, "value": value,
                 "source": source}),
         );
     }
-    log_backoff(core, replica, &effect, source, request);
+    log_backoff(core, replica, &effect, source, request_id);
     if effect.leaving {
-        log_leaving(core, replica, source, request);
+        log_leaving(core, replica, source, request_id);
         if let Some(incarnation) = incarnation {
             core.replica_updates.borrow_mut().leaving.push(incarnation);
             core.work_changed.notify_one();
@@ -175,7 +172,7 @@
     replica: Option<&ReplicaId>,
     effect: &NoticeEffect,
     source: &'static str,
-    request: Option<&RequestId>,
+    request_id: Option<&RequestId>,
 ) {
     let (event, time) = match effect.backoff {
         Some(BackoffChange::Began(time)) => ("rest_began", Some(time)),
@@ -192,7 +189,7 @@
     core.log.write(
         "replica-rest",
         serde_json::json!({"replica": replica, "event": event, "rest_ms": backoff_ms,
-            "source": source, "request": request}),
+            "source": source, "request": request_id}),
     );
 }
 
@@ -200,11 +197,11 @@
     core: &EntryCore,
     replica: Option<&ReplicaId>,
     source: &'static str,
-    request: Option<&RequestId>,
+    request_id: Option<&RequestId>,
 ) {
     core.metrics.notices.note("leaving");
     core.log.write(
         "replica-leaving",
-        serde_json::json!({"replica": replica, "source": source, "request": request}),
+        serde_json::json!({"replica": replica, "source": source, "request": request_id}),
     );
 }
--- a/crates/zinniahatch_entry/src/replicas/probe.rs
+++ b/crates/zinniahatch_entry/src/replicas/probe.rs
@@ -84,14 +84,14 @@
     path: &str,
 ) -> Option<ResponseHead> {
     let address = reservation.address();
-    let mut channel = BackendConnection::connect(address, PROBE_TIMEOUT)
+    let mut connection = BackendConnection::connect(address, PROBE_TIMEOUT)
         .await
         .ok()?;
     let head = format!("GET {path} HTTP/1.1\r\nhost: {address}\r\nconnection: close\r\n\r\n");
     let permit = permit_send(core, reservation).ok()?;
-    channel.send(permit, head.as_bytes(), &[]).await.ok()?;
+    connection.send(permit, head.as_bytes(), &[]).await.ok()?;
     // Any response shows that the replica is alive. The health status that it reports may be wrong
     // either way, so whether it serves is judged by its answers to requests.
-    let head = channel.read_head(&Method::GET, "").await.ok()?;
+    let head = connection.read_head(&Method::GET, "").await.ok()?;
     Some(head)
 }
--- a/crates/zinniahatch_entry/src/replicas/quarantine.rs
+++ b/crates/zinniahatch_entry/src/replicas/quarantine.rs
@@ -33,7 +33,7 @@
 /// Records that a replica crashed during a request of this node.
 pub(crate) fn note_crash(
     core: &EntryCore,
-    call: &ReceivedRequest,
+    request: &ReceivedRequest,
     replica: &ReplicaId,
     tag: ShortTag,
     ran: Duration,
@@ -42,12 +42,12 @@
     let counted = core
         .suspects
         .borrow_mut()
-        .note_crash(call.content, tag, ran, now);
+        .note_crash(request.content, tag, ran, now);
     core.metrics
         .note_suspect(if counted { "noted" } else { "uncounted" });
     core.log.write(
         "suspect",
-        serde_json::json!({"content": content_text(call.content), "request": call.attempt,
+        serde_json::json!({"content": content_text(request.content), "request": request.attempt,
             "replica": replica, "ran_ms": ran.as_millis() as u64, "counts": counted}),
     );
     if counted {
@@ -56,17 +56,20 @@
     }
 }
 
-/// Records a complete answer of a replica, which shows that the request does not crash replicas.
-pub(crate) fn note_complete_answer(core: &EntryCore, call: &ReceivedRequest) {
+/// Records a complete response of a replica, which shows that the request does not crash replicas.
+pub(crate) fn note_complete_response(core: &EntryCore, request: &ReceivedRequest) {
     let now = Instant::now();
-    let cleared = core.suspects.borrow_mut().note_answered(call.content, now);
+    let cleared = core
+        .suspects
+        .borrow_mut()
+        .note_complete_response(request.content, now);
     if !cleared {
         return;
     }
     core.metrics.note_suspect("cleared");
     core.log.write(
         "suspect-cleared",
-        serde_json::json!({"content": content_text(call.content), "request": call.attempt}),
+        serde_json::json!({"content": content_text(request.content), "request": request.attempt}),
     );
     publish_quarantine_changes(core, now);
     core.work_changed.notify_one();
@@ -95,7 +98,7 @@
         core.log.write(
             "suspect-heard",
             serde_json::json!({"content": content_text(update.content), "ends": update.crashes.len(),
-                "age_ms": update.crashes.iter().map(|end| end.age_ms).min(), "cleared_ms": update.cleared,
+                "age_ms": update.crashes.iter().map(|crash| crash.age_ms).min(), "cleared_ms": update.cleared,
                 "source": source.as_str(), "outcome": outcome})
         );
     }
@@ -136,18 +139,18 @@
 }
 
 /// Returns how much longer a request is quarantined, or `None` if it may run.
-pub(crate) fn quarantine_left(core: &EntryCore, call: &ReceivedRequest) -> Option<Duration> {
+pub(crate) fn quarantine_left(core: &EntryCore, request: &ReceivedRequest) -> Option<Duration> {
     let suspects = core.suspects.borrow();
-    suspects.quarantine_left(call.content, Instant::now())
+    suspects.quarantine_left(request.content, Instant::now())
 }
 
 /// Waits until it can be decided whether a request is quarantined.
-pub(crate) async fn await_quarantine_decision(core: &EntryCore, call: &ReceivedRequest) {
+pub(crate) async fn await_quarantine_decision(core: &EntryCore, request: &ReceivedRequest) {
     loop {
         let due = core
             .suspects
             .borrow()
-            .decision_delay(call.content, Instant::now());
+            .decision_delay(request.content, Instant::now());
         let Some(due) = due else {
             return;
         };
@@ -156,9 +159,9 @@
 }
 
 /// Waits until a request is quarantined.
-pub(crate) async fn await_quarantine(core: &EntryCore, call: &ReceivedRequest) {
+pub(crate) async fn await_quarantine(core: &EntryCore, request: &ReceivedRequest) {
     let mut changes = core.quarantine_changed.subscribe();
-    while quarantine_left(core, call).is_none() {
+    while quarantine_left(core, request).is_none() {
         // The sender lives as long as the process.
         let _ = changes.changed().await;
     }
--- a/crates/zinniahatch_entry/src/replicas/rate_limit.rs
+++ b/crates/zinniahatch_entry/src/replicas/rate_limit.rs
@@ -31,8 +31,8 @@
     let region = &core.settings.region;
     let others = core.members.borrow().names_in(region);
     let others = others.iter().map(|name| tag_of(name)).collect();
-    let acquainted = core.started.elapsed() >= DISCOVERY_TIME;
-    let own = acquainted.then(|| tag_of(&core.settings.name));
+    let discovered = core.started.elapsed() >= DISCOVERY_TIME;
+    let own = discovered.then(|| tag_of(&core.settings.name));
     let mut replicas = core.replicas.borrow_mut();
     replicas.limits.set_sharers(own, others, now);
     let limited = replicas.limits.active_limits().count();
--- a/crates/zinniahatch_entry/src/replicas/send_admission.rs
+++ b/crates/zinniahatch_entry/src/replicas/send_admission.rs
@@ -39,10 +39,8 @@
 fn cold_share(core: &EntryCore, replica: &str, now: Instant) -> usize {
     let service = {
         let replicas = core.replicas.borrow();
-        let replica_state = replicas
-            .get(replica)
-            .filter(|replica_state| replica_state.is_cold(now));
-        replica_state.map(|replica_state| replica_state.entry.service.clone())
+        let state = replicas.get(replica).filter(|state| state.is_cold(now));
+        state.map(|state| state.entry.service.clone())
     };
     let Some(service) = service else {
         return 0;
--- a/crates/zinniahatch_entry/src/request/in_flight.rs
+++ b/crates/zinniahatch_entry/src/request/in_flight.rs
@@ -23,10 +23,10 @@
     pub(crate) ticket: u64,
     /// Requests and prompt tokens that the request adds to the replica.
     pub(crate) work: InFlightWork,
-    /// Prompt tokens that the replica reads before those of this request.
-    pub(crate) ahead: u32,
+    /// Prompt tokens that the replica prefills before those of this request.
+    pub(crate) tokens_ahead: u32,
     /// Expected wait for a free slot.
-    pub(crate) queue: Duration,
+    pub(crate) queue_time: Duration,
     pub(crate) urgent: bool,
     pub(crate) cold: bool,
     /// Whether the first bytes of the response have arrived.
@@ -107,12 +107,12 @@
         let now = Instant::now();
         let previous = self.last_bytes_at.replace(now);
         let mut replicas = self.core.replicas.borrow_mut();
-        // Only engines have prompt tokens, and only their pauses tell something about the batch.
-        let pause = previous
+        // Only engines have prompt tokens, and only their gaps between events depend on the batch.
+        let gap = previous
             .filter(|_| assigned.work.tokens > 0)
             .map(|previous| now.saturating_duration_since(previous));
-        let lives = replicas.note_bytes(&assigned.replica, assigned.ticket, pause, now);
-        if !lives || assigned.response_began {
+        let is_current = replicas.note_bytes(&assigned.replica, assigned.ticket, gap, now);
+        if !is_current || assigned.response_began {
             return;
         }
         assigned.response_began = true;
@@ -122,20 +122,20 @@
             return;
         }
         let took = now.saturating_duration_since(self.sent_at);
-        let (tokens, tokens_ahead) = (assigned.work.tokens, assigned.ahead);
+        let (tokens, tokens_ahead) = (assigned.work.tokens, assigned.tokens_ahead);
         let model = replicas.model(&self.service);
         let expected = model.expected_time(tokens)
             + model.queue_time(tokens_ahead, assigned.urgent)
-            + assigned.queue;
+            + assigned.queue_time;
         model.learn(ModelSample {
             tokens,
             tokens_ahead,
-            queue: assigned.queue,
+            queue: assigned.queue_time,
             urgent: assigned.urgent,
             took,
         });
-        if let Some(belief) = replicas.get_mut(&assigned.replica) {
-            belief.note_latency(expected, took);
+        if let Some(state) = replicas.get_mut(&assigned.replica) {
+            state.note_latency(expected, took);
         }
     }
 
@@ -165,27 +165,27 @@
         };
         let now = Instant::now();
         let mut replicas = self.core.replicas.borrow_mut();
-        let Some(belief) = replicas.replica_for_ticket(&assigned.replica, assigned.ticket) else {
+        let Some(state) = replicas.replica_for_ticket(&assigned.replica, assigned.ticket) else {
             return;
         };
         if !healthy {
-            belief.health.note_failure(now);
+            state.health.note_failure(now);
             return;
         }
-        belief.health.note_success(now);
+        state.health.note_success(now);
         let duration = now.saturating_duration_since(self.sent_at);
         replicas.model(&self.service).learn_slot_time(duration);
     }
 
-    /// Calls `change` with the belief about the replica, if it is still the same incarnation that
-    /// works on the request.
+    /// Calls `change` with the state of the replica, if it is still the same incarnation that
+    /// serves the request.
     pub(crate) fn update_replica(&self, change: impl FnOnce(&mut ReplicaState)) {
         let Some(assigned) = &self.assigned else {
             return;
         };
         let mut replicas = self.core.replicas.borrow_mut();
-        if let Some(belief) = replicas.replica_for_ticket(&assigned.replica, assigned.ticket) {
-            change(belief);
+        if let Some(state) = replicas.replica_for_ticket(&assigned.replica, assigned.ticket) {
+            change(state);
         }
     }
 
@@ -198,7 +198,7 @@
         let mut replicas = self.core.replicas.borrow_mut();
         replicas
             .replica_for_ticket(&assigned.replica, assigned.ticket)
-            .is_none_or(|belief| belief.health.is_suspect(Instant::now()))
+            .is_none_or(|state| state.health.is_suspect(Instant::now()))
     }
 
     /// Returns when the request was sent.
@@ -217,18 +217,18 @@
         let Some(assigned) = &self.assigned else {
             return;
         };
-        let own = {
+        let local_work = {
             let replicas = self.core.replicas.borrow();
             replicas
                 .get(&assigned.replica)
-                .map(|belief| belief.local_work)
+                .map(|state| state.local_work)
         };
         self.core.log.write(
             "channel-broke",
             serde_json::json!({"request": request.attempt, "content": request.content_text(),
                 "replica": assigned.replica, "reason": reason, "began": assigned.response_began,
                 "ran_ms": self.time_in_flight().as_millis() as u64,
-                "own_requests": own.map(|work| work.requests)}),
+                "own_requests": local_work.map(|work| work.requests)}),
         );
     }
 
--- a/crates/zinniahatch_entry/src/request/ingress.rs
+++ b/crates/zinniahatch_entry/src/request/ingress.rs
@@ -10,13 +10,13 @@
 use crate::request::received::ForwardInfo;
 use crate::request::received::ForwardedAccount;
 use crate::request::received::ReceivedRequest;
-use crate::request::received::RequestHop;
+use crate::request::received::RequestOrigin;
 use crate::request::response_body::ResponseBody;
-use crate::request::send::HOP_ACCOUNT;
-use crate::request::send::HOP_KEY;
-use crate::request::send::HOP_SERVICE;
-use crate::request::send::HOP_SPENT;
-use crate::request::send::HOP_VERSION;
+use crate::request::send::FORWARDED_ACCOUNT;
+use crate::request::send::FORWARDED_KEY;
+use crate::request::send::FORWARDED_SERVICE;
+use crate::request::send::FORWARDED_SPENT;
+use crate::request::send::FORWARDED_VERSION;
 use crate::request::serve::serve;
 use bytes::Bytes;
 use http::HeaderMap;
@@ -71,7 +71,7 @@
     if source == RequestSource::Peer {
         match request.uri().path() {
             SNAPSHOT_PATH => return Response::new(ResponseBody::whole(encode_snapshot(&core))),
-            COUNTS_PATH => return take_counts(&core, request).await,
+            COUNTS_PATH => return accept_counts(&core, request).await,
             _ => {}
         }
     }
@@ -80,7 +80,7 @@
     let mut response = match receive(source, request, &limits, arrived).await {
         Ok(received) => serve(&core, received).await,
         Err(code) => {
-            core.metrics.note_answer("", code.name());
+            core.metrics.note_response("", code.name());
             core.log
                 .write("unread", serde_json::json!({"result": code.number()}));
             gateway_response(code, None, None)
@@ -96,7 +96,7 @@
     response
 }
 
-async fn take_counts(core: &EntryCore, request: Request<Incoming>) -> Response<ResponseBody> {
+async fn accept_counts(core: &EntryCore, request: Request<Incoming>) -> Response<ResponseBody> {
     let (parts, body) = request.into_parts();
     let body = match read_body(&parts.headers, body, MAX_COUNTS_BYTES).await {
         Ok(body) => body,
@@ -128,14 +128,20 @@
         .map_or("/", |path| path.as_str())
         .into();
     let body = read_body(&parts.headers, body, limits.max_body_bytes).await?;
-    let hop = match source {
-        RequestSource::Front => RequestHop::Direct,
-        RequestSource::Peer => RequestHop::Forwarded(read_forward_info(&parts.headers)),
+    let origin = match source {
+        RequestSource::Front => RequestOrigin::Direct,
+        RequestSource::Peer => RequestOrigin::Forwarded(read_forward_info(&parts.headers)),
     };
     let credential = credential(&parts.headers);
     let mut headers = filter_request_headers(&parts.headers);
-    for own in [HOP_VERSION, HOP_SERVICE, HOP_SPENT, HOP_ACCOUNT, HOP_KEY] {
-        headers.remove(own);
+    for name in [
+        FORWARDED_VERSION,
+        FORWARDED_SERVICE,
+        FORWARDED_SPENT,
+        FORWARDED_ACCOUNT,
+        FORWARDED_KEY,
+    ] {
+        headers.remove(name);
     }
     // The credential is kept apart from the headers so that it is never forwarded by accident.
     let authorization = headers.remove(header::AUTHORIZATION);
@@ -143,12 +149,12 @@
         parts.method.as_str().as_bytes(),
         host.as_bytes(),
         path.as_bytes(),
-        caller_identity(&hop, &credential, authorization.as_ref()),
+        caller_identity(&origin, &credential, authorization.as_ref()),
         &body,
     ]);
     Ok(ReceivedRequest {
         attempt: caller.attempt,
-        hop,
+        origin,
         method: parts.method,
         host,
         path,
@@ -169,14 +175,14 @@
 /// They are the same at each node that the request passes through, and empty if the caller sent no
 /// credential.
 fn caller_identity<'a>(
-    hop: &'a RequestHop,
+    origin: &'a RequestOrigin,
     credential: &'a Credential,
     authorization: Option<&'a HeaderValue>,
 ) -> &'a [u8] {
-    if let RequestHop::Forwarded(ForwardInfo {
+    if let RequestOrigin::Forwarded(ForwardInfo {
         account: Some(account),
         ..
-    }) = hop
+    }) = origin
     {
         return account.key.bytes();
     }
@@ -190,11 +196,11 @@
     let text = |name| headers.get(name).and_then(|value| value.to_str().ok());
     let number = |name| text(name).and_then(|value| value.parse().ok()).unwrap_or(0);
     ForwardInfo {
-        version: number(HOP_VERSION),
-        service: text(HOP_SERVICE).unwrap_or_default().into(),
-        spent: Duration::from_millis(number(HOP_SPENT)),
-        account: text(HOP_ACCOUNT).and_then(|name| {
-            let key = KeyDigest::parse(text(HOP_KEY)?)?;
+        version: number(FORWARDED_VERSION),
+        service: text(FORWARDED_SERVICE).unwrap_or_default().into(),
+        spent: Duration::from_millis(number(FORWARDED_SPENT)),
+        account: text(FORWARDED_ACCOUNT).and_then(|name| {
+            let key = KeyDigest::parse(text(FORWARDED_KEY)?)?;
             Some(ForwardedAccount {
                 name: name.into(),
                 key,
--- a/crates/zinniahatch_entry/src/request/placement.rs
+++ b/crates/zinniahatch_entry/src/request/placement.rs
@@ -69,28 +69,28 @@
     let preset = core.preset.borrow().clone();
     let rule = admission_rule(request, plan, &preset, now);
     let peers = core.members.borrow().names_in(&core.settings.region);
-    let ask = place_ask(core, request, plan, &progress.tried, &peers, now);
+    let query = placement_query(core, request, plan, &progress.tried, &peers, now);
     let local = if plan.allows(&core.settings.region) {
         let replicas = core.replicas.borrow();
         let limiter = core.cold_limiter.borrow();
-        choose_local(&replicas, &limiter, &core.settings.regions, &ask, now)
+        choose_local(&replicas, &limiter, &core.settings.regions, &query, now)
     } else {
         None
     };
-    let verdict = local
+    let admission = local
         .as_ref()
         .map(|choice| rule.decide(choice.expected, Duration::ZERO, choice.wait));
     let exceeds_goal = local
         .as_ref()
         .is_some_and(|choice| choice.expected + rule.elapsed > plan.route.goal);
-    let admitted = !check_admission || verdict == Some(Admission::Admit);
+    let admitted = !check_admission || admission == Some(Admission::Admit);
     if let Some(choice) = &local
         && admitted
         && !exceeds_goal
     {
         let faster_region = request
             .is_direct()
-            .then(|| find_faster_region(core, plan, progress, &ask, choice, preset.away_gain, now))
+            .then(|| find_faster(core, plan, progress, &query, choice, preset.away_gain, now))
             .flatten()
             .filter(|remote| rule.is_in_time(remote.expected, remote.round_trip));
         return faster_region.map_or_else(|| Placement::Local(choice.clone()), Placement::Remote);
@@ -98,13 +98,13 @@
     let mut slow_remote = None;
     let remote = request
         .is_direct()
-        .then(|| find_remote(core, plan, progress, &ask, now))
+        .then(|| find_remote(core, plan, progress, &query, now))
         .flatten();
     if let Some(remote) = remote.clone() {
         let better = local.as_ref().is_none_or(|choice| {
             !admitted || remote.expected < choice.expected.mul_f64(preset.away_gain)
         });
-        match judge_remote(&rule, &remote) {
+        match decide_remote(&rule, &remote) {
             Admission::Admit if better => return Placement::Remote(remote),
             Admission::Admit => {}
             Admission::Refuse(after) => slow_remote = Some(after),
@@ -116,12 +116,12 @@
         return Placement::Local(choice);
     }
     log_rejected_options(core, request, &rule, local.as_ref(), remote.as_ref());
-    match (local, verdict) {
+    match (local, admission) {
         (_, Some(Admission::Refuse(after))) => Placement::Refuse(ResultCode::WaitTooLong, after),
         _ if slow_remote.is_some() => {
             Placement::Refuse(ResultCode::WaitTooLong, slow_remote.unwrap_or_default())
         }
-        _ => refuse_without_replica(core, plan, &ask, now),
+        _ => refuse_without_replica(core, plan, &query, now),
     }
 }
 
@@ -130,16 +130,16 @@
 fn refuse_without_replica(
     core: &EntryCore,
     plan: &RequestPlan,
-    ask: &PlacementQuery<'_>,
+    query: &PlacementQuery<'_>,
     now: Instant,
 ) -> Placement {
     if !plan.allows(&core.settings.region) {
         return Placement::Refuse(ResultCode::NoBackend, NO_BACKEND_RETRY);
     }
-    if let Some(after) = retry_after_unavailable(core, ask, now) {
-        return Placement::Refuse(unavailable_code(after.reason), after.after);
+    if let Some(retry) = retry_after_unavailable(core, query, now) {
+        return Placement::Refuse(unavailable_code(retry.reason), retry.after);
     }
-    let leaving = all_leaving(&core.replicas.borrow(), &core.settings.regions, ask);
+    let leaving = all_leaving(&core.replicas.borrow(), &core.settings.regions, query);
     let code = if leaving {
         ResultCode::ReplicasLeaving
     } else {
@@ -155,28 +155,28 @@
     }
 }
 
-/// Returns the retry time of a request whose replicas are all resting or rate limited.
+/// Returns the retry time of a request whose replicas are all in backoff or rate limited.
 ///
 /// That is when the first of them takes work again, staggered behind the callers that were given
 /// such a time before.
 fn retry_after_unavailable(
     core: &EntryCore,
-    ask: &PlacementQuery<'_>,
+    query: &PlacementQuery<'_>,
     now: Instant,
 ) -> Option<EarliestRetry> {
     let replicas = core.replicas.borrow();
-    let first = earliest_retry(&replicas, &core.settings.regions, ask, now)?;
-    let hold = replicas.model_of(ask.service).slot_time();
-    let nodes = ask.peers.len() as u32 + 1;
-    let step = hold * nodes / first.slots.max(1);
+    let first = earliest_retry(&replicas, &core.settings.regions, query, now)?;
+    let slot_time = replicas.model_of(query.service).slot_time();
+    let nodes = query.peers.len() as u32 + 1;
+    let step = slot_time * nodes / first.slots.max(1);
     let mut queues = core.retry_queues.borrow_mut();
-    let queue = queues.entry(ask.service.clone()).or_default();
+    let queue = queues.entry(query.service.clone()).or_default();
     let after = queue.next_delay(first.after, step, now);
     Some(EarliestRetry { after, ..first })
 }
 
-/// Returns the retry time of a request that a replica refused, if all other replicas are resting or
-/// rate limited too.
+/// Returns the retry time of a request that a replica refused, if all other replicas are in backoff
+/// or rate limited too.
 pub(crate) fn retry_after_refusal(
     core: &EntryCore,
     request: &ReceivedRequest,
@@ -185,11 +185,11 @@
     let now = Instant::now();
     let peers = core.members.borrow().names_in(&core.settings.region);
     let tried = BTreeSet::new();
-    let ask = place_ask(core, request, plan, &tried, &peers, now);
-    retry_after_unavailable(core, &ask, now).map(|first| first.after)
+    let query = placement_query(core, request, plan, &tried, &peers, now);
+    retry_after_unavailable(core, &query, now).map(|first| first.after)
 }
 
-fn place_ask<'a>(
+fn placement_query<'a>(
     core: &'a EntryCore,
     request: &'a ReceivedRequest,
     plan: &'a RequestPlan,
@@ -218,7 +218,7 @@
     core: &EntryCore,
     request: &ReceivedRequest,
     rule: &AdmissionRule,
-    here: Option<&LocalPlacement>,
+    local: Option<&LocalPlacement>,
     remote: Option<&RemotePlacement>,
 ) {
     let millis = |time: Duration| time.as_millis() as u64;
@@ -226,8 +226,8 @@
         "weighed",
         serde_json::json!({"request": request.attempt, "goal_ms": millis(rule.goal),
             "spent_ms": millis(rule.elapsed), "tokens_in": request.size.tokens_in,
-            "here_ms": here.map(|choice| millis(choice.expected)),
-            "here_wait_ms": here.map(|choice| millis(choice.wait)),
+            "here_ms": local.map(|choice| millis(choice.expected)),
+            "here_wait_ms": local.map(|choice| millis(choice.wait)),
             "away": remote.map(|choice| &choice.region),
             "away_ms": remote.map(|choice| millis(choice.expected)),
             "away_wait_ms": remote.map(|choice| millis(choice.wait)),
@@ -235,26 +235,26 @@
     );
 }
 
-fn judge_remote(rule: &AdmissionRule, remote: &RemotePlacement) -> Admission {
+fn decide_remote(rule: &AdmissionRule, remote: &RemotePlacement) -> Admission {
     rule.decide(remote.expected, remote.round_trip, remote.wait)
 }
 
 /// Finds a region that generates the response faster, for the share of the streams that should go
 /// there.
-fn find_faster_region(
+fn find_faster(
     core: &EntryCore,
     plan: &RequestPlan,
     progress: &RequestProgress,
-    ask: &PlacementQuery<'_>,
-    here: &LocalPlacement,
+    query: &PlacementQuery<'_>,
+    local: &LocalPlacement,
     gain: f64,
     now: Instant,
 ) -> Option<RemotePlacement> {
-    if here.decode_time.is_zero() {
+    if local.decode_time.is_zero() {
         return None;
     }
-    let remote = find_remote(core, plan, progress, ask, now)?;
-    let share = remote_share(here.total_caller_time(), remote.total_caller_time(), gain);
+    let remote = find_remote(core, plan, progress, query, now)?;
+    let share = remote_share(local.total_caller_time(), remote.total_caller_time(), gain);
     rand::random_bool(share).then_some(remote)
 }
 
@@ -262,19 +262,19 @@
     core: &EntryCore,
     plan: &RequestPlan,
     progress: &RequestProgress,
-    ask: &PlacementQuery<'_>,
+    query: &PlacementQuery<'_>,
     now: Instant,
 ) -> Option<RemotePlacement> {
     let members = core.members.borrow();
     let replicas = core.replicas.borrow();
-    let mut tried = progress.away.clone();
+    let mut tried = progress.remote.clone();
     tried
         .regions
         .extend(core.region_paths.borrow().unreachable(now));
     choose_remote(
         &members,
         &replicas,
-        ask,
+        query,
         &plan.homes,
         &tried,
         core.next_ticket(),
@@ -354,7 +354,7 @@
             );
         }
         Placement::Remote(choice) => {
-            progress.away.nodes.insert(choice.node.clone());
+            progress.remote.nodes.insert(choice.node.clone());
             progress.region = Some(choice.region.clone());
             core.log.write(
                 "away",
--- a/crates/zinniahatch_entry/src/request/plan.rs
+++ b/crates/zinniahatch_entry/src/request/plan.rs
@@ -5,7 +5,7 @@
 use crate::core::EntryCore;
 use crate::core::StopPhase;
 use crate::request::received::ReceivedRequest;
-use crate::request::received::RequestHop;
+use crate::request::received::RequestOrigin;
 use http::HeaderMap;
 use http::header;
 use std::borrow::Cow;
@@ -60,7 +60,7 @@
     /// Replicas already tried.
     pub(crate) tried: BTreeSet<ReplicaId>,
     /// Nodes and regions already tried.
-    pub(crate) away: RemoteAttempts,
+    pub(crate) remote: RemoteAttempts,
     /// Number of sends to replicas.
     pub(crate) sends: u32,
     /// Number of tries that did not reach the intended replica, and of failed tries to resume a
@@ -101,10 +101,10 @@
         let priority = account
             .and_then(|account| account.priority)
             .unwrap_or(route.priority);
-        let service = match &request.hop {
+        let service = match &request.origin {
             // A node with a newer desired state decides by its own; one that lags behind follows
             // the first node's choice.
-            RequestHop::Forwarded(info) if info.version > routes.version() => info.service.clone(),
+            RequestOrigin::Forwarded(fwd) if fwd.version > routes.version() => fwd.service.clone(),
             _ => route
                 .target(&request.attempt)
                 .map(|target| target.service.clone())
--- a/crates/zinniahatch_entry/src/request/pool.rs
+++ b/crates/zinniahatch_entry/src/request/pool.rs
@@ -130,7 +130,7 @@
     }
 }
 
-/// Frees the reserved place of a connection if its caller leaves while it is being opened.
+/// Releases the reserved slot of a connection if its caller leaves while it is being opened.
 struct PendingConnect<'a> {
     pool: &'a ConnectionPool,
     address: SocketAddrV4,
--- a/crates/zinniahatch_entry/src/request/received.rs
+++ b/crates/zinniahatch_entry/src/request/received.rs
@@ -10,7 +10,7 @@
 
 /// How a request reached this node.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) enum RequestHop {
+pub(crate) enum RequestOrigin {
     /// Directly from its caller.
     Direct,
     /// From another node, which chose this region. The request is placed here or refused. A
@@ -31,7 +31,7 @@
     pub(crate) account: Option<ForwardedAccount>,
 }
 
-/// The client account as told by the first node. The API key itself is not forwarded.
+/// The client account named by the first node. The API key itself is not forwarded.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct ForwardedAccount {
     /// Name of the account.
@@ -46,7 +46,7 @@
     /// Id of this attempt of the caller.
     pub(crate) attempt: RequestId,
     /// How the request reached this node.
-    pub(crate) hop: RequestHop,
+    pub(crate) origin: RequestOrigin,
     /// The HTTP method.
     pub(crate) method: Method,
     /// The value of the `Host` header.
@@ -77,9 +77,9 @@
 impl ReceivedRequest {
     /// Returns the time spent on the request at the previous node.
     pub(crate) fn spent_before(&self) -> Duration {
-        match &self.hop {
-            RequestHop::Direct => Duration::ZERO,
-            RequestHop::Forwarded(info) => info.spent,
+        match &self.origin {
+            RequestOrigin::Direct => Duration::ZERO,
+            RequestOrigin::Forwarded(info) => info.spent,
         }
     }
 
@@ -90,7 +90,7 @@
 
     /// Returns whether the request came directly from its caller and may therefore be forwarded.
     pub(crate) fn is_direct(&self) -> bool {
-        self.hop == RequestHop::Direct
+        self.origin == RequestOrigin::Direct
     }
 }
 
--- a/crates/zinniahatch_entry/src/request/relay.rs
+++ b/crates/zinniahatch_entry/src/request/relay.rs
@@ -2,8 +2,8 @@
 
 use crate::core::EntryCore;
 use crate::counts::counting::record_request;
-use crate::replicas::crash_detection::handle_channel_break;
-use crate::replicas::quarantine::note_complete_answer;
+use crate::replicas::crash_detection::handle_connection_break;
+use crate::replicas::quarantine::note_complete_response;
 use crate::request::events::EventSplitter;
 use crate::request::in_flight::InFlightRequest;
 use crate::request::plan::InFlightGuard;
@@ -35,8 +35,8 @@
     pub(crate) guard: InFlightGuard,
     /// Time from the request's arrival to the first event.
     pub(crate) first_event: Option<Duration>,
-    /// Longest pause between events so far.
-    pub(crate) longest_pause: Duration,
+    /// Longest gap between events so far.
+    pub(crate) longest_gap: Duration,
     /// Time of the last event.
     pub(crate) last_event_at: Option<Instant>,
     /// Number of chunks forwarded so far, about one per event.
@@ -71,7 +71,7 @@
             };
             in_flight.record_failure();
             if end != RelayEnd::Silent {
-                handle_channel_break(&self.core, &self.request, &in_flight, &reason).await;
+                handle_connection_break(&self.core, &self.request, &in_flight, &reason).await;
             }
             if !self.plan.route.resumable {
                 break end;
@@ -97,7 +97,7 @@
         };
         if end == RelayEnd::Whole {
             self.record_length();
-            note_complete_answer(&self.core, &self.request);
+            note_complete_response(&self.core, &self.request);
             in_flight.finish(true);
         } else {
             drop(in_flight);
@@ -114,7 +114,7 @@
         };
         self.core
             .metrics
-            .note_answer(&self.plan.service, result.name());
+            .note_response(&self.plan.service, result.name());
         let served = self.progress.serving_region(&self.core);
         record_request(
             &self.core,
@@ -130,7 +130,7 @@
             serde_json::json!({"request": self.request.attempt, "direct": self.request.is_direct(),
                 "route": self.plan.route.name, "result": result.number(),
                 "end": format!("{end:?}"), "sends": self.progress.sends, "events": self.events,
-                "first_ms": self.first_event.map(millis), "pause_ms": millis(self.longest_pause),
+                "first_ms": self.first_event.map(millis), "pause_ms": millis(self.longest_gap),
                 "took_ms": millis(self.request.arrived.elapsed()),
                 "goal_ms": millis(self.plan.route.goal),
                 "pause_limit_ms": millis(self.plan.route.pause_limit)}),
@@ -152,8 +152,8 @@
         let now = Instant::now();
         self.events += 1;
         if let Some(last_event_at) = self.last_event_at.replace(now) {
-            self.longest_pause = self
-                .longest_pause
+            self.longest_gap = self
+                .longest_gap
                 .max(now.saturating_duration_since(last_event_at));
             return;
         }
--- a/crates/zinniahatch_entry/src/request/response.rs
+++ b/crates/zinniahatch_entry/src/request/response.rs
@@ -2,8 +2,8 @@
 
 use crate::core::EntryCore;
 use crate::counts::counting::record_request;
-use crate::replicas::crash_detection::handle_channel_break;
-use crate::replicas::quarantine::note_complete_answer;
+use crate::replicas::crash_detection::handle_connection_break;
+use crate::replicas::quarantine::note_complete_response;
 use crate::request::connection::ResponseHead;
 use crate::request::gateway_response::gateway_response;
 use crate::request::in_flight::InFlightRequest;
@@ -41,7 +41,7 @@
     } else {
         code
     };
-    core.metrics.note_answer(&plan.service, code.name());
+    core.metrics.note_response(&plan.service, code.name());
     record_request(core, request, plan, &core.settings.region, code, None);
     core.log.write(
         "refused",
@@ -78,15 +78,15 @@
         Ok(Ok(body)) => body,
         Ok(Err(error)) => {
             in_flight.record_failure();
-            handle_channel_break(core, request, &in_flight, &error.to_string()).await;
+            handle_connection_break(core, request, &in_flight, &error.to_string()).await;
             return Err(error.to_string().into());
         }
         Err(_) => return Err("response not complete in time".into()),
     };
     let failed = head.status.is_server_error();
-    let at = in_flight.replica().cloned();
+    let replica = in_flight.replica().cloned();
     in_flight.finish(!failed);
-    note_complete_answer(core, request);
+    note_complete_response(core, request);
     let took = request.arrived.elapsed();
     core.metrics.note_first_event(&plan.service, took);
     let result = if failed {
@@ -94,7 +94,7 @@
     } else {
         ResultCode::Answered
     };
-    core.metrics.note_answer(&plan.service, result.name());
+    core.metrics.note_response(&plan.service, result.name());
     record_request(
         core,
         request,
@@ -106,11 +106,11 @@
     core.log.write(
         "answered",
         serde_json::json!({"request": request.attempt, "content": request.content_text(),
-            "direct": request.is_direct(), "route": plan.route.name, "status": head.status.as_u16(), "replica": at,
+            "direct": request.is_direct(), "route": plan.route.name, "status": head.status.as_u16(), "replica": replica,
             "took_ms": took.as_millis() as u64, "goal_ms": plan.route.goal.as_millis() as u64})
     );
-    let again = failed && plan.route.may_repeat() && head.status != StatusCode::GATEWAY_TIMEOUT;
-    Ok((build_response(&head, ResponseBody::whole(body)), !again))
+    let retry = failed && plan.route.may_repeat() && head.status != StatusCode::GATEWAY_TIMEOUT;
+    Ok((build_response(&head, ResponseBody::whole(body)), !retry))
 }
 
 /// Forwards a stream as it arrives, in a task of its own.
@@ -134,7 +134,7 @@
         complete: Rc::clone(&complete),
         guard,
         first_event: None,
-        longest_pause: Duration::ZERO,
+        longest_gap: Duration::ZERO,
         last_event_at: None,
         events: 0,
     };
--- a/crates/zinniahatch_entry/src/request/send.rs
+++ b/crates/zinniahatch_entry/src/request/send.rs
@@ -2,7 +2,7 @@
 
 use crate::auth::identity::key_still_valid;
 use crate::core::EntryCore;
-use crate::replicas::crash_detection::handle_channel_break;
+use crate::replicas::crash_detection::handle_connection_break;
 use crate::replicas::notice::apply_response_notice;
 use crate::replicas::quarantine::await_quarantine;
 use crate::replicas::quarantine::quarantine_left;
@@ -31,15 +31,15 @@
 use zinniahatch_route::SendRefusal;
 
 /// Header of a forwarded request: version of the desired state by which the sending node chose.
-pub(crate) const HOP_VERSION: &str = "zinnia-version";
+pub(crate) const FORWARDED_VERSION: &str = "zinnia-version";
 /// Header of a forwarded request: the chosen service.
-pub(crate) const HOP_SERVICE: &str = "zinnia-service";
+pub(crate) const FORWARDED_SERVICE: &str = "zinnia-service";
 /// Header of a forwarded request: the client account it is served for.
-pub(crate) const HOP_ACCOUNT: &str = "zinnia-account";
+pub(crate) const FORWARDED_ACCOUNT: &str = "zinnia-account";
 /// Header of a forwarded request: digest of the API key by which the account was found.
-pub(crate) const HOP_KEY: &str = "zinnia-key";
+pub(crate) const FORWARDED_KEY: &str = "zinnia-key";
 /// Header of a forwarded request: milliseconds spent on it so far.
-pub(crate) const HOP_SPENT: &str = "zinnia-spent-ms";
+pub(crate) const FORWARDED_SPENT: &str = "zinnia-spent-ms";
 /// Maximum number of connections to one other node.
 const MAX_PEER_CONNECTIONS: usize = 500;
 
@@ -54,7 +54,7 @@
     WrongReplica,
     /// The caller's API key has been revoked, so the request was not sent.
     KeyRevoked,
-    /// Replicas ended while running the request, so it was not sent. It stays quarantined for the
+    /// Replicas crashed while running the request, so it was not sent. It stays quarantined for the
     /// given time.
     Quarantined(Duration),
     /// The request may have run.
@@ -84,7 +84,7 @@
 
     fn note_response(&self) {
         let mut paths = self.core.region_paths.borrow_mut();
-        paths.note_answer(self.region, self.ticket, Instant::now());
+        paths.note_response(self.region, self.ticket, Instant::now());
     }
 }
 
@@ -104,8 +104,8 @@
     last_event: Option<&str>,
 ) -> Result<(ResponseHead, InFlightRequest), SendFailure> {
     let now = Instant::now();
-    let claim = reserve_send(core, &choice.replica, now).map_err(not_sent)?;
-    let address = claim.address();
+    let reservation = reserve_send(core, &choice.replica, now).map_err(not_sent)?;
+    let address = reservation.address();
     let copy_from = {
         let replicas = core.replicas.borrow();
         let source = choice.copy_from.as_ref().and_then(|id| replicas.get(id));
@@ -142,17 +142,17 @@
     if let Some(left) = quarantine_left(core, request) {
         return Err(SendFailure::Quarantined(left));
     }
-    let permit = match permit_send(core, claim) {
+    let permit = match permit_send(core, reservation) {
         Ok(permit) => permit,
-        Err(withheld) => {
+        Err(refusal) => {
             in_flight.return_connection();
-            return Err(not_sent(withheld));
+            return Err(not_sent(refusal));
         }
     };
     let exchanged = tokio::select! {
         biased;
         exchanged = in_flight.exchange(permit, request, &head) => exchanged,
-        // The request is still in the replica's queue and would end yet another replica if it ran
+        // The request is still in the replica's queue and would crash yet another replica if it ran
         // there. Replicas discard queued requests whose connection closes.
         () = await_quarantine(core, request) => {
             return Err(SendFailure::Unknown("quarantined while queued at the replica".into()));
@@ -166,15 +166,15 @@
             if !used {
                 in_flight.record_failure();
             }
-            handle_channel_break(core, request, &in_flight, &error.to_string()).await;
+            handle_connection_break(core, request, &in_flight, &error.to_string()).await;
             core.pool.close_idle(address);
             Err(SendFailure::Unknown(error.to_string().into()))
         }
     }
 }
 
-fn not_sent(withheld: SendRefusal) -> SendFailure {
-    SendFailure::NotSent(format!("withheld: {}", withheld.name()).into())
+fn not_sent(refusal: SendRefusal) -> SendFailure {
+    SendFailure::NotSent(format!("withheld: {}", refusal.name()).into())
 }
 
 fn assign(
@@ -186,9 +186,9 @@
 ) -> AssignedWork {
     let ticket = core.next_ticket();
     let mut replicas = core.replicas.borrow_mut();
-    let ahead = replicas
+    let tokens_ahead = replicas
         .get(&choice.replica)
-        .map_or(0, |belief| belief.total_work(now).tokens_ahead(plan.urgent));
+        .map_or(0, |state| state.total_work(now).tokens_ahead(plan.urgent));
     let work = InFlightWork {
         requests: 1,
         tokens: choice.tokens,
@@ -208,8 +208,8 @@
         replica: choice.replica.clone(),
         ticket,
         work,
-        ahead,
-        queue: choice.queue,
+        tokens_ahead,
+        queue_time: choice.queue,
         urgent: plan.urgent,
         cold: choice.cold,
         response_began: false,
@@ -225,7 +225,7 @@
         PoolError::Full => SendFailure::NotSent("this node's connections are in use".into()),
         PoolError::Unreached(error) => {
             let now = Instant::now();
-            in_flight.update_replica(|belief| belief.health.note_unreachable(now));
+            in_flight.update_replica(|state| state.health.note_unreachable(now));
             core.log.write(
                 "replica-unreached",
                 serde_json::json!({"replica": in_flight.replica(), "error": error.to_string()}),
@@ -246,14 +246,14 @@
     let now = Instant::now();
     apply_response_notice(core, request, &in_flight, &head);
     if head.status == StatusCode::MISDIRECTED_REQUEST {
-        in_flight.update_replica(|belief| belief.leaving = Some(LeaveReason::Replaced));
+        in_flight.update_replica(|state| state.leaving = Some(LeaveReason::Replaced));
         core.log.write(
             "replica-replaced",
             serde_json::json!({"replica": choice.replica, "answered_by": head.parsed_headers.replica})
         );
         return Err(SendFailure::WrongReplica);
     }
-    in_flight.update_replica(|belief| belief.health.note_bytes(now));
+    in_flight.update_replica(|state| state.health.note_bytes(now));
     if head.parsed_headers.not_run {
         // The `Retry-After` of a 503 concerns this replica only. Others may be free.
         let refused = head.status == StatusCode::SERVICE_UNAVAILABLE;
@@ -293,14 +293,14 @@
         return Err(SendFailure::KeyRevoked);
     }
     let spent = now.saturating_duration_since(request.arrived);
-    let mut hop_headers: Vec<(&'static str, Box<str>)> = vec![
-        (HOP_VERSION, plan.version.to_string().into()),
-        (HOP_SERVICE, plan.service.clone()),
-        (HOP_SPENT, spent.as_millis().to_string().into()),
+    let mut forward_headers: Vec<(&'static str, Box<str>)> = vec![
+        (FORWARDED_VERSION, plan.version.to_string().into()),
+        (FORWARDED_SERVICE, plan.service.clone()),
+        (FORWARDED_SPENT, spent.as_millis().to_string().into()),
     ];
     if let Some(identity) = &plan.identity {
-        hop_headers.push((HOP_ACCOUNT, identity.account.name.clone()));
-        hop_headers.push((HOP_KEY, identity.key.hex()));
+        forward_headers.push((FORWARDED_ACCOUNT, identity.account.name.clone()));
+        forward_headers.push((FORWARDED_KEY, identity.key.hex()));
     }
     let headers = plan.upstream_headers(request);
     let head = write_forwarded_request(
@@ -309,7 +309,7 @@
         &headers,
         plan.deadline.saturating_duration_since(Instant::now()),
         last_event,
-        &hop_headers,
+        &forward_headers,
         request.body.len(),
     );
     in_flight.connection = Some(connection);
--- a/crates/zinniahatch_entry/src/request/serve.rs
+++ b/crates/zinniahatch_entry/src/request/serve.rs
@@ -87,7 +87,7 @@
     code: ResultCode,
 ) -> Response<ResponseBody> {
     const UNAVAILABLE: u16 = 503;
-    core.metrics.note_answer("", code.name());
+    core.metrics.note_response("", code.name());
     core.log.write(
         "unrouted",
         serde_json::json!({"request": request.attempt, "result": code.number(),
@@ -158,8 +158,8 @@
             };
             let outcome = self.handle_failure(&placement, failure);
             self.mark_units_used(self.progress.may_have_run);
-            if let Err(refused) = outcome {
-                return self.give_up(refused);
+            if let Err(refusal) = outcome {
+                return self.give_up(refusal);
             }
         }
     }
@@ -185,8 +185,8 @@
     }
 
     /// Ends with a replica's own error response if there is one, otherwise with the refusal.
-    fn give_up(&mut self, refused: Refusal) -> Result<Response<ResponseBody>, Refusal> {
-        self.fallback.take().ok_or(refused)
+    fn give_up(&mut self, refusal: Refusal) -> Result<Response<ResponseBody>, Refusal> {
+        self.fallback.take().ok_or(refusal)
     }
 
     async fn run_try(
@@ -232,7 +232,9 @@
             return TryOutcome::Answered(response);
         }
         match buffer_response(core, request, plan, &self.progress, limit, head, in_flight).await {
-            Ok((response, good)) if good || !plan.take_retry(core, &self.progress, "status") => {
+            Ok((response, is_final))
+                if is_final || !plan.take_retry(core, &self.progress, "status") =>
+            {
                 TryOutcome::Answered(response)
             }
             Ok((response, _)) => {
@@ -302,7 +304,7 @@
         if let Placement::Remote(choice) = placement {
             self.progress.retry_hint = hint.or(self.progress.retry_hint);
             // A refusal by another node cost no replica any work.
-            self.progress.away.regions.insert(choice.region.clone());
+            self.progress.remote.regions.insert(choice.region.clone());
             self.progress.sends -= 1;
             return Ok(());
         }
--- a/crates/zinniahatch_entry/src/request/startup.rs
+++ b/crates/zinniahatch_entry/src/request/startup.rs
@@ -1,7 +1,7 @@
 //! Lets requests wait on a node that has just started and cannot place them yet.
 //!
 //! Load pattern: all nodes lose power at once, and the callers return together with the power. It
-//! takes half a second until a node has read the store and heard of the others, and until then it
+//! takes half a second until a node has read the store and discovered the others, and until then it
 //! does not know whether it can serve them. When such requests were refused, many callers used up
 //! their retries and their requests were lost, up to 115 within two seconds.
 
--- a/crates/zinniahatch_entry/src/run.rs
+++ b/crates/zinniahatch_entry/src/run.rs
@@ -5,7 +5,7 @@
 use crate::core::EntryCore;
 use crate::core::StopPhase;
 use crate::counts::counting::flush_counts;
-use crate::counts::counting::note_death;
+use crate::counts::counting::record_node_failure;
 use crate::counts::counting::run_merging;
 use crate::counts::counting::run_sealing;
 use crate::listeners::ListenerKind;
@@ -46,9 +46,9 @@
 /// Time between announcing that this node leaves and refusing new requests: callers keep directory
 /// answers for two seconds.
 const LEAVE_PERIOD: Duration = Duration::from_millis(2_600);
-/// Part of the grace period during which the only remaining node keeps accepting requests; a plain
-/// request ends well within the rest.
-const LAST_NODE_PART: f64 = 0.7;
+/// Fraction of the grace period during which the only remaining node keeps accepting requests; a
+/// plain request ends well within the rest.
+const LAST_NODE_FRACTION: f64 = 0.7;
 /// Time of the grace period that is reserved for the final steps.
 const EXIT_RESERVE: Duration = Duration::from_millis(400);
 /// Interval between checks whether all requests have ended.
@@ -136,7 +136,7 @@
         clock,
     ));
     let listen = core.settings.listen.clone();
-    let duties = [
+    let listeners = [
         (
             "front",
             listen.front,
@@ -151,13 +151,13 @@
         ("readiness", listen.readiness, ListenerKind::Readiness),
         ("control", listen.control, ListenerKind::Control),
     ];
-    for (key, address, duty) in duties {
+    for (key, address, kind) in listeners {
         let listener = bind(address).map_err(|error| EntryError::Listen {
             key,
             address,
             error,
         })?;
-        tokio::task::spawn_local(run_listener(Rc::clone(&core), listener, duty));
+        tokio::task::spawn_local(run_listener(Rc::clone(&core), listener, kind));
     }
     let socket = UdpSocket::bind(std::net::SocketAddr::from(listen.peer))
         .await
@@ -211,7 +211,7 @@
             }
             core.log
                 .write("member-gone", serde_json::json!({"member": member.node}));
-            note_death(&core, &member.node, member.incarnation);
+            record_node_failure(&core, &member.node, member.incarnation);
         }
         core.pool.evict_idle(now);
         update_limit_sharers(&core, now);
@@ -250,7 +250,7 @@
 /// look-ups returned no node.
 async fn serve_as_last_node(core: &EntryCore, began: Instant) {
     core.phase.send_replace(StopPhase::PlainOnly);
-    let deadline = began + core.settings.bounds.grace.mul_f64(LAST_NODE_PART);
+    let deadline = began + core.settings.bounds.grace.mul_f64(LAST_NODE_FRACTION);
     while Instant::now() < deadline {
         if has_ready_peer(core) {
             return;
--- a/crates/zinniahatch_entry/src/store/quarantine_keys.rs
+++ b/crates/zinniahatch_entry/src/store/quarantine_keys.rs
@@ -111,8 +111,8 @@
     loop {
         let released = core.released_requests.borrow().last().copied();
         if let Some(content) = released {
-            let commit = StoreTransaction::new().remove(&key_of(content));
-            core.store.commit(&commit).await?;
+            let transaction = StoreTransaction::new().remove(&key_of(content));
+            core.store.commit(&transaction).await?;
             core.metrics.note_store("quarantine", "removed");
             core.released_requests
                 .borrow_mut()
@@ -136,8 +136,8 @@
     let lease = core.store.grant(time).await?;
     let stored = StoredSuspect::from_update(update, unix_millis());
     let value = serde_json::to_vec(&stored).unwrap_or_default();
-    let commit = StoreTransaction::new().set(&key_of(update.content), &value, Some(lease));
-    if core.store.commit(&commit).await? == CommitOutcome::NoLease {
+    let transaction = StoreTransaction::new().set(&key_of(update.content), &value, Some(lease));
+    if core.store.commit(&transaction).await? == CommitOutcome::NoLease {
         return Err(KvError::NotExecuted("the lease has expired".into()));
     }
     core.metrics.note_store("quarantine", "kept");
@@ -152,28 +152,28 @@
 
 impl StoredSuspect {
     fn from_update(update: &SuspectUpdate, now: u64) -> Self {
-        let ends = update.crashes.iter().map(|end| StoredCrash {
-            replica: end.replica,
-            at_ms: now.saturating_sub(u64::from(end.age_ms)),
-            ran_ms: end.ran_ms,
+        let crashes = update.crashes.iter().map(|crash| StoredCrash {
+            replica: crash.replica,
+            at_ms: now.saturating_sub(u64::from(crash.age_ms)),
+            ran_ms: crash.ran_ms,
         });
         Self {
             content: update.content,
-            ends: ends.collect(),
+            ends: crashes.collect(),
         }
     }
 
     /// Converts to an update. If the system clock stepped back in the meantime, the crashes count
     /// as of now.
     fn to_update(&self, now: u64) -> SuspectUpdate {
-        let ends = self.ends.iter().map(|end| ReportedCrash {
-            replica: end.replica,
-            age_ms: u32::try_from(now.saturating_sub(end.at_ms)).unwrap_or(u32::MAX),
-            ran_ms: end.ran_ms,
+        let crashes = self.ends.iter().map(|crash| ReportedCrash {
+            replica: crash.replica,
+            age_ms: u32::try_from(now.saturating_sub(crash.at_ms)).unwrap_or(u32::MAX),
+            ran_ms: crash.ran_ms,
         });
         SuspectUpdate {
             content: self.content,
-            crashes: ends.collect(),
+            crashes: crashes.collect(),
             cleared: None,
         }
     }
--- a/crates/zinniahatch_entry/src/store/registration.rs
+++ b/crates/zinniahatch_entry/src/store/registration.rs
@@ -33,9 +33,9 @@
     let mut lease = None;
     loop {
         let pause = match renew_registration(&core, lease).await {
-            Ok(held) => {
-                lease = held;
-                if held.is_some() {
+            Ok(renewed) => {
+                lease = renewed;
+                if renewed.is_some() {
                     RENEW_INTERVAL
                 } else {
                     RETRY_PAUSE
@@ -85,9 +85,9 @@
     let granted = core.store.grant(time).await?;
     let key = format!("{NODE_PREFIX}{}", core.settings.name);
     let value = format!("{} {}", core.settings.region, core.settings.listen.peer);
-    let commit = StoreTransaction::new().set(&key, value.as_bytes(), Some(granted));
+    let transaction = StoreTransaction::new().set(&key, value.as_bytes(), Some(granted));
     core.metrics.note_store("register", "done");
-    match core.store.commit(&commit).await? {
+    match core.store.commit(&transaction).await? {
         CommitOutcome::Done(_) => {
             discover_nodes(core).await?;
             Ok(Some(granted))
@@ -103,7 +103,7 @@
 async fn discover_nodes(core: &Rc<EntryCore>) -> Result<(), KvError> {
     let listing = core.store.items(NODE_PREFIX, LIST_TIMEOUT).await?;
     core.metrics.note_store("nodes", "done");
-    let mut contacts = core.heartbeat_targets.borrow_mut();
+    let mut targets = core.heartbeat_targets.borrow_mut();
     for item in listing.items {
         let Some((region, address)) = parse_registration(&item.value) else {
             reject_value(
@@ -112,9 +112,9 @@
             );
             continue;
         };
-        contacts.add(address, Some(&region));
+        targets.add(address, Some(&region));
     }
-    drop(contacts);
+    drop(targets);
     core.mark_members_read();
     Ok(())
 }
--- a/crates/zinniahatch_entry/src/store/restore_recovery.rs
+++ b/crates/zinniahatch_entry/src/store/restore_recovery.rs
@@ -121,21 +121,21 @@
 /// Writes a preset to the store unless the stored one is as new; returns `false` if another writer
 /// interfered.
 async fn put_preset(core: &EntryCore, preset: &ServingPreset) -> Result<bool, KvError> {
-    let held = core.store.item(PRESET_KEY).await?;
-    let stored = held.as_ref().and_then(|item| {
+    let current = core.store.item(PRESET_KEY).await?;
+    let stored = current.as_ref().and_then(|item| {
         let text = String::from_utf8_lossy(&item.value);
         parse_serving_preset(PRESET_KEY, &text).ok()
     });
     if stored.is_some_and(|stored| stored.revision >= preset.revision) {
         return Ok(true);
     }
-    let expected = held.map_or(StoreRevision::default(), |item| item.revision);
+    let expected = current.map_or(StoreRevision::default(), |item| item.revision);
     let text = format_serving_preset(preset);
-    let commit =
+    let transaction =
         StoreTransaction::new()
             .expect(PRESET_KEY, expected)
             .set(PRESET_KEY, text.as_bytes(), None);
-    let outcome = core.store.commit(&commit).await?;
+    let outcome = core.store.commit(&transaction).await?;
     let done = matches!(outcome, CommitOutcome::Done(_));
     if done {
         core.metrics.note_store("preset", "restored");
--- a/crates/zinniahatch_entry/src/store/updates.rs
+++ b/crates/zinniahatch_entry/src/store/updates.rs
@@ -113,7 +113,7 @@
     let replicas = core.replicas.borrow();
     let data_centre = replicas
         .get(id)
-        .map(|replica_state| replica_state.entry.data_centre.clone());
+        .map(|state| state.entry.data_centre.clone());
     drop(replicas);
     if let Some(data_centre) = data_centre {
         queue_for_region(core, &data_centre, |updates| {
@@ -129,7 +129,8 @@
     handle_entry_change(core, &entry, change);
 }
 
-/// Logs what an entry changed, and closes pooled channels to an earlier incarnation of the replica.
+/// Logs what an entry changed, and closes pooled connections to an earlier incarnation of the
+/// replica.
 fn handle_entry_change(core: &EntryCore, entry: &ReplicaEntry, change: EntryChange) {
     let kind = match change {
         EntryChange::None => return,
--- a/crates/zinniahatch_entry/src/store/watch.rs
+++ b/crates/zinniahatch_entry/src/store/watch.rs
@@ -37,9 +37,9 @@
 /// Pause after replica changes on a node that learns them from the store readers of its region. Its
 /// own watch only covers lost datagrams, and must still deliver the changes within four seconds.
 const BACKUP_WATCH_PAUSE: Duration = Duration::from_millis(2_500);
-/// Part of the store's history after which a node that relies on store readers lists the topic
+/// Fraction of the store's history after which a node that relies on store readers lists the topic
 /// itself.
-const OWN_LISTING_PART: f64 = 0.5;
+const OWN_LISTING_FRACTION: f64 = 0.5;
 /// Interval between checks whether the store readers are alive and this node has the same state.
 const COVERAGE_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 /// Time limit for a page of a listing; a store that is merely slow answers within it.
@@ -73,7 +73,7 @@
             continue;
         }
         match watcher.poll().await {
-            Ok(next) => watcher.note_answer(next),
+            Ok(next) => watcher.note_success(next),
             Err(KvError::Compacted) => watcher.note_compacted(),
             Err(error) => watcher.pause_after(&error).await,
         }
@@ -96,7 +96,7 @@
     /// Lists the topic or waits for changes, and returns the revision reached.
     async fn poll(&self) -> Result<StoreRevision, KvError> {
         let Some(after) = self.revision else {
-            if self.topic != WatchTopic::SCOUT {
+            if self.topic != WatchTopic::RECOVERY_PROBE {
                 wait_for_store(&self.core).await;
             }
             return list_hedged(&self.core, self.topic).await;
@@ -124,14 +124,14 @@
             .write(kind, serde_json::json!({"topic": topic, key: value}));
     }
 
-    fn note_answer(&mut self, next: StoreRevision) {
+    fn note_success(&mut self, next: StoreRevision) {
         if !self.healthy {
             self.log("store-back", "revision", next);
         }
         self.healthy = true;
         self.revision = Some(next);
         self.retry_pause = MIN_RETRY_PAUSE;
-        if self.topic == WatchTopic::SCOUT {
+        if self.topic == WatchTopic::RECOVERY_PROBE {
             self.core.store_reachable.send_replace(true);
         }
         if self.topic == WatchTopic::Operator {
@@ -150,8 +150,8 @@
         self.core.metrics.note_store("follow", "failed");
         self.log("store-lost", "error", error.to_string());
         self.healthy = false;
-        let is_scout = self.topic == WatchTopic::SCOUT;
-        if is_scout {
+        let is_recovery_probe = self.topic == WatchTopic::RECOVERY_PROBE;
+        if is_recovery_probe {
             self.core.store_reachable.send_replace(false);
         }
         let jitter = rand::rng().random_range(RETRY_JITTER);
@@ -160,7 +160,7 @@
         if self.revision.is_some() {
             self.retry_pause = (self.retry_pause * 2).min(MAX_RETRY_PAUSE);
         }
-        if !is_scout {
+        if !is_recovery_probe {
             wait_for_store(&self.core).await;
         }
     }
@@ -188,7 +188,7 @@
         return CoverageEnd::NotCovered;
     }
     let since = Instant::now();
-    let max_wait = core.settings.store_history.mul_f64(OWN_LISTING_PART);
+    let max_wait = core.settings.store_history.mul_f64(OWN_LISTING_FRACTION);
     let mut end = CoverageEnd::NotCovered;
     while since.elapsed() < max_wait {
         match store_reader_coverage(core, topic, Instant::now()) {
@@ -241,11 +241,11 @@
         Ok((listing, sent))
     };
     let mut pending = FuturesUnordered::from_iter([send_listing()]);
-    let mut serves = core.store_reachable.subscribe();
+    let mut reachable = core.store_reachable.subscribe();
     loop {
-        let hedges = topic == WatchTopic::SCOUT || *serves.borrow_and_update();
+        let hedges = topic == WatchTopic::RECOVERY_PROBE || *reachable.borrow_and_update();
         tokio::select! {
-            answer = pending.next() => match answer {
+            result = pending.next() => match result {
                 Some(Ok((listing, sent))) => {
                     let revision = apply_listing(core, topic, listing);
                     note_topic_proof(core, topic, sent);
@@ -255,12 +255,12 @@
                 _ => {}
             },
             () = sleep(LIST_HEDGE_DELAY), if hedges => {
-                if topic == WatchTopic::SCOUT {
+                if topic == WatchTopic::RECOVERY_PROBE {
                     core.store_reachable.send_replace(false);
                 }
                 pending.push(send_listing());
             }
-            _ = serves.wait_for(|serves| *serves), if !hedges => pending.push(send_listing())
+            _ = reachable.wait_for(|up| *up), if !hedges => pending.push(send_listing())
         }
     }
 }
@@ -272,12 +272,12 @@
     }
 }
 
-/// Waits until the scout topic finds the store available, since every call during an outage has a
-/// cost.
+/// Waits until the recovery probe finds the store available, since every call during an outage has
+/// a cost.
 pub(crate) async fn wait_for_store(core: &EntryCore) {
-    let mut serves = core.store_reachable.subscribe();
+    let mut reachable = core.store_reachable.subscribe();
     // The sender lives as long as the process, so the wait cannot end otherwise.
-    let _ = serves.wait_for(|serves| *serves).await;
+    let _ = reachable.wait_for(|up| *up).await;
 }
 
 async fn watch(
--- a/crates/zinniahatch_entry/src/store/watch_topic.rs
+++ b/crates/zinniahatch_entry/src/store/watch_topic.rs
@@ -8,7 +8,7 @@
 /// A set of keys with a watch of its own, which wakes only for these keys.
 ///
 /// With a single watch over all keys, every node woke for the registration of each other node and
-/// for each account sheet, so the load grew with the square of the fleet.
+/// for each write of usage counts, so the load grew with the square of the fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum WatchTopic {
     /// The desired state and evacuations.
@@ -23,8 +23,8 @@
     /// All topics.
     pub(crate) const ALL: [Self; 3] = [Self::Operator, Self::Replicas, Self::Preset];
 
-    /// The scout topic, whose watch detects the recovery of the store after an outage.
-    pub(crate) const SCOUT: Self = Self::Operator;
+    /// The topic whose watch detects the recovery of the store after an outage.
+    pub(crate) const RECOVERY_PROBE: Self = Self::Operator;
 
     /// Returns the key prefix of the topic.
     pub(crate) fn prefix(self) -> &'static str {
--- a/crates/zinniahatch_entry/tests/connection.rs
+++ b/crates/zinniahatch_entry/tests/connection.rs
@@ -61,8 +61,8 @@
         revision: StoreRevision::from(1),
     };
     table.upsert(entry, now);
-    let claim = table.reserve(&mut ColdLimiter::default(), "i-1", 0, now);
-    table.permit(claim.unwrap(), now).unwrap()
+    let reservation = table.reserve(&mut ColdLimiter::default(), "i-1", 0, now);
+    table.permit(reservation.unwrap(), now).unwrap()
 }
 
 async fn exchange(address: SocketAddrV4) -> (Result<Vec<u8>, ConnectionError>, BackendConnection) {
--- a/crates/zinniahatch_route/src/account.rs
+++ b/crates/zinniahatch_route/src/account.rs
@@ -61,7 +61,7 @@
 
 /// Result of looking up a key in the current desired state.
 #[derive(Clone, Debug, PartialEq)]
-pub enum KeyVerdict {
+pub enum KeyLookup {
     /// The key belongs to an account.
     Known(Rc<DesiredAccount>),
     /// The key belonged to an account and was revoked while this process ran.
@@ -107,11 +107,11 @@
     }
 
     /// Looks up the account of a key.
-    pub fn find(&self, key: &KeyDigest) -> KeyVerdict {
+    pub fn find(&self, key: &KeyDigest) -> KeyLookup {
         match self.keys.get(key) {
-            Some(account) => KeyVerdict::Known(Rc::clone(account)),
-            None if self.revoked.contains(key) => KeyVerdict::Revoked,
-            None => KeyVerdict::Unknown,
+            Some(account) => KeyLookup::Known(Rc::clone(account)),
+            None if self.revoked.contains(key) => KeyLookup::Revoked,
+            None => KeyLookup::Unknown,
         }
     }
 
--- a/crates/zinniahatch_route/src/account_bucket.rs
+++ b/crates/zinniahatch_route/src/account_bucket.rs
@@ -16,7 +16,7 @@
 /// Fill level of a new bucket, as a fraction of the burst; the node does not know what its
 /// predecessor admitted just before.
 const INITIAL_LEVEL: f64 = 0.1;
-/// Time for which all regions must have been heard before the shares follow the usage again.
+/// Time for which all regions must have been reachable before the shares follow the usage again.
 const SETTLE_TIME: Duration = Duration::from_secs(4);
 /// Time constant with which a debt decays. Nodes that were partitioned see different debts; as
 /// long as the account keeps sending, a region that saw more of the debt than the others would
@@ -59,10 +59,11 @@
     at: Instant,
     /// Usage by region tag.
     meters: BTreeMap<ShortTag, UsageMeter>,
-    /// The regions' shares when the first of them fell silent; kept until all have been heard for
-    /// a while.
+    /// The regions' shares when the first of them fell silent; kept until all have been reachable
+    /// for a while.
     shares: BTreeMap<ShortTag, f64>,
-    /// When a region was last silent; `None` if all have been heard since the shares were dropped.
+    /// When a region was last silent; `None` if all have been reachable since the shares were
+    /// dropped.
     silent_at: Option<Instant>,
     deductions: BTreeMap<ShortTag, Deduction>,
     /// When this process began to observe the account's usage.
@@ -123,16 +124,16 @@
         regions.map(|region| (*region, most(region))).collect()
     }
 
-    /// Returns the part of the rate available to the processes that can be heard, including this
+    /// Returns the part of the rate available to the processes that are reachable, including this
     /// one.
     ///
     /// `silent` has the silent regions, each with the part of its share that this process may not
-    /// use. The result is at least the even part of the heard regions' shares, which no other part
-    /// claims: a partitioned region goes on serving its callers.
+    /// use. The result is at least the even part of the reachable regions' shares, which no other
+    /// part claims: a partitioned region goes on serving its callers.
     fn available_fraction(&self, silent: &BTreeMap<ShortTag, f64>) -> f64 {
         let lost = silent
             .iter()
-            .map(|(region, part)| part * self.shares.get(region).unwrap_or(&0.0));
+            .map(|(region, fraction)| fraction * self.shares.get(region).unwrap_or(&0.0));
         let silent_fraction = silent.values().sum::<f64>() / self.shares.len().max(1) as f64;
         let least = EVEN_FRACTION * (1.0 - silent_fraction).max(0.0);
         (1.0 - lost.sum::<f64>()).max(least)
@@ -142,7 +143,7 @@
     ///
     /// What each part uses from then on is unknown to the others, and shares that followed it
     /// would add up to more than the allowance. They stay frozen for a while after all regions are
-    /// heard again, because a region that is cut off just then still uses them.
+    /// reachable again, because a region that is cut off just then still uses them.
     fn freeze_shares(&mut self, regions: &BTreeMap<ShortTag, Instant>, silent: bool, now: Instant) {
         if silent {
             self.silent_at = Some(now);
@@ -166,7 +167,7 @@
         now: Instant,
     ) {
         self.freeze_shares(regions, !silent.is_empty(), now);
-        let part = self.available_fraction(silent);
+        let fraction = self.available_fraction(silent);
         let passed = now.saturating_duration_since(self.at);
         self.at = self.at.max(now);
         self.split(silent, now);
@@ -182,9 +183,9 @@
             self.level *= (-passed.as_secs_f64() / DEBT_DECAY_TIME.as_secs_f64()).exp();
         }
         // The silent regions own the rest of the saved units.
-        let most = self.limit.burst * part;
+        let most = self.limit.burst * fraction;
         let level = self.level.min(most);
-        self.level = (level + self.limit.rate * part * passed.as_secs_f64()).min(most);
+        self.level = (level + self.limit.rate * fraction * passed.as_secs_f64()).min(most);
     }
 
     /// Divides the bucket with the regions that have just fallen silent.
@@ -202,11 +203,11 @@
         if before.len() == silent.len() {
             return;
         }
-        let part = self.available_fraction(&before).max(f64::MIN_POSITIVE);
-        let most = part * (self.limit.burst + self.limit.rate * RECENT_TIME.as_secs_f64());
+        let fraction = self.available_fraction(&before).max(f64::MIN_POSITIVE);
+        let most = fraction * (self.limit.burst + self.limit.rate * RECENT_TIME.as_secs_f64());
         let whole = (self.level + self.recent_usage_except(&before, now)).min(most);
-        let own =
-            self.available_fraction(silent) / part * whole - self.recent_usage_except(silent, now);
+        let own = self.available_fraction(silent) / fraction * whole
+            - self.recent_usage_except(silent, now);
         let mut unreported = 0.0;
         for (region, others) in silent {
             if before.contains_key(region) {
@@ -218,7 +219,7 @@
             let expected_rate = meter.map_or(0.0, UsageMeter::expected_rate);
             let estimated = others * expected_rate * SILENCE_TIMEOUT.as_secs_f64();
             unreported += estimated;
-            let share = others * self.shares.get(region).unwrap_or(&0.0) / part;
+            let share = others * self.shares.get(region).unwrap_or(&0.0) / fraction;
             let units = (share * whole - recent).max(estimated);
             self.deductions
                 .insert(*region, Deduction { units, at: now });
@@ -229,8 +230,8 @@
     /// Returns the recent usage of all regions except `left_out`.
     fn recent_usage_except(&self, left_out: &BTreeMap<ShortTag, f64>, now: Instant) -> f64 {
         let meters = self.meters.iter();
-        let heard = meters.filter(|(region, _)| !left_out.contains_key(region));
-        heard.map(|(_, meter)| meter.recent(now)).sum()
+        let included = meters.filter(|(region, _)| !left_out.contains_key(region));
+        included.map(|(_, meter)| meter.recent(now)).sum()
     }
 
     /// Adds to the deduction for a silent region what it may have used in the elapsed time.
@@ -245,9 +246,9 @@
         deduction.at = now;
     }
 
-    /// Estimates the usage of a region since it was last heard.
-    pub(crate) fn unreported(&self, region: ShortTag, heard: Instant, now: Instant) -> f64 {
-        let since = now.saturating_duration_since(heard).as_secs_f64();
+    /// Estimates the usage of a region since its last message.
+    pub(crate) fn unreported(&self, region: ShortTag, last_contact: Instant, now: Instant) -> f64 {
+        let since = now.saturating_duration_since(last_contact).as_secs_f64();
         let meter = self.meters.get(&region);
         meter.map_or(0.0, |meter| meter.expected_rate() * since)
     }
@@ -255,14 +256,14 @@
     /// Returns whether requests are admitted regardless of debt. This does not apply during a
     /// partition, when the part uses its share, which is larger.
     pub(crate) fn has_floor(&self) -> bool {
-        let hears_all = self.silent.as_ref().is_none_or(BTreeSet::is_empty);
-        self.floor > 0.0 && hears_all
+        let all_reachable = self.silent.as_ref().is_none_or(BTreeSet::is_empty);
+        self.floor > 0.0 && all_reachable
     }
 
     /// Returns the time in which a debt is refilled.
     pub(crate) fn refill_time(&self, debt: f64, silent: &BTreeMap<ShortTag, f64>) -> Duration {
-        let part = self.available_fraction(silent).max(f64::MIN_POSITIVE);
-        let wait = Duration::try_from_secs_f64(debt / (self.limit.rate * part));
+        let fraction = self.available_fraction(silent).max(f64::MIN_POSITIVE);
+        let wait = Duration::try_from_secs_f64(debt / (self.limit.rate * fraction));
         wait.unwrap_or(MAX_RETRY).clamp(MIN_RETRY, MAX_RETRY)
     }
 
--- a/crates/zinniahatch_route/src/collectors.rs
+++ b/crates/zinniahatch_route/src/collectors.rs
@@ -19,8 +19,8 @@
 use zinniahatch_base::prelude::*;
 use zinniahatch_base::rendezvous_rank;
 
-/// Duty name by which collectors are ranked.
-const COLLECTOR_DUTY: &str = "work";
+/// Role name that is hashed to rank the collectors.
+const COLLECTOR_ROLE: &str = "work";
 /// Number of other nodes in the region up to which each node sends to all of them directly.
 const MAX_DIRECT_NODES: usize = 8;
 /// Nodes served by one collector, which sends to all nodes of the region some 60 times a second.
@@ -89,7 +89,7 @@
         ranked.sort_by_key(|(cpu_share, node, _)| {
             (
                 Reverse(*cpu_share),
-                Reverse(rendezvous_rank(COLLECTOR_DUTY, node)),
+                Reverse(rendezvous_rank(COLLECTOR_ROLE, node)),
             )
         });
         ranked.truncate(live.len().div_ceil(NODES_PER_COLLECTOR));
--- a/crates/zinniahatch_route/src/desired.rs
+++ b/crates/zinniahatch_route/src/desired.rs
@@ -39,9 +39,9 @@
         pub path_prefix: Box<str>,
         /// How often a request may be executed.
         pub repeat: RepeatKind,
-        /// Maximum time until the complete answer.
+        /// Maximum time until the complete response.
         pub timeout: Duration,
-        /// Latency target: the time to the answer, or to its first event, up to which a request
+        /// Latency target: the time to the response, or to its first event, up to which a request
         /// earns its full score.
         pub goal: Duration,
         /// Priority among the routes; 0 is the most urgent.
@@ -52,7 +52,7 @@
         pub max_attempts: u32,
         /// Whether an interrupted stream may be resumed at another replica.
         pub resumable: bool,
-        /// Maximum pause between events for an answer to count as in time; 0 is no limit.
+        /// Maximum pause between events for a response to count as in time; 0 is no limit.
         pub pause_limit: Duration,
         /// Regions that may serve the requests and store their data; empty allows all.
         pub homes: BTreeSet<RegionId>,
--- a/crates/zinniahatch_route/src/earliest_retry.rs
+++ b/crates/zinniahatch_route/src/earliest_retry.rs
@@ -18,33 +18,33 @@
 }
 
 /// Returns when the first replica of a service takes work again, if all that could serve are
-/// resting or have used up their rate limits.
+/// in backoff or have used up their rate limits.
 ///
 /// Returns `None` if some replica takes work now, or if none will.
 pub fn earliest_retry(
     table: &ReplicaTable,
     regions: &BTreeMap<DataCentreId, RegionId>,
-    ask: &PlacementQuery<'_>,
+    query: &PlacementQuery<'_>,
     now: Instant,
 ) -> Option<EarliestRetry> {
     let mut first: Option<(Duration, SendRefusal)> = None;
     let mut slots = 0;
-    for belief in table.rows() {
-        if !is_eligible(table, regions, ask.service, ask.region, belief, now) {
+    for state in table.rows() {
+        if !is_eligible(table, regions, query.service, query.region, state, now) {
             continue;
         }
-        let rest = table.backoffs.wait(belief.tag, now);
-        let limit = if table.limits.allows(belief.tag, now) {
+        let backoff = table.backoffs.wait(state.tag, now);
+        let limit = if table.limits.allows(state.tag, now) {
             Duration::ZERO
         } else {
-            table.limits.wait(belief.tag, now)
+            table.limits.wait(state.tag, now)
         };
-        let after = rest.max(limit);
+        let after = backoff.max(limit);
         if after.is_zero() {
             return None;
         }
-        slots += belief.entry.slots;
-        let reason = if rest >= limit {
+        slots += state.entry.slots;
+        let reason = if backoff >= limit {
             SendRefusal::Resting
         } else {
             SendRefusal::Limited
@@ -65,16 +65,16 @@
 pub fn all_leaving(
     table: &ReplicaTable,
     regions: &BTreeMap<DataCentreId, RegionId>,
-    ask: &PlacementQuery<'_>,
+    query: &PlacementQuery<'_>,
 ) -> bool {
-    let mut here = table.rows().filter(|belief| {
-        let region = regions.get(&belief.entry.data_centre);
-        *belief.entry.service == **ask.service
-            && region.is_some_and(|region| **region == *ask.region)
+    let mut local = table.rows().filter(|state| {
+        let region = regions.get(&state.entry.data_centre);
+        *state.entry.service == **query.service
+            && region.is_some_and(|region| **region == *query.region)
     });
-    let mut any = false;
-    here.all(|belief| {
-        any = true;
-        belief.leaving.is_some()
-    }) && any
+    let mut found = false;
+    local.all(|state| {
+        found = true;
+        state.leaving.is_some()
+    }) && found
 }
--- a/crates/zinniahatch_route/src/heartbeat_targets.rs
+++ b/crates/zinniahatch_route/src/heartbeat_targets.rs
@@ -45,8 +45,8 @@
     skipped_until: Option<Instant>,
     /// Since when it has not replied.
     silent: Option<Instant>,
-    /// When it was last heard from.
-    heard: Option<Instant>,
+    /// When its last heartbeat arrived.
+    received: Option<Instant>,
 }
 
 /// The addresses at which other nodes may listen.
@@ -79,20 +79,20 @@
             polled: None,
             skipped_until: None,
             silent: None,
-            heard: None,
+            received: None,
         });
         if region.is_some() {
             row.region = region.cloned();
         }
     }
 
-    /// Records that a node was heard from at its address.
-    pub fn note_heard(&mut self, address: SocketAddrV4, region: &RegionId, now: Instant) {
+    /// Records a heartbeat from the node at an address.
+    pub fn note_received(&mut self, address: SocketAddrV4, region: &RegionId, now: Instant) {
         self.add(address, Some(region));
         let Some(row) = self.rows.get_mut(&address) else {
             return;
         };
-        row.heard = Some(now);
+        row.received = Some(now);
         row.polled = None;
         row.skipped_until = None;
         row.silent = None;
@@ -141,10 +141,10 @@
     /// them.
     fn update_silent(&mut self, now: Instant) {
         let since = |at: Instant| now.saturating_duration_since(at);
-        let answering: BTreeSet<RegionId> = self
+        let replying: BTreeSet<RegionId> = self
             .rows
             .values()
-            .filter(|row| row.heard.is_some_and(|at| since(at) <= REPLY_TIMEOUT))
+            .filter(|row| row.received.is_some_and(|at| since(at) <= REPLY_TIMEOUT))
             .filter_map(|row| row.region.clone())
             .collect();
         self.rows.retain(|_, row| {
@@ -157,7 +157,7 @@
             }
             let replaced = row.silent.is_some_and(|at| since(at) > DROP_AFTER);
             let region = row.region.as_ref();
-            !(replaced && region.is_some_and(|region| answering.contains(region)))
+            !(replaced && region.is_some_and(|region| replying.contains(region)))
         });
     }
 }
--- a/crates/zinniahatch_route/src/key_freshness.rs
+++ b/crates/zinniahatch_route/src/key_freshness.rs
@@ -90,10 +90,10 @@
         })
     }
 
-    /// Merges a proof from another node's response; `asked` is when this node sent its request.
-    pub fn merge(&mut self, remote: FreshnessProof, asked: Duration, own_version: u64) {
+    /// Merges a proof from another node; `sent_after` is a time before that node sent it.
+    pub fn merge(&mut self, remote: FreshnessProof, sent_after: Duration, own_version: u64) {
         let age = Duration::from_millis(u64::from(remote.age_ms));
-        let Some(sent) = asked.checked_sub(age) else {
+        let Some(sent) = sent_after.checked_sub(age) else {
             return;
         };
         self.record(remote.version, sent, own_version);
--- a/crates/zinniahatch_route/src/lib.rs
+++ b/crates/zinniahatch_route/src/lib.rs
@@ -50,7 +50,7 @@
 pub use account::Allowance;
 pub use account::AllowanceUnit;
 pub use account::DesiredAccount;
-pub use account::KeyVerdict;
+pub use account::KeyLookup;
 pub use account::common_homes;
 pub use account_bucket::QuotaLimit;
 pub use admission::Admission;
--- a/crates/zinniahatch_route/src/members.rs
+++ b/crates/zinniahatch_route/src/members.rs
@@ -27,7 +27,7 @@
         /// Expected wait at the best of them, in ms.
         pub wait_ms: u32,
         /// Time between the events of a stream there, in us; 0 if none was observed.
-        pub pause_us: u32,
+        pub gap_us: u32,
         /// Mean number of requests in progress at one replica, in tenths.
         pub running: u16
     }
@@ -106,10 +106,10 @@
 #[derive(Clone, Debug)]
 struct MemberState {
     info: MemberInfo,
-    heard: Instant,
+    last_heartbeat: Instant,
     round_trip: Option<Duration>,
     /// When it last asked for a reply.
-    asked: Option<Instant>,
+    reply_wanted: Option<Instant>,
 }
 
 /// The other nodes.
@@ -120,14 +120,14 @@
 }
 
 impl MemberTable {
-    /// Applies a heartbeat received directly from its node; `asks` tells whether the node wants a
-    /// reply.
+    /// Applies a heartbeat received directly from its node; `wants_reply` tells whether the node
+    /// wants a reply.
     ///
     /// Returns whether this is a new start of the node, and the incarnation that it replaces.
     pub fn update(
         &mut self,
         info: MemberInfo,
-        asks: bool,
+        wants_reply: bool,
         now: Instant,
     ) -> (bool, Option<Incarnation>) {
         let old = self.rows.get(&info.node);
@@ -136,19 +136,19 @@
             .map(|row| row.info.incarnation)
             .filter(|incarnation| *incarnation != info.incarnation);
         let round_trip = old.and_then(|row| row.round_trip);
-        let asked = if asks {
+        let reply_wanted = if wants_reply {
             Some(now)
         } else {
-            old.and_then(|row| row.asked)
+            old.and_then(|row| row.reply_wanted)
         };
         self.addresses.insert(info.peer, info.node.clone());
         self.rows.insert(
             info.node.clone(),
             MemberState {
                 info,
-                heard: now,
+                last_heartbeat: now,
                 round_trip,
-                asked,
+                reply_wanted,
             },
         );
         (is_new, replaced)
@@ -165,7 +165,7 @@
         self.rows
             .values()
             .filter(move |row| {
-                row.asked
+                row.reply_wanted
                     .is_some_and(|at| now.saturating_duration_since(at) <= LIVE_TIMEOUT)
             })
             .map(|row| row.info.peer)
@@ -177,7 +177,7 @@
     pub fn one_per_region(&self, node: &NodeId, now: Instant) -> BTreeSet<SocketAddrV4> {
         let mut first: BTreeMap<&RegionId, (u64, SocketAddrV4)> = BTreeMap::new();
         for row in self.rows.values() {
-            if now.saturating_duration_since(row.heard) > LIVE_TIMEOUT {
+            if now.saturating_duration_since(row.last_heartbeat) > LIVE_TIMEOUT {
                 continue;
             }
             let ranked = (rendezvous_rank(node, &row.info.node), row.info.peer);
@@ -224,7 +224,9 @@
     /// Records that a node could not be reached; it is tried again after its next heartbeat.
     pub fn note_unreachable(&mut self, node: &str, now: Instant) {
         if let Some(row) = self.rows.get_mut(node) {
-            row.heard = row.heard.min(now.checked_sub(LIVE_TIMEOUT).unwrap_or(now));
+            row.last_heartbeat = row
+                .last_heartbeat
+                .min(now.checked_sub(LIVE_TIMEOUT).unwrap_or(now));
         }
     }
 
@@ -236,19 +238,22 @@
     /// Returns those live nodes of a region whose key freshness proof is younger than a bound.
     pub fn proven_in(&self, region: &str, bound: Duration, now: Instant) -> Vec<&MemberInfo> {
         let live = self.live_in(region, now);
-        let proven = |info: &&MemberInfo| {
-            let heard = self.rows.get(&info.node).map_or(now, |row| row.heard);
-            let age = now.saturating_duration_since(heard);
+        let is_fresh = |info: &&MemberInfo| {
+            let last_heartbeat = self
+                .rows
+                .get(&info.node)
+                .map_or(now, |row| row.last_heartbeat);
+            let age = now.saturating_duration_since(last_heartbeat);
             info.proof
                 .is_some_and(|proof| Duration::from_millis(u64::from(proof.age_ms)) + age <= bound)
         };
-        live.into_iter().filter(proven).collect()
+        live.into_iter().filter(is_fresh).collect()
     }
 
     /// Returns the newest version of the desired state that a live node uses; 0 if none is known.
     pub fn newest_version(&self, now: Instant) -> u64 {
         let live = self.rows.values();
-        live.filter(|row| now.saturating_duration_since(row.heard) <= LIVE_TIMEOUT)
+        live.filter(|row| now.saturating_duration_since(row.last_heartbeat) <= LIVE_TIMEOUT)
             .map(|row| row.info.version)
             .max()
             .unwrap_or(0)
@@ -275,7 +280,7 @@
         self.rows
             .values()
             .filter(|row| *row.info.region == *region && row.info.stage == stage)
-            .filter(|row| now.saturating_duration_since(row.heard) <= bound)
+            .filter(|row| now.saturating_duration_since(row.last_heartbeat) <= bound)
             .map(|row| &row.info)
             .collect()
     }
@@ -287,7 +292,7 @@
             if *row.info.region == *own || row.info.stage != MemberStage::Ready {
                 continue;
             }
-            if now.saturating_duration_since(row.heard) > LIVE_TIMEOUT {
+            if now.saturating_duration_since(row.last_heartbeat) > LIVE_TIMEOUT {
                 continue;
             }
             regions
@@ -318,8 +323,8 @@
             .collect()
     }
 
-    /// Returns the nodes of a region that were heard from within the longer bound for nodes with a
-    /// store key.
+    /// Returns the nodes of a region whose last heartbeat is within the longer bound for nodes with
+    /// a store key.
     pub fn recently_live_in(&self, region: &str, now: Instant) -> Vec<&MemberInfo> {
         self.at_stage(region, MemberStage::Ready, REGISTERED_TIMEOUT, now)
     }
@@ -328,7 +333,7 @@
     pub fn tick(&mut self, now: Instant) -> Vec<MemberInfo> {
         let mut dropped = Vec::new();
         self.rows.retain(|_, row| {
-            let keep = now.saturating_duration_since(row.heard) <= DROP_AFTER;
+            let keep = now.saturating_duration_since(row.last_heartbeat) <= DROP_AFTER;
             if !keep {
                 dropped.push(row.info.clone());
             }
@@ -348,13 +353,14 @@
         let live = self
             .rows
             .values()
-            .filter(|row| now.saturating_duration_since(row.heard) <= LIVE_TIMEOUT)
+            .filter(|row| now.saturating_duration_since(row.last_heartbeat) <= LIVE_TIMEOUT)
             .map(|row| &row.info);
         let newer = |info: &MemberInfo| info.version > own.version || info.preset > own.preset;
         let candidates =
             live.filter(|info| newer(info) || (!own.store_reachable && info.store_reachable));
-        let (near, far): (Vec<_>, Vec<_>) = candidates.partition(|info| info.region == *own.region);
-        let choices = if near.is_empty() { far } else { near };
+        let (local, remote): (Vec<_>, Vec<_>) =
+            candidates.partition(|info| info.region == *own.region);
+        let choices = if local.is_empty() { remote } else { local };
         let count = choices.len() as u64;
         (count > 0).then(|| choices[(random % count) as usize])
     }
--- a/crates/zinniahatch_route/src/notice_handling.rs
+++ b/crates/zinniahatch_route/src/notice_handling.rs
@@ -61,7 +61,7 @@
     pub rejected: Vec<&'static str>,
     /// Names of the values from a sender that is not identified; they apply for a limited time and
     /// are not passed on to other nodes.
-    pub unproven: Vec<&'static str>,
+    pub unverified: Vec<&'static str>,
 }
 
 impl ReplicaTable {
@@ -71,26 +71,26 @@
     pub fn apply_notice(&mut self, received: &ReceivedNotice<'_>, now: Instant) -> NoticeEffect {
         let mut effect = NoticeEffect::default();
         let id = self.tags.get(&received.replica);
-        let Some(belief) = id.and_then(|id| self.rows.get_mut(id)) else {
+        let Some(state) = id.and_then(|id| self.rows.get_mut(id)) else {
             self.apply_to_ended(received);
             return effect;
         };
-        apply_load(belief, received, now);
+        apply_load(state, received, now);
         let mut backoff = None;
         match received.notice.leaving {
             DrainNotice::Absent => {}
             DrainNotice::Malformed => effect.rejected.push("leaving"),
             DrainNotice::Leaving if received.auth == ResponseAuth::Unverified => {
-                effect.unproven.push("leaving");
+                effect.unverified.push("leaving");
                 backoff = Some(MAX_UNVERIFIED_BACKOFF);
             }
             DrainNotice::Leaving => {
                 self.announced_leaving
-                    .insert(belief.tag, belief.entry.incarnation());
-                effect.leaving = set_leaving(belief);
+                    .insert(state.tag, state.entry.incarnation());
+                effect.leaving = set_leaving(state);
             }
         }
-        let in_flight = belief.local_work.requests;
+        let in_flight = state.local_work.requests;
         backoff = backoff.max(accepted_backoff(received, &mut effect));
         self.apply_backoff(received, backoff, in_flight, &mut effect, now);
         effect.limit = self.apply_rate_limit(received, &mut effect.rejected, now);
@@ -139,8 +139,8 @@
         rejected: &mut Vec<&'static str>,
         now: Instant,
     ) -> Option<RateLimitChange> {
-        let named = received.notice.rate_limit;
-        match named {
+        let stated = received.notice.rate_limit;
+        match stated {
             RateLimitNotice::Malformed => {
                 rejected.push("rate limit");
                 return None;
@@ -150,23 +150,25 @@
             RateLimitNotice::Absent | RateLimitNotice::PerSecond(_) => {}
         }
         self.limits
-            .note_response(received.replica, named, received.sent, now)
+            .note_response(received.replica, stated, received.sent, now)
     }
 
     /// Applies another node's report that a replica announced its leaving; returns whether that is
     /// new.
-    pub fn mark_leaving(&mut self, life: &ReplicaIncarnation) -> bool {
-        if let Some(ended) = self.ended.get_mut(&life.id)
-            && ended.started_ms == life.started_ms
+    pub fn mark_leaving(&mut self, incarnation: &ReplicaIncarnation) -> bool {
+        if let Some(ended) = self.ended.get_mut(&incarnation.id)
+            && ended.started_ms == incarnation.started_ms
         {
             ended.leaving = true;
         }
-        let row = self.rows.get_mut(&life.id);
-        let Some(belief) = row.filter(|belief| belief.entry.started_ms == life.started_ms) else {
+        let row = self.rows.get_mut(&incarnation.id);
+        let Some(state) = row.filter(|state| state.entry.started_ms == incarnation.started_ms)
+        else {
             return false;
         };
-        self.announced_leaving.insert(belief.tag, life.clone());
-        set_leaving(belief)
+        self.announced_leaving
+            .insert(state.tag, incarnation.clone());
+        set_leaving(state)
     }
 
     /// Returns the incarnations that announced to some node that they are leaving, to inform nodes
@@ -184,38 +186,38 @@
 
 /// Returns the backoff that a response requests, as far as it is accepted.
 fn accepted_backoff(received: &ReceivedNotice<'_>, effect: &mut NoticeEffect) -> Option<Duration> {
-    match received.notice.rest {
+    match received.notice.backoff {
         BackoffNotice::Absent => None,
         BackoffNotice::Malformed => {
             effect.rejected.push("rest");
             None
         }
         BackoffNotice::For(backoff) if received.auth == ResponseAuth::Unverified => {
-            effect.unproven.push("rest");
+            effect.unverified.push("rest");
             Some(backoff.min(MAX_UNVERIFIED_BACKOFF))
         }
         BackoffNotice::For(backoff) => Some(backoff),
     }
 }
 
-fn apply_load(belief: &mut ReplicaState, received: &ReceivedNotice<'_>, now: Instant) {
+fn apply_load(state: &mut ReplicaState, received: &ReceivedNotice<'_>, now: Instant) {
     if let Some((running, waiting, _)) = received.notice.load {
-        belief.reported_load = Some((running, waiting, now));
+        state.reported_load = Some((running, waiting, now));
     }
     let left = received.notice.cold_for.filter(|left| !left.is_zero());
     if let Some(left) = left.filter(|_| received.auth >= ResponseAuth::Identified) {
-        belief.cold_until = belief.cold_until.max(Some(now + left));
+        state.cold_until = state.cold_until.max(Some(now + left));
     }
 }
 
 /// Marks a replica as leaving for the rest of this incarnation; returns whether that is new.
-fn set_leaving(belief: &mut ReplicaState) -> bool {
+fn set_leaving(state: &mut ReplicaState) -> bool {
     let known = matches!(
-        belief.leaving,
+        state.leaving,
         Some(LeaveReason::Draining | LeaveReason::Replaced)
     );
     if !known {
-        belief.leaving = Some(LeaveReason::Draining);
+        state.leaving = Some(LeaveReason::Draining);
     }
     !known
 }
--- a/crates/zinniahatch_route/src/placement.rs
+++ b/crates/zinniahatch_route/src/placement.rs
@@ -29,10 +29,10 @@
 /// Other replicas considered for one request, drawn anew for each. If all were, every node would
 /// send to the one replica that looked idle in the last datagram: on a site of 89 nodes 17,000
 /// tokens were ahead of a prompt on the worst replicas, most of them placed within 60 ms.
-const OUTSIDERS: usize = 2;
+const EXTRA_CANDIDATES: usize = 2;
 /// Replicas considered for a request in total; the best of them is about the one at this fraction
 /// of the ranking of all.
-const CANDIDATES: usize = CHOICES + OUTSIDERS;
+const CANDIDATES: usize = CHOICES + EXTRA_CANDIDATES;
 /// Smallest slowness assumed: a replica that answered fast a few times is not trusted further.
 const MIN_SLOWNESS: f64 = 0.8;
 /// Share of the slots that is planned with; the rest is left for requests that other nodes send
@@ -139,25 +139,25 @@
 /// Chooses the replica with the lowest sum of expected time and costs among the eligible ones.
 pub fn choose_local(
     table: &ReplicaTable,
-    gate: &ColdLimiter,
+    limiter: &ColdLimiter,
     regions: &BTreeMap<DataCentreId, RegionId>,
     query: &PlacementQuery<'_>,
     now: Instant,
 ) -> Option<LocalPlacement> {
     let model = table.model_of(query.service);
-    let (choices, outsiders) = session_choices(table, regions, query, now);
+    let (choices, extras) = session_choices(table, regions, query, now);
     let cache_holder = best_cache_holder(table, regions, query, now);
     let mut best: Option<LocalPlacement> = None;
     for state in candidates(table, regions, query, now) {
         let rank = choices.iter().position(|id| **id == *state.entry.id);
-        if !choices.is_empty() && rank.is_none() && !outsiders.contains(&state.entry.id) {
+        if !choices.is_empty() && rank.is_none() && !extras.contains(&state.entry.id) {
             continue;
         }
         let cold = state.is_cold(now);
         if cold {
             let share =
                 ColdLimiter::share(query.cold_bound, &state.entry.id, query.node, query.peers);
-            if !gate.allows(&state.entry.id, share, now) {
+            if !limiter.allows(&state.entry.id, share, now) {
                 continue;
             }
         }
@@ -280,9 +280,9 @@
     now: Instant,
 ) -> bool {
     let entry = &state.entry;
-    let actual = regions.get(&entry.data_centre);
+    let own_region = regions.get(&entry.data_centre);
     *entry.service == *service
-        && actual.is_some_and(|actual| **actual == *region)
+        && own_region.is_some_and(|own_region| **own_region == *region)
         && state.leaving.is_none()
         && !table.evacuated().contains(&entry.data_centre)
         && !state.health.is_suspect(now)
@@ -326,7 +326,7 @@
         let ids = states.into_iter().take(max);
         ids.map(|state| state.entry.id.clone()).collect()
     };
-    (ids(ranked, CHOICES), ids(others, OUTSIDERS))
+    (ids(ranked, CHOICES), ids(others, EXTRA_CANDIDATES))
 }
 
 /// Chooses the remote region in which the response would end first, and a node there.
@@ -352,26 +352,26 @@
         }
         let serving: Vec<_> = nodes
             .iter()
-            .filter(|card| !tried.nodes.contains(&card.node))
-            .filter_map(|card| {
-                let digest = card.services.get(&tag_of(query.service))?;
-                (digest.healthy > 0).then_some((card, digest))
+            .filter(|info| !tried.nodes.contains(&info.node))
+            .filter_map(|info| {
+                let capacity = info.services.get(&tag_of(query.service))?;
+                (capacity.healthy > 0).then_some((info, capacity))
             })
             .collect();
         if serving.is_empty() {
             continue;
         }
-        let (card, digest) = serving[(random % serving.len() as u64) as usize];
-        let wait = Duration::from_millis(u64::from(digest.wait_ms));
-        let round_trip = members.round_trip(&card.node);
+        let (info, capacity) = serving[(random % serving.len() as u64) as usize];
+        let wait = Duration::from_millis(u64::from(capacity.wait_ms));
+        let round_trip = members.round_trip(&info.node);
         let expected = round_trip + wait + model.expected_time(query.size.tokens_in);
-        let gap = Duration::from_micros(u64::from(digest.pause_us)).max(idle);
+        let gap = Duration::from_micros(u64::from(capacity.gap_us)).max(idle);
         let decode_time = gap.mul_f64(events);
         let stream_stall = model
             .prefill_time(query.size.tokens_in)
-            .mul_f64(f64::from(digest.running) / RUNNING_SCALE);
+            .mul_f64(f64::from(capacity.running) / RUNNING_SCALE);
         let choice = RemotePlacement {
-            node: card.node.clone(),
+            node: info.node.clone(),
             region,
             expected,
             round_trip,
@@ -406,8 +406,9 @@
     for state in table.rows() {
         // The capacity of a rate-limited replica is for callers of its own region, and a replica in
         // backoff accepts nothing.
-        let held = table.limits.is_limited(state.tag) || table.backoffs.is_unrecovered(state.tag);
-        if held || state.is_cold(now) {
+        let restricted =
+            table.limits.is_limited(state.tag) || table.backoffs.is_unrecovered(state.tag);
+        if restricted || state.is_cold(now) {
             continue;
         }
         if !is_eligible(table, regions, service, region, state, now) {
@@ -429,7 +430,7 @@
     ServiceCapacity {
         healthy: waits.len() as u16,
         wait_ms: wait.unwrap_or(0),
-        pause_us: gap.as_micros() as u32,
+        gap_us: gap.as_micros() as u32,
         running: (mean * RUNNING_SCALE) as u16,
     }
 }
--- a/crates/zinniahatch_route/src/quota.rs
+++ b/crates/zinniahatch_route/src/quota.rs
@@ -36,9 +36,9 @@
     /// The tag of this process.
     own: ShortTag,
     region: ShortTag,
-    /// When a process of each region was last heard from; for a region never heard from, a time
-    /// long enough ago for it to count as silent.
-    heard: BTreeMap<ShortTag, Instant>,
+    /// When the last message of each region arrived; for a region without any, a time long
+    /// enough ago for it to count as silent.
+    last_contact: BTreeMap<ShortTag, Instant>,
     /// Number of other nodes in the region.
     region_peers: usize,
     buckets: BTreeMap<AccountTag, AccountBucket>,
@@ -57,12 +57,12 @@
         regions: impl IntoIterator<Item = ShortTag>,
         now: Instant,
     ) -> Self {
-        // All regions count as silent until they are heard from.
+        // All regions count as silent until their first message arrives.
         let silent = now.checked_sub(SILENCE_TIMEOUT * 2).unwrap_or(now);
         Self {
             own,
             region,
-            heard: regions.into_iter().map(|region| (region, silent)).collect(),
+            last_contact: regions.into_iter().map(|region| (region, silent)).collect(),
             region_peers: 0,
             buckets: BTreeMap::new(),
             origins: BTreeMap::new(),
@@ -96,18 +96,18 @@
         self.region_peers = region_peers;
     }
 
-    /// Records that a node of a region was heard from.
-    pub fn note_heard(&mut self, region: ShortTag, now: Instant) {
-        if let Some(at) = self.heard.get(&region).copied()
+    /// Records a message from a node of a region.
+    pub fn note_contact(&mut self, region: ShortTag, now: Instant) {
+        if let Some(at) = self.last_contact.get(&region).copied()
             && now.saturating_duration_since(at) > SILENCE_TIMEOUT
         {
-            // The region's share for the time of its silence is deducted before it counts as heard
-            // again.
+            // The region's share for the time of its silence is deducted before it counts as
+            // reachable again.
             for account in self.accounts() {
                 self.advance(account, now);
             }
         }
-        self.heard.insert(region, now);
+        self.last_contact.insert(region, now);
     }
 
     fn accounts(&self) -> Vec<AccountTag> {
@@ -115,11 +115,11 @@
     }
 
     fn is_silent(&self, region: ShortTag, now: Instant) -> bool {
-        // The only node of a region hears from nobody else there.
+        // The only node of a region gets messages from no other node there.
         if region == self.region && self.region_peers == 0 {
             return false;
         }
-        self.heard
+        self.last_contact
             .get(&region)
             .is_some_and(|at| now.saturating_duration_since(*at) > SILENCE_TIMEOUT)
     }
@@ -129,7 +129,7 @@
     /// That is the whole share, or for the own region the part of the other nodes.
     fn silent_parts(&self, now: Instant) -> BTreeMap<ShortTag, f64> {
         let mut parts = BTreeMap::new();
-        for region in self.heard.keys() {
+        for region in self.last_contact.keys() {
             if !self.is_silent(*region, now) {
                 continue;
             }
@@ -147,15 +147,15 @@
     fn advance(&mut self, account: AccountTag, now: Instant) {
         let silent = self.silent_parts(now);
         if let Some(bucket) = self.buckets.get_mut(&account) {
-            bucket.advance(&self.heard, &silent, now);
+            bucket.advance(&self.last_contact, &silent, now);
         }
     }
 
     /// Returns the units left to an account, minus the estimated unreported usage of other
     /// regions.
     fn level(&self, bucket: &AccountBucket, now: Instant) -> f64 {
-        let heard = self.heard.iter();
-        let others = heard.filter(|(region, _)| {
+        let last_contact = self.last_contact.iter();
+        let others = last_contact.filter(|(region, _)| {
             // For a silent region, its share is deducted instead.
             **region != self.region && !self.is_silent(**region, now)
         });
@@ -257,8 +257,8 @@
 
     /// Applies usage reported by processes of a region; returns the part that was new.
     pub fn apply_update(&mut self, usage: &RegionUsage, now: Instant) -> RegionUsage {
-        let mut fresh = RegionUsage::of(usage.region);
-        self.note_heard(usage.region, now);
+        let mut new_usage = RegionUsage::of(usage.region);
+        self.note_contact(usage.region, now);
         for process in &usage.processes {
             if process.origin == self.own {
                 continue;
@@ -285,7 +285,7 @@
                 counter.merge(announced);
                 counter.added = 0;
                 *at = now;
-                fresh.add(process.origin, *account, announced);
+                new_usage.add(process.origin, *account, announced);
                 let after_silence = now.saturating_duration_since(before) > SILENCE_TIMEOUT;
                 charges.push((*account, units, after_silence));
             }
@@ -294,9 +294,9 @@
             }
         }
         if usage.region == self.region {
-            self.unannounced_remote.merge(&fresh);
+            self.unannounced_remote.merge(&new_usage);
         }
-        fresh
+        new_usage
     }
 
     /// Takes the usage that this process has to announce to its region.
--- a/crates/zinniahatch_route/src/rate_limits.rs
+++ b/crates/zinniahatch_route/src/rate_limits.rs
@@ -109,11 +109,11 @@
     pub fn note_response(
         &mut self,
         replica: ShortTag,
-        named: RateLimitNotice,
+        stated: RateLimitNotice,
         sent: Instant,
         now: Instant,
     ) -> Option<RateLimitChange> {
-        let rate = match named {
+        let rate = match stated {
             RateLimitNotice::Malformed => return None,
             RateLimitNotice::PerSecond(rate) => Some(rate),
             RateLimitNotice::Absent => None,
--- a/crates/zinniahatch_route/src/region_paths.rs
+++ b/crates/zinniahatch_route/src/region_paths.rs
@@ -1,4 +1,4 @@
-//! Tracks whether requests reach other regions and their answers come back.
+//! Tracks whether requests reach other regions and their responses come back.
 //!
 //! Load pattern: a region at its peak sends streams to a faster one. If a network partition cuts
 //! only one direction, the heartbeats of that region keep arriving and show it as idle, while the
@@ -9,19 +9,19 @@
 /// Time without confirmation of both directions after which a region gets no requests. A node
 /// there replies to each heartbeat within 1.2 s, and one of these replies may be lost.
 const CONFIRMATION_TIMEOUT: Duration = Duration::from_millis(1_800);
-/// Time for which requests may be outstanding without any answer or confirmation. Answers begin
+/// Time for which requests may be outstanding without any response or confirmation. Responses begin
 /// within 700 ms, including a network delay of 160 ms, unless the region is overloaded, and then
 /// nothing should be sent there either.
-const ANSWER_TIMEOUT: Duration = Duration::from_millis(900);
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(900);
 
 /// State of the path to one region and back.
 #[derive(Clone, Debug, Default)]
 struct PathState {
     /// Sending time of the latest message that is known to have been received there.
     delivered: Option<Instant>,
-    /// When an answer to a request last began.
-    answered: Option<Instant>,
-    /// Sending time of each request whose answer has not begun, by request number.
+    /// When a response to a request last began.
+    responded: Option<Instant>,
+    /// Sending time of each request whose response has not begun, by request number.
     outstanding: BTreeMap<u64, Instant>,
 }
 
@@ -37,9 +37,9 @@
         let Some(oldest) = self.outstanding.values().min().copied() else {
             return true;
         };
-        let signs = [Some(oldest), self.answered, self.delivered];
-        let last = signs.into_iter().flatten().max().unwrap_or(oldest);
-        since(last) <= ANSWER_TIMEOUT
+        let evidence = [Some(oldest), self.responded, self.delivered];
+        let last = evidence.into_iter().flatten().max().unwrap_or(oldest);
+        since(last) <= RESPONSE_TIMEOUT
     }
 }
 
@@ -65,14 +65,14 @@
         self.path(region).outstanding.insert(ticket, now);
     }
 
-    /// Records that the answer to a request began.
-    pub fn note_answer(&mut self, region: &RegionId, ticket: u64, now: Instant) {
+    /// Records that the response to a request began.
+    pub fn note_response(&mut self, region: &RegionId, ticket: u64, now: Instant) {
         let path = self.path(region);
         path.outstanding.remove(&ticket);
-        path.answered = Some(now);
+        path.responded = Some(now);
     }
 
-    /// Records that a request was abandoned without an answer.
+    /// Records that a request was abandoned without a response.
     pub fn note_abandoned(&mut self, region: &RegionId, ticket: u64) {
         self.path(region).outstanding.remove(&ticket);
     }
--- a/crates/zinniahatch_route/src/replica_health.rs
+++ b/crates/zinniahatch_route/src/replica_health.rs
@@ -10,7 +10,7 @@
 /// judged by that.
 const HALF_LIFE: Duration = Duration::from_secs(2);
 /// Weight of successes that every replica starts with, so that a single failure does not decide.
-const PRIOR_GOOD: f64 = 4.0;
+const PRIOR_SUCCESSES: f64 = 4.0;
 /// Silence with requests in flight after which a replica is suspect. Streams send every few tens of
 /// ms, and a lost packet costs about 200 ms.
 const SILENCE_LIMIT: Duration = Duration::from_millis(900);
@@ -33,7 +33,7 @@
     /// Creates a record.
     pub fn new(now: Instant) -> Self {
         Self {
-            successes: PRIOR_GOOD,
+            successes: PRIOR_SUCCESSES,
             failures: 0.0,
             updated: now,
             last_bytes: now,
@@ -45,9 +45,9 @@
 
     fn decay(&mut self, now: Instant) {
         let age = now.saturating_duration_since(self.updated).as_secs_f64();
-        let keep = 0.5_f64.powf(age / HALF_LIFE.as_secs_f64());
-        self.successes = PRIOR_GOOD + (self.successes - PRIOR_GOOD) * keep;
-        self.failures *= keep;
+        let decay = 0.5_f64.powf(age / HALF_LIFE.as_secs_f64());
+        self.successes = PRIOR_SUCCESSES + (self.successes - PRIOR_SUCCESSES) * decay;
+        self.failures *= decay;
         self.updated = now;
     }
 
@@ -102,10 +102,10 @@
         if self.suspect_until.is_some_and(|until| now < until) {
             return true;
         }
-        let Some(open) = self.oldest_open else {
+        let Some(oldest) = self.oldest_open else {
             return false;
         };
-        let silent_since = open.max(self.last_bytes);
+        let silent_since = oldest.max(self.last_bytes);
         now.saturating_duration_since(silent_since) > SILENCE_LIMIT + self.prefill_allowance
     }
 }
--- a/crates/zinniahatch_route/src/replica_notice.rs
+++ b/crates/zinniahatch_route/src/replica_notice.rs
@@ -45,7 +45,7 @@
     /// Whether it is leaving.
     pub leaving: DrainNotice,
     /// Backoff asked of the node whose request it refused.
-    pub rest: BackoffNotice,
+    pub backoff: BackoffNotice,
     /// Rate limit of the replica.
     pub rate_limit: RateLimitNotice,
     /// Numbers of running requests, waiting requests and slots.
--- a/crates/zinniahatch_route/src/replica_table.rs
+++ b/crates/zinniahatch_route/src/replica_table.rs
@@ -120,8 +120,8 @@
     /// earlier incarnation, it was never used again after a notice of leaving, was assumed to cache
     /// prompts that it had lost, and was charged with old failures and in-flight work.
     pub fn upsert(&mut self, entry: ReplicaEntry, now: Instant) -> EntryChange {
-        let left = self.ended.get_mut(&entry.id);
-        if left.is_some_and(|ended| !ended.is_revived_by(&entry)) {
+        let tombstone = self.ended.get_mut(&entry.id);
+        if tombstone.is_some_and(|ended| !ended.is_revived_by(&entry)) {
             return EntryChange::None;
         }
         let ended = self.ended.remove(&entry.id);
@@ -166,7 +166,7 @@
         ended_on_peer: &[ReplicaIncarnation],
         now: Instant,
     ) {
-        let uninformed = self.rows.is_empty() || self.store_failed_recently(now);
+        let accepts_new = self.rows.is_empty() || self.store_failed_recently(now);
         for entry in entries {
             let ended = self.ended.get(&entry.id);
             if ended.is_some_and(|ended| ended.started_ms == entry.started_ms) {
@@ -174,7 +174,7 @@
             }
             let row = self.rows.get(&entry.id);
             let known = row.is_some_and(|state| state.entry.started_ms == entry.started_ms);
-            if (known && entry.leaving) || (!known && uninformed) {
+            if (known && entry.leaving) || (!known && accepts_new) {
                 self.upsert(entry, now);
             }
         }
@@ -408,11 +408,12 @@
         regions: &BTreeMap<DataCentreId, RegionId>,
         region: &RegionId,
     ) -> u64 {
-        let here = self.rows.values().filter(|state| {
+        let in_region = self.rows.values().filter(|state| {
             let present = state.removed_at <= state.entry.revision;
             present && regions.get(&state.entry.data_centre) == Some(region)
         });
-        here.map(|state| rendezvous_score(u64::from(state.entry.leaving), state.tag))
+        in_region
+            .map(|state| rendezvous_score(u64::from(state.entry.leaving), state.tag))
             .fold(0, |digest, rank| digest ^ rank)
     }
 
--- a/crates/zinniahatch_route/src/retry_queue.rs
+++ b/crates/zinniahatch_route/src/retry_queue.rs
@@ -1,4 +1,4 @@
-//! Spreads the retries of callers that were told when to come back.
+//! Spreads the retries of callers that were given a Retry-After time.
 //!
 //! If all were given the same time, they would return at once, and most of them would be refused
 //! again.
--- a/crates/zinniahatch_route/src/route_table.rs
+++ b/crates/zinniahatch_route/src/route_table.rs
@@ -36,7 +36,7 @@
     /// Returns the home regions that most bound routes of a host have in common; empty if no route
     /// is bound.
     ///
-    /// Routes of one host may have different homes, and a caller asks by host alone.
+    /// Routes of one host may have different homes, and a caller queries by host alone.
     pub fn homes_of(&self, host: &str) -> BTreeSet<RegionId> {
         let mut counts: BTreeMap<RegionId, usize> = BTreeMap::new();
         let prefixes = self.hosts.get(host.to_ascii_lowercase().as_str());
--- a/crates/zinniahatch_route/src/send_permit.rs
+++ b/crates/zinniahatch_route/src/send_permit.rs
@@ -114,7 +114,7 @@
     /// Returns why the replica is sent nothing now.
     pub fn reserve(
         &mut self,
-        gate: &mut ColdLimiter,
+        limiter: &mut ColdLimiter,
         id: &str,
         cold_share: usize,
         now: Instant,
@@ -127,7 +127,7 @@
             return Err(SendRefusal::Resting);
         }
         let cold = state.is_cold(now);
-        if cold && !gate.allows(id, cold_share, now) {
+        if cold && !limiter.allows(id, cold_share, now) {
             return Err(SendRefusal::Cold);
         }
         if !self.limits.take(state.tag, now) {
@@ -135,7 +135,7 @@
         }
         self.backoffs.take(state.tag, now);
         if cold {
-            gate.note(&state.entry.id, now);
+            limiter.note(&state.entry.id, now);
         }
         Ok(SendReservation {
             id: state.entry.id.clone(),
@@ -180,7 +180,7 @@
 impl MemberTable {
     /// Returns a permit to write one request to another node; `None` if the node is unknown.
     pub fn permit(&self, node: &str) -> Option<NodePermit> {
-        let card = self.get(node)?;
-        Some(NodePermit { address: card.peer })
+        let info = self.get(node)?;
+        Some(NodePermit { address: info.peer })
     }
 }
--- a/crates/zinniahatch_route/src/stream_gaps.rs
+++ b/crates/zinniahatch_route/src/stream_gaps.rs
@@ -97,19 +97,20 @@
         replica.note(gap, now);
     }
 
-    /// Records how many events a complete response had, and how many tokens the caller asked for.
-    pub fn note_length(&mut self, asked: u32, events: u32) {
-        if asked == 0 || events == 0 {
+    /// Records how many events a complete response had, and how many output tokens were expected.
+    pub fn note_length(&mut self, output_tokens: u32, events: u32) {
+        if output_tokens == 0 || events == 0 {
             return;
         }
-        let seen = f64::from(events) / f64::from(asked);
+        let seen = f64::from(events) / f64::from(output_tokens);
         let known = self.events_each.get_or_insert(seen);
         *known += LENGTH_GAIN * (seen - *known);
     }
 
     /// Returns the expected number of events of a response; 0 if unknown.
-    pub fn events(&self, asked: u32) -> f64 {
-        self.events_each.map_or(0.0, |each| each * f64::from(asked))
+    pub fn events(&self, output_tokens: u32) -> f64 {
+        self.events_each
+            .map_or(0.0, |each| each * f64::from(output_tokens))
     }
 
     /// Returns the gap between events on an idle replica; zero if unknown.
--- a/crates/zinniahatch_route/src/suspects.rs
+++ b/crates/zinniahatch_route/src/suspects.rs
@@ -253,7 +253,7 @@
     }
 
     /// Records a complete response; returns whether it cleared the content of suspicion.
-    pub fn note_answered(&mut self, content: ContentDigest, now: Instant) -> bool {
+    pub fn note_complete_response(&mut self, content: ContentDigest, now: Instant) -> bool {
         self.recent_responses.note(content, now);
         let row = self.rows.get_mut(&content);
         let cleared = row.is_some_and(|row| row.clear(now));
--- a/crates/zinniahatch_route/src/usage_meter.rs
+++ b/crates/zinniahatch_route/src/usage_meter.rs
@@ -85,8 +85,8 @@
     pub(crate) fn add(&mut self, units: f64, now: Instant) {
         let passed = now.saturating_duration_since(self.at);
         let mean = |rate: f64, time: Duration| {
-            let kept = (-passed.as_secs_f64() / time.as_secs_f64()).exp();
-            rate * kept + units / time.as_secs_f64()
+            let decay = (-passed.as_secs_f64() / time.as_secs_f64()).exp();
+            rate * decay + units / time.as_secs_f64()
         };
         self.short_average = mean(self.short_average, SHORT_AVERAGE_TIME);
         self.long_average = mean(self.long_average, LONG_AVERAGE_TIME);
--- a/crates/zinniahatch_route/src/work_sync.rs
+++ b/crates/zinniahatch_route/src/work_sync.rs
@@ -89,8 +89,9 @@
             return;
         };
         let known = self.announced_at.get(&(replica, last.tag));
-        let again = known.is_some_and(|at| now.saturating_duration_since(*at) < READ_REPEAT_TIME);
-        if again || self.reads.len() >= MAX_READS {
+        let is_repeat =
+            known.is_some_and(|at| now.saturating_duration_since(*at) < READ_REPEAT_TIME);
+        if is_repeat || self.reads.len() >= MAX_READS {
             return;
         }
         self.announced_at.insert((replica, last.tag), now);
--- a/crates/zinniahatch_route/tests/accounts.rs
+++ b/crates/zinniahatch_route/tests/accounts.rs
@@ -13,7 +13,7 @@
 use zinniahatch_route::AllowanceUnit;
 use zinniahatch_route::DesiredAccount;
 use zinniahatch_route::KeyFreshness;
-use zinniahatch_route::KeyVerdict;
+use zinniahatch_route::KeyLookup;
 use zinniahatch_route::PromptSize;
 use zinniahatch_route::common_homes;
 
@@ -45,13 +45,13 @@
     assert!(!none.requires_key());
     let first = table(1, vec![account("a", &["k", "l"], &[])], &none);
     assert!(first.requires_key() && first.holds(&digest("k"), "a"));
-    assert_eq!(first.find(&digest("m")), KeyVerdict::Unknown);
+    assert_eq!(first.find(&digest("m")), KeyLookup::Unknown);
     let second = table(2, vec![account("a", &["l"], &[])], &first);
-    assert_eq!(second.find(&digest("k")), KeyVerdict::Revoked);
+    assert_eq!(second.find(&digest("k")), KeyLookup::Revoked);
     assert!(!second.holds(&digest("k"), "a"));
     let third = table(3, vec![account("b", &["k"], &[])], &second);
     assert!(third.holds(&digest("k"), "b") && !third.holds(&digest("k"), "a"));
-    assert_eq!(third.find(&digest("l")), KeyVerdict::Revoked);
+    assert_eq!(third.find(&digest("l")), KeyLookup::Revoked);
 }
 
 /// Guards against a key that is taken away after thousands of others and runs on, taken for one that never was.
@@ -67,7 +67,7 @@
     );
     let second = table(2, vec![account("new", &["zzz"], &[])], &first);
     let third = table(3, vec![account("new", &[], &[])], &second);
-    assert_eq!(third.find(&digest("zzz")), KeyVerdict::Revoked);
+    assert_eq!(third.find(&digest("zzz")), KeyLookup::Revoked);
 }
 
 /// Guards against a forwarded request whose key this node never knew, and that runs on after the key was taken away.
@@ -76,7 +76,7 @@
     let fourth = table(4, vec![account("a", &["l"], &[])], &AccountTable::default());
     assert!(fourth.still_holds(&digest("k"), "a", 5, 4));
     let sixth = table(6, vec![account("a", &["l"], &[])], &fourth);
-    assert_eq!(sixth.find(&digest("k")), KeyVerdict::Unknown);
+    assert_eq!(sixth.find(&digest("k")), KeyLookup::Unknown);
     assert!(!sixth.still_holds(&digest("k"), "a", 5, 6));
     assert!(sixth.still_holds(&digest("l"), "a", 5, 6));
 }
--- a/crates/zinniahatch_route/tests/common/mod.rs
+++ b/crates/zinniahatch_route/tests/common/mod.rs
@@ -169,7 +169,7 @@
             ServiceCapacity {
                 healthy,
                 wait_ms,
-                pause_us: 0,
+                gap_us: 0,
                 running: 0,
             },
         )]
--- a/crates/zinniahatch_route/tests/contacts.rs
+++ b/crates/zinniahatch_route/tests/contacts.rs
@@ -42,7 +42,7 @@
         chosen = book.next_targets(now);
         for address in chosen.iter().filter(|address| lives(address)) {
             let place = usize::from(address.ip().octets()[2]);
-            book.note_heard(*address, &region(place), now);
+            book.note_received(*address, &region(place), now);
         }
     }
     chosen
--- a/crates/zinniahatch_route/tests/hearing.rs
+++ b/crates/zinniahatch_route/tests/hearing.rs
@@ -20,7 +20,7 @@
 
 const LEAVING: ReplicaNotice = ReplicaNotice {
     leaving: DrainNotice::Leaving,
-    rest: BackoffNotice::Absent,
+    backoff: BackoffNotice::Absent,
     rate_limit: RateLimitNotice::Absent,
     load: None,
     cold_for: None,
@@ -158,7 +158,7 @@
 /// Gives what a replica says that turns a request away for a while.
 fn rest(seconds: f64) -> ReplicaNotice {
     ReplicaNotice {
-        rest: BackoffNotice::For(Duration::from_secs_f64(seconds)),
+        backoff: BackoffNotice::For(Duration::from_secs_f64(seconds)),
         ..ReplicaNotice::default()
     }
 }
@@ -262,7 +262,7 @@
     let mut table = ReplicaTable::default();
     table.upsert(life(1, 10), now);
     let notice = ReplicaNotice {
-        rest: named,
+        backoff: named,
         ..ReplicaNotice::default()
     };
     let effect = hear(&mut table, &notice, auth, now);
@@ -270,7 +270,10 @@
         effect.rejected.is_empty(),
         named != BackoffNotice::Malformed
     );
-    assert_eq!(effect.unproven.is_empty(), auth != ResponseAuth::Unverified);
+    assert_eq!(
+        effect.unverified.is_empty(),
+        auth != ResponseAuth::Unverified
+    );
     let tag = life(1, 0).incarnation().tag();
     assert_eq!(table.backoffs.wait(tag, now), seconds(expected));
 }
--- a/crates/zinniahatch_route/tests/notice_fleet/mod.rs
+++ b/crates/zinniahatch_route/tests/notice_fleet/mod.rs
@@ -388,7 +388,7 @@
             // Some ask for less than they asked before.
             let part = self.random.random_range(0.2..1.0);
             let rest = Duration::from_secs_f64(rest * part);
-            notice.rest = BackoffNotice::For(rest);
+            notice.backoff = BackoffNotice::For(rest);
             self.judge
                 .note_rest(call.tag, call.node, call.start, rest, self.time);
             let delay = self.draw(1..4);
--- a/crates/zinniahatch_route/tests/notice_fleet/mutants.rs
+++ b/crates/zinniahatch_route/tests/notice_fleet/mutants.rs
@@ -50,7 +50,7 @@
 
 impl GateRule for EndsRestByLater {
     fn note_answer(&mut self, tag: u32, notice: &ReplicaNotice, taken: bool, now: Instant) {
-        if let BackoffNotice::For(rest) = notice.rest {
+        if let BackoffNotice::For(rest) = notice.backoff {
             self.until.insert(tag, now + rest);
         } else if taken {
             self.until.remove(&tag);
--- a/crates/zinniahatch_route/tests/region_ways.rs
+++ b/crates/zinniahatch_route/tests/region_ways.rs
@@ -41,7 +41,7 @@
         ways.note_delivered(&south, after(start, sent));
     }
     if let Some(at) = answer {
-        ways.note_answer(&south, 2, after(start, at));
+        ways.note_response(&south, 2, after(start, at));
     }
     assert!(ways.unreachable(after(start, 1_500)).is_empty());
 }
--- a/crates/zinniahatch_route/tests/rest_ways.rs
+++ b/crates/zinniahatch_route/tests/rest_ways.rs
@@ -210,7 +210,7 @@
             RestWay::Own | RestWay::All => REST,
         };
         let notice = ReplicaNotice {
-            rest: if taken {
+            backoff: if taken {
                 BackoffNotice::Absent
             } else {
                 BackoffNotice::For(rest)
--- a/crates/zinniahatch_route/tests/returns.rs
+++ b/crates/zinniahatch_route/tests/returns.rs
@@ -32,7 +32,7 @@
             continue;
         };
         let notice = ReplicaNotice {
-            rest: BackoffNotice::For(Duration::from_secs(*rest)),
+            backoff: BackoffNotice::For(Duration::from_secs(*rest)),
             ..ReplicaNotice::default()
         };
         let heard = ReceivedNotice {
--- a/crates/zinniahatch_route/tests/suspects.rs
+++ b/crates/zinniahatch_route/tests/suspects.rs
@@ -177,7 +177,7 @@
     assert_eq!(news.content, BESIDE);
     table.note_persisted(BESIDE);
     assert!(table.unpersisted(now + SETTLED).is_none());
-    assert!(table.note_answered(BESIDE, now + seconds(1)));
+    assert!(table.note_complete_response(BESIDE, now + seconds(1)));
     assert!(!held(&table, BESIDE, now + seconds(1)));
     let changes = table.review(now + seconds(1));
     assert_eq!(changes.len(), 1);
@@ -192,7 +192,7 @@
 fn loss_of_all_replicas_holds_nobody() {
     let start = Instant::now();
     let mut table = SuspectTable::default();
-    table.note_answered(BESIDE, start);
+    table.note_complete_response(BESIDE, start);
     for replica in 0..40 {
         assert!(!table.note_crash(BESIDE, replica, SHORT, start + seconds(1)));
         table.note_crash(
@@ -213,7 +213,7 @@
     let start = Instant::now();
     let (mut other, now) = ended(BESIDE, 0..3, start);
     let mut table = SuspectTable::default();
-    table.note_answered(BESIDE, start);
+    table.note_complete_response(BESIDE, start);
     for news in take(&mut other, false, now) {
         assert_eq!(
             table.apply_update(&news, false, now),
@@ -221,7 +221,7 @@
         );
     }
     assert!(!held(&table, BESIDE, now));
-    assert!(table.note_answered(BESIDE, now));
+    assert!(table.note_complete_response(BESIDE, now));
     for news in take(&mut table, false, now) {
         other.apply_update(&news, false, now);
     }
@@ -235,7 +235,7 @@
     let start = Instant::now();
     let (other, now) = ended(BESIDE, 0..3, start);
     let (mut table, _) = ended(BESIDE, 0..3, start);
-    table.note_answered(BESIDE, now + seconds(1));
+    table.note_complete_response(BESIDE, now + seconds(1));
     while !take(&mut table, true, now).is_empty() {}
     let later = now + seconds(2);
     let told = other.accused_updates(0, MOST, later);
@@ -250,9 +250,9 @@
     );
     // A node that knew nothing else of it puts the teller right, too.
     let mut third = SuspectTable::default();
-    third.note_answered(BESIDE, start);
+    third.note_complete_response(BESIDE, start);
     third.apply_update(&told[0], false, later);
-    third.note_answered(BESIDE, later + seconds(1));
+    third.note_complete_response(BESIDE, later + seconds(1));
     assert_eq!(
         ids(&third.take_updates(false, MOST, later).broadcast),
         [BESIDE]
@@ -372,7 +372,7 @@
                     nodes[node].note_crash(content, replica, SHORT * ran as u32, now);
                 }
                 Event::Answer(content) => {
-                    nodes[node].note_answered(content, now);
+                    nodes[node].note_complete_response(content, now);
                 }
             }
             // Everything is told at once, to nodes that may have it already.
