--- a/crates/zinniahatch_entry/src/nodes/catch_up.rs
+++ b/crates/zinniahatch_entry/src/nodes/catch_up.rs
@@ -65,7 +65,7 @@
     if !core.skips_watch.get() {
         return MAX_WATCH_LAG;
     }
-    // Jitter keeps nodes that learn of a new version at the same time from all asking the few nodes
-    // that have it.
+    // Jitter keeps nodes that learn of a new version at the same time from all querying the few
+    // nodes that have it.
     MAX_PASSIVE_LAG.mul_f64(rand::rng().random())
 }
--- a/crates/zinniahatch_entry/src/nodes/gossip_message.rs
+++ b/crates/zinniahatch_entry/src/nodes/gossip_message.rs
@@ -16,7 +16,7 @@
 pub(crate) enum GossipMessage {
     /// Identity of a node and capacity of its region.
     Heartbeat(Heartbeat),
-    /// In-flight work of nodes of the region and prompts that their replicas have read.
+    /// In-flight work of nodes of the region and prompt prefixes that their replicas cache.
     Work(WorkReport),
     /// Replica changes learned by a node of the region.
     Replicas(ReplicaUpdates),
@@ -50,8 +50,8 @@
 /// Report of in-flight work.
 #[derive(Debug, Serialize, Deserialize)]
 pub(crate) struct WorkReport {
-    /// The reports, one per process.
-    pub(crate) parts: Vec<WorkUpdate>,
+    /// The updates, one per process.
+    pub(crate) updates: Vec<WorkUpdate>,
     /// Account usage per region.
     pub(crate) usage: Vec<RegionUsage>,
     /// Whether the receiver should aggregate the reports and relay them to all nodes of the region.
@@ -61,12 +61,12 @@
 impl WorkReport {
     /// Builds the datagram for the report of one node.
     pub(crate) fn of(
-        part: Option<WorkUpdate>,
+        update: Option<WorkUpdate>,
         usage: Vec<RegionUsage>,
         relay: bool,
     ) -> GossipMessage {
         GossipMessage::Work(Self {
-            parts: part.into_iter().collect(),
+            updates: update.into_iter().collect(),
             usage,
             relay,
         })
--- a/crates/zinniahatch_entry/src/nodes/replica_updates.rs
+++ b/crates/zinniahatch_entry/src/nodes/replica_updates.rs
@@ -16,7 +16,7 @@
     /// Data centres whose evacuation began (`true`) or ended, with the store revision of the
     /// change.
     pub(crate) evacuations: Vec<(DataCentreId, bool, StoreRevision)>,
-    /// Replica incarnations that announced in an answer that they are leaving.
+    /// Replica incarnations that announced in a response that they are leaving.
     pub(crate) leaving: Vec<ReplicaIncarnation>,
 }
 
--- a/crates/zinniahatch_entry/src/nodes/snapshot.rs
+++ b/crates/zinniahatch_entry/src/nodes/snapshot.rs
@@ -30,7 +30,7 @@
     desired: Option<DesiredState>,
     preset: ServingPreset,
     replicas: Vec<ReplicaEntry>,
-    gone: Vec<ReplicaIncarnation>,
+    ended: Vec<ReplicaIncarnation>,
     evacuated: BTreeSet<DataCentreId>,
     proof: Option<FreshnessProof>,
 }
@@ -48,7 +48,7 @@
         desired,
         preset: core.preset.borrow().clone(),
         replicas: entries.collect(),
-        gone: replicas.ended_incarnations().collect(),
+        ended: replicas.ended_incarnations().collect(),
         evacuated: replicas.evacuated().clone(),
         proof: core.key_freshness.borrow().to_share(core.clock.now()),
     };
@@ -78,7 +78,7 @@
     core.apply_preset(snapshot.preset, "peer");
     let mut replicas = core.replicas.borrow_mut();
     let first_listing = !core.has_listed_replicas();
-    replicas.merge_peer_snapshot(snapshot.replicas, &snapshot.gone, now);
+    replicas.merge_peer_snapshot(snapshot.replicas, &snapshot.ended, now);
     if first_listing {
         // Evacuations that this node learned from the store or its region take precedence over
         // those of a peer.
--- a/crates/zinniahatch_entry/src/nodes/work_reporter.rs
+++ b/crates/zinniahatch_entry/src/nodes/work_reporter.rs
@@ -97,7 +97,7 @@
             .replicas
             .borrow_mut()
             .take_stale_work(WORK_REFRESH_INTERVAL, now);
-        self.send_part(core, socket, work, now).await;
+        self.send_update(core, socket, work, now).await;
     }
 
     fn choose_path(&mut self, core: &EntryCore, now: Instant) {
@@ -128,28 +128,29 @@
                 .take_stale_work(Duration::ZERO, now);
             work.extend(unchanged);
         }
-        self.send_part(core, socket, work, now).await;
+        self.send_update(core, socket, work, now).await;
     }
 
-    async fn send_part(
+    async fn send_update(
         &mut self,
         core: &EntryCore,
         socket: &UdpSocket,
         work: Vec<(ShortTag, InFlightWork)>,
         now: Instant,
     ) {
-        let reads = core.replicas.borrow_mut().take_cached_prefixes();
+        let prefixes = core.replicas.borrow_mut().take_cached_prefixes();
         let usage = core.quotas.borrow_mut().take_local_usage();
-        let part = (!work.is_empty() || !reads.is_empty()).then(|| {
+        let update = (!work.is_empty() || !prefixes.is_empty()).then(|| {
             self.number += 1;
             WorkUpdate {
                 origin: self.origin,
                 number: self.number,
                 work,
-                reads,
+                prefixes,
             }
         });
-        self.report_to_region(core, socket, part, usage, now).await;
+        self.report_to_region(core, socket, update, usage, now)
+            .await;
     }
 
     /// Sends a report to the nodes of the region, by way of the collector if there is one.
@@ -157,21 +158,21 @@
         &mut self,
         core: &EntryCore,
         socket: &UdpSocket,
-        part: Option<WorkUpdate>,
+        update: Option<WorkUpdate>,
         usage: Option<RegionUsage>,
         now: Instant,
     ) {
-        if part.is_none() && usage.is_none() {
+        if update.is_none() && usage.is_none() {
             return;
         }
         let relay = matches!(self.path, WorkPath::Collector(_));
         let usage = usage.into_iter().collect();
         match self.path {
-            WorkPath::Own => self.add_to_batch(part, usage, now),
-            WorkPath::All => broadcast(core, socket, &WorkReport::of(part, usage, relay)).await,
+            WorkPath::Own => self.add_to_batch(update, usage, now),
+            WorkPath::All => broadcast(core, socket, &WorkReport::of(update, usage, relay)).await,
             WorkPath::Collector(collector) => {
                 self.collectors.note_sent(collector, now);
-                if let Ok(bytes) = postcard::to_allocvec(&WorkReport::of(part, usage, relay)) {
+                if let Ok(bytes) = postcard::to_allocvec(&WorkReport::of(update, usage, relay)) {
                     // A failed send counts as a lost datagram; it shows by the collector's silence.
                     let _ = socket.send_to(&bytes, collector).await;
                 }
@@ -179,9 +180,9 @@
         }
     }
 
-    fn add_to_batch(&mut self, part: Option<WorkUpdate>, usage: Vec<RegionUsage>, now: Instant) {
-        if let Some(part) = part {
-            self.batch.add(part);
+    fn add_to_batch(&mut self, update: Option<WorkUpdate>, usage: Vec<RegionUsage>, now: Instant) {
+        if let Some(update) = update {
+            self.batch.add(update);
         }
         for regional in &usage {
             self.batch.add_usage(regional);
@@ -192,9 +193,9 @@
 
     async fn send_batch(&mut self, core: &EntryCore, socket: &UdpSocket) {
         while !self.batch.is_empty() {
-            let (parts, usage) = self.batch.take(MAX_REPORT_BYTES);
+            let (updates, usage) = self.batch.take(MAX_REPORT_BYTES);
             let report = WorkReport {
-                parts,
+                updates,
                 usage,
                 relay: false,
             };
@@ -262,16 +263,16 @@
         let now = Instant::now();
         self.merge_usage(core, &report, now);
         let mut replicas = core.replicas.borrow_mut();
-        for part in report.parts {
-            if part.origin == self.origin {
+        for update in report.updates {
+            if update.origin == self.origin {
                 continue;
             }
-            replicas.apply_peer_work(part.origin, part.number, &part.work, now);
-            replicas.apply_cached_prefixes(&part.reads, |service| {
+            replicas.apply_peer_work(update.origin, update.number, &update.work, now);
+            replicas.apply_cached_prefixes(&update.prefixes, |service| {
                 core.service(service).map_or(0, |spec| spec.kv_tokens)
             });
             if report.relay {
-                self.add_to_batch(Some(part), Vec::new(), now);
+                self.add_to_batch(Some(update), Vec::new(), now);
             }
         }
     }
--- a/crates/zinniahatch_entry/src/request/in_flight.rs
+++ b/crates/zinniahatch_entry/src/request/in_flight.rs
@@ -26,7 +26,7 @@
     /// Prompt tokens that the replica prefills before those of this request.
     pub(crate) tokens_ahead: u32,
     /// Expected wait for a free slot.
-    pub(crate) queue_time: Duration,
+    pub(crate) slot_wait: Duration,
     pub(crate) urgent: bool,
     pub(crate) cold: bool,
     /// Whether the first bytes of the response have arrived.
@@ -126,11 +126,11 @@
         let model = replicas.model(&self.service);
         let expected = model.expected_time(tokens)
             + model.queue_time(tokens_ahead, assigned.urgent)
-            + assigned.queue_time;
+            + assigned.slot_wait;
         model.learn(ModelSample {
             tokens,
             tokens_ahead,
-            queue: assigned.queue_time,
+            slot_wait: assigned.slot_wait,
             urgent: assigned.urgent,
             took,
         });
--- a/crates/zinniahatch_entry/src/request/ingress.rs
+++ b/crates/zinniahatch_entry/src/request/ingress.rs
@@ -42,7 +42,7 @@
 /// Time limit for receiving a body. A caller that takes longer would occupy memory for nothing.
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Maximum size of a posted body of counts. One hour of all sheets kept by a node is far below it.
+/// Maximum size of a posted body of counts. One hour of all batches kept by a node is far below it.
 const MAX_COUNTS_BYTES: usize = 4 << 20;
 
 /// Who sends requests to a listener.
--- a/crates/zinniahatch_entry/src/request/pool.rs
+++ b/crates/zinniahatch_entry/src/request/pool.rs
@@ -1,7 +1,7 @@
 //! Pool of reusable connections by address.
 //!
 //! A replica accepts a limited number of connections from all callers together and resets those
-//! beyond it. Each node therefore keeps to its own share of that limit, without asking the others.
+//! beyond it. Each node therefore keeps to its own share of that limit, without coordination.
 
 use crate::request::connection::BackendConnection;
 use crate::request::connection::ConnectionError;
--- a/crates/zinniahatch_entry/src/request/send.rs
+++ b/crates/zinniahatch_entry/src/request/send.rs
@@ -209,7 +209,7 @@
         ticket,
         work,
         tokens_ahead,
-        queue_time: choice.queue,
+        slot_wait: choice.slot_wait,
         urgent: plan.urgent,
         cold: choice.cold,
         response_began: false,
--- a/crates/zinniahatch_entry/src/store/quarantine_keys.rs
+++ b/crates/zinniahatch_entry/src/store/quarantine_keys.rs
@@ -119,8 +119,8 @@
                 .retain(|other| *other != content);
             continue;
         }
-        let unsaved = core.suspects.borrow().unpersisted(Instant::now());
-        let Some((update, left)) = unsaved else {
+        let unpersisted = core.suspects.borrow().unpersisted(Instant::now());
+        let Some((update, left)) = unpersisted else {
             return Ok(());
         };
         store_suspect(core, &update, left).await?;
--- a/crates/zinniahatch_entry/src/store/watch.rs
+++ b/crates/zinniahatch_entry/src/store/watch.rs
@@ -232,8 +232,8 @@
 /// Lists a topic's keys with hedged calls, until one is answered or all of them have failed.
 ///
 /// At start all topics are listed at once, since a round trip to the store may take 160 ms. While
-/// the store hangs only the scout topic sends further calls, and the others send theirs once it was
-/// answered.
+/// the store hangs only the recovery probe sends further calls, and the others send theirs once it
+/// was answered.
 async fn list_hedged(core: &Rc<EntryCore>, topic: WatchTopic) -> Result<StoreRevision, KvError> {
     let send_listing = || async {
         let sent = core.clock.now();
--- a/crates/zinniahatch_route/src/backoff.rs
+++ b/crates/zinniahatch_route/src/backoff.rs
@@ -190,7 +190,7 @@
         row.map_or(Duration::ZERO, |row| row.wait(now))
     }
 
-    /// Takes a place in the window for one request; returns whether it may be sent.
+    /// Takes one request from the window; returns whether it may be sent.
     pub(crate) fn take(&mut self, replica: ShortTag, now: Instant) -> bool {
         let Some(row) = self.rows.get_mut(&replica) else {
             return true;
--- a/crates/zinniahatch_route/src/collectors.rs
+++ b/crates/zinniahatch_route/src/collectors.rs
@@ -4,13 +4,13 @@
 //!
 //! - Every node sends to every other one: 26,000 datagrams/s received with a pause of 20 ms, 2.5%
 //!   of a core per node.
-//! - One node counts the work of a replica and is asked for each placement: a round trip per
+//! - One node counts the work of a replica and is queried for each placement: a round trip per
 //!   request, and placement stops when that node fails.
 //! - Each node places a fixed part of the requests: not possible, since callers choose the node.
 //!
 //! Instead, each node sends its updates at once to one collector, which batches those of many
 //! nodes for a few ms and forwards them to all. Nodes need not agree on the collector, since any
-//! node batches for whoever asks, and a collector that does not forward the updates it received is
+//! node batches for any sender, and a collector that does not forward the updates it received is
 //! abandoned at once.
 
 use crate::MemberInfo;
--- a/crates/zinniahatch_route/src/first_event_model.rs
+++ b/crates/zinniahatch_route/src/first_event_model.rs
@@ -53,7 +53,7 @@
     /// Tokens of other requests that were queued ahead of it.
     pub tokens_ahead: u32,
     /// Expected wait for a slot.
-    pub queue: Duration,
+    pub slot_wait: Duration,
     /// Whether engines prefill it before common requests.
     pub urgent: bool,
     /// Time from sending the request to the first event.
@@ -138,7 +138,7 @@
             return;
         }
         let own = self.base + self.token * f64::from(sample.tokens);
-        let undisturbed = own + sample.queue.as_secs_f64() * 1e3;
+        let undisturbed = own + sample.slot_wait.as_secs_f64() * 1e3;
         let waited = sample.took.as_secs_f64() * 1e3 - undisturbed;
         let seen = waited / (self.token * f64::from(sample.tokens_ahead));
         *known = track(*known, seen, QUEUE_QUANTILE, QUEUE_STEP, bounds);
--- a/crates/zinniahatch_route/src/placement.rs
+++ b/crates/zinniahatch_route/src/placement.rs
@@ -80,7 +80,7 @@
     /// Queueing time within the expected time.
     pub wait: Duration,
     /// Wait for a slot within the queueing time.
-    pub queue: Duration,
+    pub slot_wait: Duration,
     /// Expected time from the first event to the last.
     pub decode_time: Duration,
     /// Time for which the prefill stalls other streams of the replica, summed over them.
@@ -164,12 +164,12 @@
         let work = state.total_work(now);
         let prompt = prompt_plan(state, cache_holder.as_ref(), query);
         let slots = f64::from(state.entry.slots.max(1));
-        let queue = slot_wait(
+        let slot_wait = expected_slot_wait(
             f64::from(work.slots_ahead(query.urgent)),
             slots,
             model.slot_time(),
         );
-        let wait = model.queue_time(work.tokens_ahead(query.urgent), query.urgent) + queue;
+        let wait = model.queue_time(work.tokens_ahead(query.urgent), query.urgent) + slot_wait;
         let slowness = state.slowness.max(MIN_SLOWNESS);
         let expected =
             (model.expected_time(prompt.tokens) + wait).mul_f64(slowness) + prompt.copy_time;
@@ -191,7 +191,7 @@
             expected,
             cost,
             wait: wait.mul_f64(slowness),
-            queue: queue.mul_f64(slowness),
+            slot_wait: slot_wait.mul_f64(slowness),
             decode_time: decode_time(table, state, query, now),
             stream_stall: model.prefill_time(prompt.tokens) * work.requests,
             tokens: prompt.tokens,
@@ -262,7 +262,7 @@
 
 /// Returns the expected wait for a slot: zero while one is free, then one slot time per round of
 /// requests.
-fn slot_wait(requests: f64, slots: f64, slot_time: Duration) -> Duration {
+fn expected_slot_wait(requests: f64, slots: f64, slot_time: Duration) -> Duration {
     let over = requests + 1.0 - slots * USABLE_SLOTS;
     if over <= 0.0 {
         return Duration::ZERO;
@@ -418,7 +418,7 @@
         running += work.requests;
         let slots = f64::from(state.entry.slots.max(1));
         let wait = model.queue_time(work.tokens, false)
-            + slot_wait(f64::from(work.requests), slots, model.slot_time());
+            + expected_slot_wait(f64::from(work.requests), slots, model.slot_time());
         let wait = wait + failure_cost(state, now);
         waits.push(wait.as_millis() as u32);
     }
--- a/crates/zinniahatch_route/src/preset.rs
+++ b/crates/zinniahatch_route/src/preset.rs
@@ -13,7 +13,7 @@
         pub name: PresetId,
         /// Number of the switch that put it in force; it only increases.
         pub revision: Revision,
-        /// Part of the remaining latency target, after the time spent and the round trip to
+        /// Fraction of the remaining latency target, after the time spent and the round trip to
         /// another region, that the expected time of an admitted request may take up.
         pub goal_margin: f64,
         /// Wait that every request is allowed, as a fraction of its latency target.
--- a/crates/zinniahatch_route/src/replica_health.rs
+++ b/crates/zinniahatch_route/src/replica_health.rs
@@ -24,7 +24,7 @@
     failures: f64,
     updated: Instant,
     last_bytes: Instant,
-    oldest_open: Option<Instant>,
+    oldest_in_flight: Option<Instant>,
     prefill_allowance: Duration,
     suspect_until: Option<Instant>,
 }
@@ -37,7 +37,7 @@
             failures: 0.0,
             updated: now,
             last_bytes: now,
-            oldest_open: None,
+            oldest_in_flight: None,
             prefill_allowance: Duration::ZERO,
             suspect_until: None,
         }
@@ -79,8 +79,8 @@
 
     /// Sets when the oldest in-flight request was sent, and how long the replica may be silent
     /// while it prefills prompts.
-    pub fn set_oldest_open(&mut self, oldest: Option<Instant>, prefill_allowance: Duration) {
-        self.oldest_open = oldest;
+    pub fn set_oldest_in_flight(&mut self, oldest: Option<Instant>, prefill_allowance: Duration) {
+        self.oldest_in_flight = oldest;
         self.prefill_allowance = prefill_allowance;
     }
 
@@ -102,7 +102,7 @@
         if self.suspect_until.is_some_and(|until| now < until) {
             return true;
         }
-        let Some(oldest) = self.oldest_open else {
+        let Some(oldest) = self.oldest_in_flight else {
             return false;
         };
         let silent_since = oldest.max(self.last_bytes);
--- a/crates/zinniahatch_route/src/replica_state.rs
+++ b/crates/zinniahatch_route/src/replica_state.rs
@@ -63,7 +63,7 @@
     /// Its response time relative to the model of its service; 1 is as expected.
     pub slowness: f64,
     /// Send times of this node's in-flight requests, by ticket.
-    pub open_requests: BTreeMap<u64, Instant>,
+    pub in_flight_requests: BTreeMap<u64, Instant>,
 }
 
 impl ReplicaState {
@@ -84,7 +84,7 @@
             health: ReplicaHealth::new(now),
             gaps: GapMeter::new(now),
             slowness: 1.0,
-            open_requests: BTreeMap::new(),
+            in_flight_requests: BTreeMap::new(),
             entry: entry.clone(),
         };
         state.update(entry, now);
@@ -116,7 +116,7 @@
 
     /// Returns whether this incarnation has the in-flight request with this ticket.
     pub(crate) fn has_request(&self, ticket: u64) -> bool {
-        self.open_requests.contains_key(&ticket)
+        self.in_flight_requests.contains_key(&ticket)
     }
 
     /// Returns whether the replica is cold.
--- a/crates/zinniahatch_route/src/replica_table.rs
+++ b/crates/zinniahatch_route/src/replica_table.rs
@@ -83,7 +83,7 @@
     None,
     /// The state of a replica changed.
     Updated,
-    /// The replica restarted under the same id. Open connections to the address are dead, and
+    /// The replica restarted under the same id. Open connections to the address are broken, and
     /// requests sent on them are lost without a response.
     Restarted(SocketAddrV4),
 }
@@ -336,8 +336,8 @@
                     .prefill_time(state.local_work.tokens)
                     .mul_f64(state.slowness.max(1.0))
             });
-            let oldest = state.open_requests.values().min().copied();
-            state.health.set_oldest_open(oldest, prefill_allowance);
+            let oldest = state.in_flight_requests.values().min().copied();
+            state.health.set_oldest_in_flight(oldest, prefill_allowance);
             let ended = match state.leaving {
                 None => false,
                 Some(LeaveReason::Draining) => state.removed_at > state.entry.revision,
--- a/crates/zinniahatch_route/src/replica_work.rs
+++ b/crates/zinniahatch_route/src/replica_work.rs
@@ -26,19 +26,19 @@
         };
         state.local_work.add_requests(work);
         state.local_work.add_tokens(work);
-        state.open_requests.insert(ticket, now);
+        state.in_flight_requests.insert(ticket, now);
         state.prefix_cache.record(&size.parts, capacity);
         self.work_sync.note_changed(state.tag);
         if size.parts.len() > 1 {
             let shared = &size.parts[..size.parts.len() - 1];
-            self.work_sync.note_read(state.tag, shared, now);
+            self.work_sync.note_prefix(state.tag, shared, now);
         }
     }
 
     /// Returns the prompt parts that replicas were sent since the last call, for the nodes of the
     /// region.
     pub fn take_cached_prefixes(&mut self) -> Vec<CachedPrefix> {
-        self.work_sync.take_reads()
+        self.work_sync.take_prefixes()
     }
 
     /// Returns the in-flight work that changed since it was last announced, and marks it as
@@ -68,8 +68,8 @@
         let mut work = Vec::new();
         for state in self.rows.values_mut() {
             let (announced, at) = state.announced;
-            let open = announced != InFlightWork::default();
-            if !open || now.saturating_duration_since(at) < age {
+            let has_work = announced != InFlightWork::default();
+            if !has_work || now.saturating_duration_since(at) < age {
                 continue;
             }
             state.announced = (state.local_work, now);
@@ -109,14 +109,14 @@
     /// Applies prompt parts that replicas were sent by another node.
     pub fn apply_cached_prefixes(
         &mut self,
-        reads: &[CachedPrefix],
+        prefixes: &[CachedPrefix],
         capacity: impl Fn(&str) -> u64,
     ) {
-        for read in reads {
-            let id = self.tags.get(&read.replica);
+        for prefix in prefixes {
+            let id = self.tags.get(&prefix.replica);
             if let Some(state) = id.and_then(|id| self.rows.get_mut(id)) {
                 let capacity = capacity(&state.entry.service);
-                state.prefix_cache.record(&read.parts, capacity);
+                state.prefix_cache.record(&prefix.parts, capacity);
             }
         }
     }
@@ -136,7 +136,7 @@
             self.note_first_event(id, ticket, work);
         }
         if let Some(state) = self.replica_for_ticket(id, ticket) {
-            state.open_requests.remove(&ticket);
+            state.in_flight_requests.remove(&ticket);
             state.local_work.subtract_requests(work);
             let tag = state.tag;
             self.work_sync.note_changed(tag);
--- a/crates/zinniahatch_route/src/work_sync.rs
+++ b/crates/zinniahatch_route/src/work_sync.rs
@@ -11,21 +11,21 @@
 use crate::RegionUsage;
 use zinniahatch_base::prelude::*;
 
-/// Maximum number of pending prompt reads; further ones are dropped. The pending ones are kept,
+/// Maximum number of pending cached prefixes; further ones are dropped. The pending ones are kept,
 /// since older information is still better than none.
-const MAX_READS: usize = 64;
-/// Time for which a read of the same parts by the same replica is not announced again: the other
+const MAX_PREFIXES: usize = 64;
+/// Time for which the same prefix at the same replica is not announced again: the other
 /// nodes keep an LRU order, and a replica evicts parts only after many seconds.
-const READ_REPEAT_TIME: Duration = Duration::from_secs(2);
+const PREFIX_REPEAT_TIME: Duration = Duration::from_secs(2);
 /// Time after which the sequence number of a silent process is dropped.
 const DROP_AFTER: Duration = Duration::from_secs(30);
 /// Approximate size of an update in a datagram, without its entries, in bytes.
 const UPDATE_BYTES: usize = 12;
 /// Approximate size of the work at one replica: its tag and four small numbers.
 const WORK_BYTES: usize = 12;
-/// Approximate size of a read without its parts, and of each part.
-const READ_BYTES: usize = 6;
-const READ_PART_BYTES: usize = 13;
+/// Approximate size of a cached prefix without its parts, and of each part.
+const PREFIX_BYTES: usize = 6;
+const PREFIX_PART_BYTES: usize = 13;
 
 domain! {
     /// Update of a process's in-flight work.
@@ -36,19 +36,19 @@
         pub number: u32,
         /// In-flight work that changed, by replica tag.
         pub work: Vec<(ShortTag, InFlightWork)>,
-        /// Shared prompt parts that replicas read.
-        pub reads: Vec<CachedPrefix>
+        /// Shared prompt parts that replicas were sent.
+        pub prefixes: Vec<CachedPrefix>
     }
 }
 
 impl WorkUpdate {
     /// Returns the approximate size in a datagram.
     fn bytes(&self) -> usize {
-        let reads = self.reads.iter();
-        let reads: usize = reads
-            .map(|read| READ_BYTES + READ_PART_BYTES * read.parts.len())
+        let prefixes = self.prefixes.iter();
+        let prefixes: usize = prefixes
+            .map(|prefix| PREFIX_BYTES + PREFIX_PART_BYTES * prefix.parts.len())
             .sum();
-        UPDATE_BYTES + WORK_BYTES * self.work.len() + reads
+        UPDATE_BYTES + WORK_BYTES * self.work.len() + prefixes
     }
 
     /// Merges a newer update of the same process.
@@ -59,7 +59,7 @@
                 None => self.work.push((tag, work)),
             }
         }
-        self.reads.extend(newer.reads);
+        self.prefixes.extend(newer.prefixes);
         self.number = newer.number;
     }
 }
@@ -68,8 +68,8 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct WorkSync {
     changed: BTreeSet<ShortTag>,
-    reads: Vec<CachedPrefix>,
-    /// When a read was last announced, by replica and by the tag of the last part.
+    prefixes: Vec<CachedPrefix>,
+    /// When a prefix was last announced, by replica and by the tag of the last part.
     announced_at: BTreeMap<(ShortTag, u64), Instant>,
     /// Last sequence number of each process, and when it was received.
     sequences: BTreeMap<ShortTag, (u32, Instant)>,
@@ -84,25 +84,25 @@
         std::mem::take(&mut self.changed)
     }
 
-    pub(crate) fn note_read(&mut self, replica: ShortTag, shared: &[PromptPart], now: Instant) {
+    pub(crate) fn note_prefix(&mut self, replica: ShortTag, shared: &[PromptPart], now: Instant) {
         let Some(last) = shared.last() else {
             return;
         };
         let known = self.announced_at.get(&(replica, last.tag));
         let is_repeat =
-            known.is_some_and(|at| now.saturating_duration_since(*at) < READ_REPEAT_TIME);
-        if is_repeat || self.reads.len() >= MAX_READS {
+            known.is_some_and(|at| now.saturating_duration_since(*at) < PREFIX_REPEAT_TIME);
+        if is_repeat || self.prefixes.len() >= MAX_PREFIXES {
             return;
         }
         self.announced_at.insert((replica, last.tag), now);
-        self.reads.push(CachedPrefix {
+        self.prefixes.push(CachedPrefix {
             replica,
             parts: shared.to_vec(),
         });
     }
 
-    pub(crate) fn take_reads(&mut self) -> Vec<CachedPrefix> {
-        std::mem::take(&mut self.reads)
+    pub(crate) fn take_prefixes(&mut self) -> Vec<CachedPrefix> {
+        std::mem::take(&mut self.prefixes)
     }
 
     /// Records the sequence number of an update; returns whether it is newer than the last.
@@ -119,7 +119,7 @@
         let since = |at: Instant| now.saturating_duration_since(at);
         self.sequences.retain(|_, (_, at)| since(*at) <= DROP_AFTER);
         self.announced_at
-            .retain(|_, at| since(*at) <= READ_REPEAT_TIME);
+            .retain(|_, at| since(*at) <= PREFIX_REPEAT_TIME);
     }
 }
 
--- a/crates/zinniahatch_route/tests/beliefs.rs
+++ b/crates/zinniahatch_route/tests/beliefs.rs
@@ -119,15 +119,15 @@
         !record.is_suspect(now + Duration::from_secs(60)),
         "idle is not silent"
     );
-    record.set_oldest_open(Some(now), Duration::ZERO);
+    record.set_oldest_in_flight(Some(now), Duration::ZERO);
     assert!(!record.is_suspect(now + Duration::from_millis(500)));
     assert!(record.is_suspect(now + Duration::from_secs(1)));
-    record.set_oldest_open(Some(now), Duration::from_secs(2));
+    record.set_oldest_in_flight(Some(now), Duration::from_secs(2));
     assert!(
         !record.is_suspect(now + Duration::from_secs(1)),
         "it reads a long prompt"
     );
-    record.set_oldest_open(Some(now), Duration::ZERO);
+    record.set_oldest_in_flight(Some(now), Duration::ZERO);
     record.note_bytes(now + Duration::from_millis(900));
     assert!(!record.is_suspect(now + Duration::from_secs(1)));
 }
--- a/crates/zinniahatch_route/tests/overload.rs
+++ b/crates/zinniahatch_route/tests/overload.rs
@@ -151,7 +151,7 @@
             model.learn(ModelSample {
                 tokens,
                 tokens_ahead: 0,
-                queue: Duration::ZERO,
+                slot_wait: Duration::ZERO,
                 urgent: false,
                 took: Duration::from_secs_f64(millis / 1e3)
             });
@@ -171,7 +171,7 @@
             model.learn(ModelSample {
                 tokens: 450,
                 tokens_ahead,
-                queue: Duration::ZERO,
+                slot_wait: Duration::ZERO,
                 urgent: true,
                 took: Duration::from_millis(55)
             });
@@ -192,7 +192,7 @@
             model.learn(ModelSample {
                 tokens,
                 tokens_ahead,
-                queue: Duration::ZERO,
+                slot_wait: Duration::ZERO,
                 urgent,
                 took: Duration::from_secs_f64(millis / 1e3)
             });
@@ -211,7 +211,7 @@
             model.learn(ModelSample {
                 tokens: 100,
                 tokens_ahead: 0,
-                queue: Duration::ZERO,
+                slot_wait: Duration::ZERO,
                 urgent: false,
                 took: Duration::from_millis(took)
             });
@@ -250,7 +250,7 @@
         model.learn(ModelSample {
             tokens: 500,
             tokens_ahead: 6_000,
-            queue: Duration::ZERO,
+            slot_wait: Duration::ZERO,
             urgent,
             took: Duration::from_millis(50 + waited),
         });
--- a/crates/zinniahatch_route/tests/placement.rs
+++ b/crates/zinniahatch_route/tests/placement.rs
@@ -106,10 +106,10 @@
         ask.urgent = urgent;
         choose_local(&table, &ColdLimiter::default(), &regions(), &ask, now).unwrap()
     };
-    assert!(expect(full, false).queue > Duration::ZERO);
-    assert_eq!(expect(full, true).queue, Duration::ZERO);
+    assert!(expect(full, false).slot_wait > Duration::ZERO);
+    assert_eq!(expect(full, true).slot_wait, Duration::ZERO);
     full.urgent_requests = 20;
-    assert!(expect(full, true).queue > Duration::ZERO);
+    assert!(expect(full, true).slot_wait > Duration::ZERO);
 }
 
 /// A session's shared parts were read again by each replica that the load pushed it to, a third of
--- a/crates/zinniahatch_route/tests/work_news.rs
+++ b/crates/zinniahatch_route/tests/work_news.rs
@@ -36,7 +36,7 @@
         origin,
         number,
         work,
-        reads: Vec::new(),
+        prefixes: Vec::new(),
     }
 }
 
@@ -161,7 +161,7 @@
         replica: 1,
         parts: prompt(1, 1).parts,
     };
-    large.reads = vec![read; 64];
+    large.prefixes = vec![read; 64];
     let mut gatherer = WorkBatch::default();
     gatherer.add(large);
     gatherer.add(part(2, 1, vec![(1, work(1))]));
