--- a/crates/zinniahatch_entry/src/nodes/gossip.rs
+++ b/crates/zinniahatch_entry/src/nodes/gossip.rs
@@ -40,7 +40,7 @@
 /// Size of the receive buffer, and thus the largest datagram that is read in full.
 const MAX_DATAGRAM_BYTES: usize = 8 << 10;
 /// Number of peer addresses in a heartbeat, so that a new node discovers all nodes from one
-/// contact.
+/// node.
 const MAX_PEERS: usize = 3;
 
 /// The last timestamp received from each node, and when it arrived.
@@ -296,17 +296,17 @@
 ) {
     let now = core.clock.now();
     // A node that has no heartbeat of this process yet may echo a timestamp of an earlier process.
-    let Some(stamped) = core.clock.sent_at(stamp, now) else {
+    let Some(stamp_sent) = core.clock.sent_at(stamp, now) else {
         return;
     };
     // The heartbeat that carries the echo was sent no earlier than this.
-    let replied = stamped + hold_time;
-    let round_trip = now.saturating_sub(replied);
+    let echo_sent = stamp_sent + hold_time;
+    let round_trip = now.saturating_sub(echo_sent);
     core.members.borrow_mut().note_round_trip(node, round_trip);
     if let Some(proof) = proof {
-        apply_proof(core, proof, replied);
+        apply_proof(core, proof, echo_sent);
     }
-    let sent = Instant::now().checked_sub(now.saturating_sub(stamped));
+    let sent = Instant::now().checked_sub(now.saturating_sub(stamp_sent));
     if let Some(sent) = sent {
         core.region_paths.borrow_mut().note_delivered(region, sent);
     }
--- a/crates/zinniahatch_route/src/heartbeat_targets.rs
+++ b/crates/zinniahatch_route/src/heartbeat_targets.rs
@@ -18,23 +18,23 @@
 use zinniahatch_base::rendezvous_rank;
 
 /// Nodes polled in each other region; two may fail at once before the node knows none there.
-const REMOTE_CONTACTS: usize = 3;
-/// Time without a reply after which a polled contact is replaced by another; the same as the time
+const REMOTE_TARGETS: usize = 3;
+/// Time without a reply after which a polled target is replaced by another; the same as the time
 /// after which a member no longer counts as live.
 const REPLY_TIMEOUT: Duration = Duration::from_millis(1800);
-/// Time for which an unresponsive contact is skipped while there are others.
+/// Time for which an unresponsive target is skipped while there are others.
 const SKIP_TIME: Duration = Duration::from_secs(10);
 /// Time without a reply after which an address is dropped, if others of its region reply: its node
 /// was replaced.
 const DROP_AFTER: Duration = Duration::from_secs(60);
 
-/// Sort key of a contact in another region: whether it is currently skipped, whether it left the
+/// Sort key of a target in another region: whether it is currently skipped, whether it left the
 /// last poll unanswered, its reversed rank, and its address.
-type RemoteContact = (bool, bool, Reverse<u64>, SocketAddrV4);
+type RemoteTarget = (bool, bool, Reverse<u64>, SocketAddrV4);
 
 /// State of one address.
 #[derive(Clone, Debug)]
-struct ContactState {
+struct TargetState {
     /// Its region, unknown for a configured address until it replies.
     region: Option<RegionId>,
     /// Its rendezvous rank for this node; the highest ranks are polled.
@@ -54,7 +54,7 @@
 pub struct HeartbeatTargets {
     own: SocketAddrV4,
     region: RegionId,
-    rows: BTreeMap<SocketAddrV4, ContactState>,
+    rows: BTreeMap<SocketAddrV4, TargetState>,
 }
 
 impl HeartbeatTargets {
@@ -73,7 +73,7 @@
             return;
         }
         let own = self.own;
-        let row = self.rows.entry(address).or_insert_with(|| ContactState {
+        let row = self.rows.entry(address).or_insert_with(|| TargetState {
             region: None,
             rank: rendezvous_rank(&own.to_string(), &address.to_string()),
             polled: None,
@@ -113,7 +113,7 @@
     pub fn next_targets(&mut self, now: Instant) -> Vec<SocketAddrV4> {
         self.update_silent(now);
         let mut chosen = Vec::new();
-        let mut remote: BTreeMap<&RegionId, Vec<RemoteContact>> = BTreeMap::new();
+        let mut remote: BTreeMap<&RegionId, Vec<RemoteTarget>> = BTreeMap::new();
         for (address, row) in &self.rows {
             match &row.region {
                 Some(region) if *region != self.region => {
@@ -126,7 +126,7 @@
         }
         for mut ranked in remote.into_values() {
             ranked.sort_unstable();
-            let first = ranked.into_iter().take(REMOTE_CONTACTS);
+            let first = ranked.into_iter().take(REMOTE_TARGETS);
             chosen.extend(first.map(|(_, _, _, address)| address));
         }
         for address in &chosen {
@@ -137,7 +137,7 @@
         chosen
     }
 
-    /// Marks contacts that do not reply as skipped, and drops those whose region replies without
+    /// Marks targets that do not reply as skipped, and drops those whose region replies without
     /// them.
     fn update_silent(&mut self, now: Instant) {
         let since = |at: Instant| now.saturating_duration_since(at);
