--- a/crates/zinniahatch_route/tests/accounts.rs
+++ b/crates/zinniahatch_route/tests/accounts.rs
@@ -14,7 +14,7 @@
 use zinniahatch_route::AllowanceUnit;
 use zinniahatch_route::DesiredAccount;
 use zinniahatch_route::KeyFreshness;
-use zinniahatch_route::KeyVerdict;
+use zinniahatch_route::KeyLookup;
 use zinniahatch_route::PromptSize;
 use zinniahatch_route::common_homes;
 
@@ -46,13 +46,13 @@
     assert!(!empty.requires_key());
     let first = table(1, vec![account("a", &["k", "l"], &[])], &empty);
     assert!(first.requires_key() && first.holds(&digest("k"), "a"));
-    assert_eq!(first.find(&digest("m")), KeyVerdict::Unknown);
+    assert_eq!(first.find(&digest("m")), KeyLookup::Unknown);
     let second = table(2, vec![account("a", &["l"], &[])], &first);
-    assert_eq!(second.find(&digest("k")), KeyVerdict::Revoked);
+    assert_eq!(second.find(&digest("k")), KeyLookup::Revoked);
     assert!(!second.holds(&digest("k"), "a"));
     let third = table(3, vec![account("b", &["k"], &[])], &second);
     assert!(third.holds(&digest("k"), "b") && !third.holds(&digest("k"), "a"));
-    assert_eq!(third.find(&digest("l")), KeyVerdict::Revoked);
+    assert_eq!(third.find(&digest("l")), KeyLookup::Revoked);
 }
 
 /// Guards against a key that is revoked after thousands of others, while requests with it are in
@@ -69,7 +69,7 @@
     );
     let second = table(2, vec![account("new", &["zzz"], &[])], &first);
     let third = table(3, vec![account("new", &[], &[])], &second);
-    assert_eq!(third.find(&digest("zzz")), KeyVerdict::Revoked);
+    assert_eq!(third.find(&digest("zzz")), KeyLookup::Revoked);
 }
 
 /// Guards against a forwarded request whose key this node never knew, and which continues after the
@@ -79,7 +79,7 @@
     let fourth = table(4, vec![account("a", &["l"], &[])], &AccountTable::default());
     assert!(fourth.still_holds(&digest("k"), "a", 5, 4));
     let sixth = table(6, vec![account("a", &["l"], &[])], &fourth);
-    assert_eq!(sixth.find(&digest("k")), KeyVerdict::Unknown);
+    assert_eq!(sixth.find(&digest("k")), KeyLookup::Unknown);
     assert!(!sixth.still_holds(&digest("k"), "a", 5, 6));
     assert!(sixth.still_holds(&digest("l"), "a", 5, 6));
 }
--- a/crates/zinniahatch_route/tests/backoff_policies.rs
+++ b/crates/zinniahatch_route/tests/backoff_policies.rs
@@ -218,7 +218,7 @@
             BackoffPolicy::Own | BackoffPolicy::All => BACKOFF,
         };
         let notice = ReplicaNotice {
-            rest: if taken {
+            backoff: if taken {
                 BackoffNotice::Absent
             } else {
                 BackoffNotice::For(backoff)
--- a/crates/zinniahatch_route/tests/common/mod.rs
+++ b/crates/zinniahatch_route/tests/common/mod.rs
@@ -170,7 +170,7 @@
             ServiceCapacity {
                 healthy,
                 wait_ms,
-                pause_us: 0,
+                gap_us: 0,
                 running: 0,
             },
         )]
--- a/crates/zinniahatch_route/tests/earliest_retry.rs
+++ b/crates/zinniahatch_route/tests/earliest_retry.rs
@@ -32,7 +32,7 @@
             continue;
         };
         let notice = ReplicaNotice {
-            rest: BackoffNotice::For(Duration::from_secs(*backoff)),
+            backoff: BackoffNotice::For(Duration::from_secs(*backoff)),
             ..ReplicaNotice::default()
         };
         let received = ReceivedNotice {
--- a/crates/zinniahatch_route/tests/heartbeat_targets.rs
+++ b/crates/zinniahatch_route/tests/heartbeat_targets.rs
@@ -44,7 +44,7 @@
         chosen = targets.next_targets(now);
         for address in chosen.iter().filter(|address| responds(address)) {
             let region_index = usize::from(address.ip().octets()[2]);
-            targets.note_heard(*address, &region(region_index), now);
+            targets.note_received(*address, &region(region_index), now);
         }
     }
     chosen
--- a/crates/zinniahatch_route/tests/notice_handling.rs
+++ b/crates/zinniahatch_route/tests/notice_handling.rs
@@ -20,7 +20,7 @@
 
 const LEAVING: ReplicaNotice = ReplicaNotice {
     leaving: DrainNotice::Leaving,
-    rest: BackoffNotice::Absent,
+    backoff: BackoffNotice::Absent,
     rate_limit: RateLimitNotice::Absent,
     load: None,
     cold_for: None,
@@ -165,7 +165,7 @@
 /// Returns a notice that requests a backoff of this duration.
 fn backoff_notice(seconds: f64) -> ReplicaNotice {
     ReplicaNotice {
-        rest: BackoffNotice::For(Duration::from_secs_f64(seconds)),
+        backoff: BackoffNotice::For(Duration::from_secs_f64(seconds)),
         ..ReplicaNotice::default()
     }
 }
@@ -301,7 +301,7 @@
     let mut table = ReplicaTable::default();
     table.upsert(incarnation_entry(1, 10), now);
     let notice = ReplicaNotice {
-        rest: requested,
+        backoff: requested,
         ..ReplicaNotice::default()
     };
     let effect = apply(&mut table, &notice, auth, now);
@@ -309,7 +309,10 @@
         effect.rejected.is_empty(),
         requested != BackoffNotice::Malformed
     );
-    assert_eq!(effect.unproven.is_empty(), auth != ResponseAuth::Unverified);
+    assert_eq!(
+        effect.unverified.is_empty(),
+        auth != ResponseAuth::Unverified
+    );
     let tag = incarnation_entry(1, 0).incarnation().tag();
     assert_eq!(table.backoffs.wait(tag, now), seconds(expected));
 }
--- a/crates/zinniahatch_route/tests/notice_simulation/mod.rs
+++ b/crates/zinniahatch_route/tests/notice_simulation/mod.rs
@@ -404,7 +404,7 @@
             // The requested backoffs vary, so that later ones may be shorter.
             let part = self.rng.random_range(0.2..1.0);
             let backoff = Duration::from_secs_f64(max_backoff * part);
-            notice.rest = BackoffNotice::For(backoff);
+            notice.backoff = BackoffNotice::For(backoff);
             self.checker.note_backoff(
                 request.tag,
                 request.node,
--- a/crates/zinniahatch_route/tests/notice_simulation/mutations.rs
+++ b/crates/zinniahatch_route/tests/notice_simulation/mutations.rs
@@ -56,7 +56,7 @@
 
 impl SendMutation for ShortensBackoff {
     fn note_response(&mut self, tag: u32, notice: &ReplicaNotice, taken: bool, now: Instant) {
-        if let BackoffNotice::For(backoff) = notice.rest {
+        if let BackoffNotice::For(backoff) = notice.backoff {
             self.until.insert(tag, now + backoff);
         } else if taken {
             self.until.remove(&tag);
--- a/crates/zinniahatch_route/tests/overload.rs
+++ b/crates/zinniahatch_route/tests/overload.rs
@@ -156,7 +156,7 @@
             model.learn(ModelSample {
                 tokens,
                 tokens_ahead: 0,
-                queue: Duration::ZERO,
+                slot_wait: Duration::ZERO,
                 urgent: false,
                 took: Duration::from_secs_f64(millis / 1e3)
             });
@@ -177,7 +177,7 @@
             model.learn(ModelSample {
                 tokens: 450,
                 tokens_ahead,
-                queue: Duration::ZERO,
+                slot_wait: Duration::ZERO,
                 urgent: true,
                 took: Duration::from_millis(55)
             });
@@ -199,7 +199,7 @@
             model.learn(ModelSample {
                 tokens,
                 tokens_ahead,
-                queue: Duration::ZERO,
+                slot_wait: Duration::ZERO,
                 urgent,
                 took: Duration::from_secs_f64(millis / 1e3)
             });
@@ -218,7 +218,7 @@
             model.learn(ModelSample {
                 tokens: 100,
                 tokens_ahead: 0,
-                queue: Duration::ZERO,
+                slot_wait: Duration::ZERO,
                 urgent: false,
                 took: Duration::from_millis(took)
             });
@@ -264,7 +264,7 @@
         model.learn(ModelSample {
             tokens: 500,
             tokens_ahead: 6_000,
-            queue: Duration::ZERO,
+            slot_wait: Duration::ZERO,
             urgent,
             took: Duration::from_millis(50 + waited),
         });
--- a/crates/zinniahatch_route/tests/placement.rs
+++ b/crates/zinniahatch_route/tests/placement.rs
@@ -108,10 +108,10 @@
         query.urgent = urgent;
         choose_local(&table, &ColdLimiter::default(), &regions(), &query, now).unwrap()
     };
-    assert!(expect(full, false).queue > Duration::ZERO);
-    assert_eq!(expect(full, true).queue, Duration::ZERO);
+    assert!(expect(full, false).slot_wait > Duration::ZERO);
+    assert_eq!(expect(full, true).slot_wait, Duration::ZERO);
     full.urgent_requests = 20;
-    assert!(expect(full, true).queue > Duration::ZERO);
+    assert!(expect(full, true).slot_wait > Duration::ZERO);
 }
 
 /// Guards against repeated prefill of shared parts: each replica to which load moved a session
--- a/crates/zinniahatch_route/tests/region_paths.rs
+++ b/crates/zinniahatch_route/tests/region_paths.rs
@@ -41,7 +41,7 @@
         paths.note_delivered(&south, after(start, sent));
     }
     if let Some(at) = answered {
-        paths.note_answer(&south, 2, after(start, at));
+        paths.note_response(&south, 2, after(start, at));
     }
     assert!(paths.unreachable(after(start, 1_500)).is_empty());
 }
--- a/crates/zinniahatch_route/tests/replica_state.rs
+++ b/crates/zinniahatch_route/tests/replica_state.rs
@@ -120,15 +120,15 @@
         !health.is_suspect(now + Duration::from_secs(60)),
         "nothing is in flight"
     );
-    health.set_oldest_open(Some(now), Duration::ZERO);
+    health.set_oldest_in_flight(Some(now), Duration::ZERO);
     assert!(!health.is_suspect(now + Duration::from_millis(500)));
     assert!(health.is_suspect(now + Duration::from_secs(1)));
-    health.set_oldest_open(Some(now), Duration::from_secs(2));
+    health.set_oldest_in_flight(Some(now), Duration::from_secs(2));
     assert!(
         !health.is_suspect(now + Duration::from_secs(1)),
         "prefill of a long prompt"
     );
-    health.set_oldest_open(Some(now), Duration::ZERO);
+    health.set_oldest_in_flight(Some(now), Duration::ZERO);
     health.note_bytes(now + Duration::from_millis(900));
     assert!(!health.is_suspect(now + Duration::from_secs(1)));
 }
--- a/crates/zinniahatch_route/tests/suspects.rs
+++ b/crates/zinniahatch_route/tests/suspects.rs
@@ -196,7 +196,7 @@
     assert_eq!(update.content, INNOCENT);
     table.note_persisted(INNOCENT);
     assert!(table.unpersisted(now + DECISION_TIME).is_none());
-    assert!(table.note_answered(INNOCENT, now + seconds(1)));
+    assert!(table.note_complete_response(INNOCENT, now + seconds(1)));
     assert!(!is_quarantined(&table, INNOCENT, now + seconds(1)));
     let changes = table.review(now + seconds(1));
     assert_eq!(changes.len(), 1);
@@ -214,7 +214,7 @@
 fn loss_of_all_replicas_quarantines_nothing() {
     let start = Instant::now();
     let mut table = SuspectTable::default();
-    table.note_answered(INNOCENT, start);
+    table.note_complete_response(INNOCENT, start);
     for replica in 0..40 {
         assert!(!table.note_crash(INNOCENT, replica, RUN_TIME, start + seconds(1)));
         table.note_crash(
@@ -235,7 +235,7 @@
     let start = Instant::now();
     let (mut other, now) = with_crashes(INNOCENT, 0..3, start);
     let mut table = SuspectTable::default();
-    table.note_answered(INNOCENT, start);
+    table.note_complete_response(INNOCENT, start);
     for update in take_all(&mut other, false, now) {
         assert_eq!(
             table.apply_update(&update, false, now),
@@ -243,7 +243,7 @@
         );
     }
     assert!(!is_quarantined(&table, INNOCENT, now));
-    assert!(table.note_answered(INNOCENT, now));
+    assert!(table.note_complete_response(INNOCENT, now));
     for update in take_all(&mut table, false, now) {
         other.apply_update(&update, false, now);
     }
@@ -257,7 +257,7 @@
     let start = Instant::now();
     let (other, now) = with_crashes(INNOCENT, 0..3, start);
     let (mut table, _) = with_crashes(INNOCENT, 0..3, start);
-    table.note_answered(INNOCENT, now + seconds(1));
+    table.note_complete_response(INNOCENT, now + seconds(1));
     while !take_all(&mut table, true, now).is_empty() {}
     let later = now + seconds(2);
     let announced = other.accused_updates(0, MAX_UPDATES, later);
@@ -272,9 +272,9 @@
     );
     // A node that knows nothing else about the content also corrects the sender.
     let mut third = SuspectTable::default();
-    third.note_answered(INNOCENT, start);
+    third.note_complete_response(INNOCENT, start);
     third.apply_update(&announced[0], false, later);
-    third.note_answered(INNOCENT, later + seconds(1));
+    third.note_complete_response(INNOCENT, later + seconds(1));
     assert_eq!(
         contents(&third.take_updates(false, MAX_UPDATES, later).broadcast),
         [INNOCENT]
@@ -391,7 +391,7 @@
 fn events() -> impl Strategy<Value = Vec<(Event, usize)>> {
     let event = prop_oneof![
         4 => (0..4_u64, 0..8_u32, 1..50_u64).prop_map(|(content, replica, ran)| Event::Crash(content, replica, ran)),
-        1 => (0..4_u64).prop_map(Event::Response),
+        1 => (0..4_u64).prop_map(Event::Response)
     ];
     prop::collection::vec((event, 0..3_usize), 0..24)
 }
@@ -411,7 +411,7 @@
                     nodes[node].note_crash(content, replica, RUN_TIME * ran as u32, now);
                 }
                 Event::Response(content) => {
-                    nodes[node].note_answered(content, now);
+                    nodes[node].note_complete_response(content, now);
                 }
             }
             // Everything is sent at once, also to nodes that have it already.
--- a/crates/zinniahatch_route/tests/work_sync.rs
+++ b/crates/zinniahatch_route/tests/work_sync.rs
@@ -37,7 +37,7 @@
         origin,
         number,
         work,
-        reads: Vec::new(),
+        prefixes: Vec::new(),
     }
 }
 
@@ -171,7 +171,7 @@
         replica: 1,
         parts: prompt(1, 1).parts,
     };
-    large.reads = vec![read; 64];
+    large.prefixes = vec![read; 64];
     let mut batch = WorkBatch::default();
     batch.add(large);
     batch.add(update(2, 1, vec![(1, work(1))]));
