--- a/crates/zinniahatch_lab/src/main.rs
+++ b/crates/zinniahatch_lab/src/main.rs
@@ -6,7 +6,7 @@
 use zinniahatch_lab::experiments;
 use zinniahatch_lab::experiments::faults::FaultKind;
 use zinniahatch_lab::experiments::faults::FaultRun;
-use zinniahatch_lab::soak::ReplicaWords;
+use zinniahatch_lab::soak::ReplicaAnnouncements;
 use zinniahatch_lab::soak::SoakRun;
 
 /// Runs the demonstration and the experiments.
@@ -172,9 +172,9 @@
                 time: Duration::from_secs(args.seconds),
                 entries: args.entries,
                 callers: args.callers,
-                fatal: args.fatal,
-                returns: args.returns,
-                words: ReplicaWords {
+                crashing_request: args.fatal,
+                store_restore: args.returns,
+                announcements: ReplicaAnnouncements {
                     limits: args.limits,
                     notices: args.notices,
                 },
--- a/crates/zinniahatch_lab/src/soak.rs
+++ b/crates/zinniahatch_lab/src/soak.rs
@@ -1,65 +1,65 @@
-//! A randomized fault soak: the real programs as processes on one machine, faults injected from outside.
+//! Randomized soak test: real processes on one machine, with faults injected from outside.
 //!
-//! A seed draws which faults begin when and how long they last; they overlap freely. Callers keep calling
-//! through it all and check each answer as it comes; when all faults are over, the books of the
-//! replicas are compared with what callers were told, and every entry VM must serve again.
+//! The seed determines which faults begin when and how long they last; faults may overlap. Callers send
+//! requests throughout and check each response on arrival. After the last fault, the requests recorded
+//! by the replicas are compared with the responses that callers got, and every entry VM must serve again.
 
 mod callers;
-mod fatal;
-mod faults;
+mod crashing_caller;
+mod injector;
+mod invariants;
 mod limits;
 mod notices;
 mod plan;
-mod promises;
 
 use crate::site::SiteCluster;
 use crate::site::SiteRegion;
 use crate::stand::replica::StreamShape;
-use callers::CallerCrowd;
-use fatal::FatalCaller;
-use faults::FaultBoard;
+use callers::CallerPool;
+use crashing_caller::CrashingCaller;
+use injector::FaultInjector;
+use invariants::OutcomeLog;
 use plan::SoakPlan;
-use promises::PromiseBook;
 use std::sync::Arc;
 use zinniahatch_base::prelude::*;
 
-/// Events of a stream and the pause before each.
+/// Number of events of a stream and the pause before each.
 const SHAPE: StreamShape = StreamShape {
     events: 20,
     pause: Duration::from_millis(40),
 };
 
-/// What replicas say of themselves in their answers.
+/// Which notices replicas send in their response headers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct ReplicaWords {
-    /// They name rate limits.
+pub struct ReplicaAnnouncements {
+    /// Replicas announce rate limits.
     pub limits: bool,
-    /// They say that they leave, or ask for rest.
+    /// Replicas announce that they are leaving, or ask for backoff.
     pub notices: bool,
 }
 
-/// What to run.
+/// Options of a soak.
 #[derive(Clone, Copy, Debug)]
 pub struct SoakRun {
     /// The first seed.
     pub seed: u64,
-    /// How many seeds, one after the other.
+    /// Number of seeds, which run one after the other.
     pub seeds: u64,
-    /// How long faults begin, for each seed.
+    /// Time during which faults begin, for each seed.
     pub time: Duration,
     /// Entry VMs in each of the three regions.
     pub entries: usize,
-    /// Callers at once.
+    /// Number of concurrent callers.
     pub callers: usize,
-    /// Whether one more caller comes with a request that ends each replica which begins it.
-    pub fatal: bool,
-    /// Whether the store comes back from an older copy.
-    pub returns: bool,
-    /// What replicas say of themselves in their answers.
-    pub words: ReplicaWords,
+    /// Whether one more caller repeats a request that crashes each replica that runs it.
+    pub crashing_request: bool,
+    /// Whether the store is restored from an older backup.
+    pub store_restore: bool,
+    /// Which notices replicas send in their response headers.
+    pub announcements: ReplicaAnnouncements,
 }
 
-/// Runs seed after seed; gives how many promises broke.
+/// Runs all seeds in sequence; returns the number of violated invariants.
 pub async fn run(soak: &SoakRun) -> usize {
     let mut broken = 0;
     for seed in soak.seed..soak.seed + soak.seeds {
@@ -76,7 +76,7 @@
     broken
 }
 
-/// Runs one seed; gives the promises that broke.
+/// Runs one seed; returns a description of each violated invariant.
 pub async fn run_seed(soak: &SoakRun, seed: u64) -> Vec<String> {
     let regions = [("north", 3), ("south", 2), ("west", 1)].map(|(name, replicas)| SiteRegion {
         name,
@@ -85,35 +85,37 @@
     });
     let mut site = SiteCluster::start(&regions, SHAPE).await;
     let mut plan = SoakPlan::draw(seed, soak.time, &site);
-    if soak.returns {
-        plan = plan.with_return(seed, soak.time);
+    if soak.store_restore {
+        plan = plan.with_store_restore(seed, soak.time);
     }
-    if soak.words.limits {
+    if soak.announcements.limits {
         plan = plan.with_limits(seed, soak.time, &site);
     }
-    if soak.words.notices {
+    if soak.announcements.notices {
         plan = plan.with_notices(seed, soak.time, &site);
     }
-    let book = Arc::new(PromiseBook::default());
-    let crowd = CallerCrowd::start(seed, soak.callers, &site, &book);
-    let fatal = soak.fatal.then(|| FatalCaller::start(seed, &site));
-    let mut board = FaultBoard::new(&plan);
-    board.play(&mut site, &book).await;
-    crowd.stop().await;
-    promises::check_recovery(&mut site, &board, &book).await;
+    let log = Arc::new(OutcomeLog::default());
+    let callers = CallerPool::start(seed, soak.callers, &site, &log);
+    let fatal = soak
+        .crashing_request
+        .then(|| CrashingCaller::start(seed, &site));
+    let mut injector = FaultInjector::new(&plan);
+    injector.run(&mut site, &log).await;
+    callers.stop().await;
+    invariants::check_recovery(&mut site, &injector, &log).await;
     if let Some(fatal) = fatal {
-        fatal.check(&mut site, &plan, &book).await;
+        fatal.check(&mut site, &plan, &log).await;
     }
-    limits::check_limits(&site, &plan, board.began, &book);
-    notices::check_notices(&site, &plan, board.began, &book);
-    promises::check_runs(&site, plan.mix, soak.fatal, &book);
-    let broken = book.take_broken();
+    limits::check_limits(&site, &plan, injector.started, &log);
+    notices::check_notices(&site, &plan, injector.started, &log);
+    invariants::check_runs(&site, plan.mix, soak.crashing_request, &log);
+    let broken = log.take_violations();
     println!(
         "seed {seed}: {} faults ({:?}) in {:?}, {}, {} broken",
         plan.faults.len(),
         plan.mix,
         soak.time,
-        book.summary(),
+        log.summary(),
         broken.len()
     );
     if !broken.is_empty() {
--- a/crates/zinniahatch_lab/src/soak/callers.rs
+++ b/crates/zinniahatch_lab/src/soak/callers.rs
@@ -1,8 +1,8 @@
-//! Callers that keep calling through all faults, on connections that they keep open.
+//! Callers that send requests throughout a soak, on persistent connections.
 
-use super::promises::CallerSight;
-use super::promises::PromiseBook;
-use super::promises::RouteKind;
+use super::invariants::CallOutcome;
+use super::invariants::OutcomeLog;
+use super::invariants::RouteKind;
 use crate::site::HOST;
 use crate::site::SiteCluster;
 use rand::RngExt;
@@ -17,40 +17,40 @@
 use tokio::time::timeout;
 use zinniahatch_base::prelude::*;
 
-/// Time for a connection and for the directory, as the platform's callers have it.
-const CONNECT_TIME: Duration = Duration::from_secs(1);
-/// How long a caller waits for an answer, in ms.
-const PATIENCE: std::ops::Range<u64> = 1_500..6_000;
-/// Time beyond the caller's own after which a call counts as never answered. Far more than a call may
-/// take, since the machine may be busy and entry VMs are paused for seconds.
-const HANG_TIME: Duration = Duration::from_secs(20);
-/// Pause between two calls of a caller, in ms.
-const PAUSE: std::ops::Range<u64> = 5..120;
-/// Calls on one connection before a caller asks the directory again. Some stay long, so that they still
-/// call an entry VM that is about to stop.
-const STAY: std::ops::Range<u32> = 2..80;
-/// One caller in so many leaves in the middle of a stream.
-const LEAVERS: u32 = 10;
+/// Time limit for connecting and for a directory query, the same as for the platform's callers.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+/// Time limit that a caller gives a request, in ms.
+const TIME_LIMIT_MS: std::ops::Range<u64> = 1_500..6_000;
+/// Time beyond the caller's own limit after which a request counts as never answered. It is far longer
+/// than a request may take, since the machine may be busy and entry VMs are paused for seconds.
+const HANG_TIMEOUT: Duration = Duration::from_secs(20);
+/// Pause between two requests of a caller, in ms.
+const PAUSE_MS: std::ops::Range<u64> = 5..120;
+/// Requests to one entry VM before a caller queries the directory again. Some callers stay long, so that
+/// they still send to an entry VM that is about to stop.
+const REQUESTS_PER_ENTRY: std::ops::Range<u32> = 2..80;
+/// One in this many streams is abandoned by its caller.
+const ABANDON_ONE_IN: u32 = 10;
 
-/// All callers of a run.
-pub(crate) struct CallerCrowd {
+/// All callers of a soak.
+pub(crate) struct CallerPool {
     ended: Arc<AtomicBool>,
     tasks: Vec<JoinHandle<()>>,
 }
 
-impl CallerCrowd {
-    /// Starts them.
+impl CallerPool {
+    /// Starts the callers.
     pub(crate) fn start(
         seed: u64,
         count: usize,
         site: &SiteCluster,
-        book: &Arc<PromiseBook>,
+        log: &Arc<OutcomeLog>,
     ) -> Self {
         let ended = Arc::new(AtomicBool::new(false));
-        let entries: Vec<SiteDoor> = site
+        let addresses: Vec<EntryAddress> = site
             .entries
             .iter()
-            .map(|entry| SiteDoor {
+            .map(|entry| EntryAddress {
                 directory: entry.addresses[3].clone(),
                 region: entry.region,
             })
@@ -58,13 +58,13 @@
         let tasks = (0..count).map(|number| {
             let caller = SoakCaller {
                 name: format!("c{number}"),
-                doors: entries.clone(),
-                region: entries[number % entries.len()].region,
-                book: Arc::clone(book),
+                entries: addresses.clone(),
+                region: addresses[number % addresses.len()].region,
+                log: Arc::clone(log),
                 ended: Arc::clone(&ended),
                 random: StdRng::seed_from_u64(seed.wrapping_mul(1_000) + number as u64),
                 client: Client::builder()
-                    .connect_timeout(CONNECT_TIME)
+                    .connect_timeout(CONNECT_TIMEOUT)
                     .no_proxy()
                     .build()
                     .unwrap_or_default(),
@@ -75,27 +75,27 @@
         Self { ended, tasks }
     }
 
-    /// Lets each caller finish its call, and waits for that.
+    /// Stops the callers after each has finished its current request.
     pub(crate) async fn stop(self) {
         self.ended.store(true, Ordering::SeqCst);
         for task in self.tasks {
-            task.await.expect("a caller ran to its end");
+            task.await.expect("a caller does not panic");
         }
     }
 }
 
-/// Where an entry VM listens.
+/// Directory address and region of an entry VM.
 #[derive(Clone, Debug)]
-struct SiteDoor {
+struct EntryAddress {
     directory: Box<str>,
     region: &'static str,
 }
 
 struct SoakCaller {
     name: String,
-    doors: Vec<SiteDoor>,
+    entries: Vec<EntryAddress>,
     region: &'static str,
-    book: Arc<PromiseBook>,
+    log: Arc<OutcomeLog>,
     ended: Arc<AtomicBool>,
     random: StdRng,
     client: Client,
@@ -106,31 +106,31 @@
         let mut number = 0;
         while !self.ended.load(Ordering::SeqCst) {
             let Some(front) = self.resolve().await else {
-                sleep(Duration::from_millis(self.random.random_range(PAUSE))).await;
+                sleep(Duration::from_millis(self.random.random_range(PAUSE_MS))).await;
                 continue;
             };
-            for _ in 0..self.random.random_range(STAY) {
+            for _ in 0..self.random.random_range(REQUESTS_PER_ENTRY) {
                 number += 1;
-                let kept = self.call(&front, number).await;
-                sleep(Duration::from_millis(self.random.random_range(PAUSE))).await;
-                if !kept || self.ended.load(Ordering::SeqCst) {
+                let reusable = self.send(&front, number).await;
+                sleep(Duration::from_millis(self.random.random_range(PAUSE_MS))).await;
+                if !reusable || self.ended.load(Ordering::SeqCst) {
                     break;
                 }
             }
         }
     }
 
-    /// Asks up to three directories, those of the own region first.
+    /// Resolves the address of an entry VM; queries up to three directories, those of the own region first.
     async fn resolve(&mut self) -> Option<Box<str>> {
-        let mut doors: Vec<&SiteDoor> = self.doors.iter().collect();
-        doors.sort_by_key(|door| door.region != self.region);
-        for door in doors.iter().take(3) {
+        let mut entries: Vec<&EntryAddress> = self.entries.iter().collect();
+        entries.sort_by_key(|entry| entry.region != self.region);
+        for entry in entries.iter().take(3) {
             let url = format!(
                 "http://{}/resolve?name={HOST}&region={}&zone={}-a",
-                door.directory, self.region, self.region
+                entry.directory, self.region, self.region
             );
             let asked = async { self.client.get(url).send().await?.bytes().await };
-            let Ok(Ok(body)) = timeout(CONNECT_TIME, asked).await else {
+            let Ok(Ok(body)) = timeout(CONNECT_TIMEOUT, asked).await else {
                 continue;
             };
             let Ok(body) = serde_json::from_slice::<serde_json::Value>(&body) else {
@@ -150,44 +150,45 @@
         None
     }
 
-    /// Makes a call; tells whether the connection is good for another.
-    async fn call(&mut self, front: &str, number: u32) -> bool {
+    /// Sends a request; returns whether the caller may go on with the same entry VM.
+    async fn send(&mut self, front: &str, number: u32) -> bool {
         let kinds = RouteKind::ALL;
         let kind = kinds[self.random.random_range(0..kinds.len())];
         let attempt = format!("{}-{number}", self.name);
-        let patience = Duration::from_millis(self.random.random_range(PATIENCE));
-        let leaves = kind == RouteKind::Stream && self.random.random_range(0..LEAVERS) == 0;
-        let limit = if leaves {
+        let time_limit = Duration::from_millis(self.random.random_range(TIME_LIMIT_MS));
+        let abandons =
+            kind == RouteKind::Stream && self.random.random_range(0..ABANDON_ONE_IN) == 0;
+        let limit = if abandons {
             Duration::from_millis(self.random.random_range(1..250))
         } else {
-            patience + HANG_TIME
+            time_limit + HANG_TIMEOUT
         };
         let request = self
             .client
             .get(format!("http://{front}/{}/x", kind.name()))
             .header("host", HOST)
             .header("x-attempt-id", &attempt)
-            .header("x-time-remaining", patience.as_millis().to_string());
+            .header("x-time-remaining", time_limit.as_millis().to_string());
         let answered = timeout(limit, async {
             let answer = request.send().await?;
             let head = (answer.status(), answer.headers().clone());
-            // What came of a broken answer does not count as one.
+            // A response whose body fails counts as no response.
             let body = answer.bytes().await?;
             Ok::<_, reqwest::Error>((head, body))
         })
         .await;
-        let sight = match answered {
-            Ok(Ok(((status, headers), body))) => CallerSight::Answered {
+        let outcome = match answered {
+            Ok(Ok(((status, headers), body))) => CallOutcome::Answered {
                 status: status.as_u16(),
                 sealed: headers.contains_key("x-server-seal"),
                 body,
             },
-            Ok(Err(_)) => CallerSight::Broken,
-            Err(_) if leaves => CallerSight::Left,
-            Err(_) => CallerSight::Hung,
+            Ok(Err(_)) => CallOutcome::Disconnected,
+            Err(_) if abandons => CallOutcome::Abandoned,
+            Err(_) => CallOutcome::TimedOut,
         };
-        let kept = matches!(&sight, CallerSight::Answered { status, .. } if *status == 200);
-        self.book.note(&attempt, kind, &sight);
-        kept
+        let reusable = matches!(&outcome, CallOutcome::Answered { status, .. } if *status == 200);
+        self.log.record(&attempt, kind, &outcome);
+        reusable
     }
 }
--- a/crates/zinniahatch_lab/src/soak/fatal.rs
+++ b/crates/zinniahatch_lab/src/soak/crashing_caller.rs
@@ -1,8 +1,8 @@
-//! A caller whose request ends each replica that begins it, and who comes again at any node.
+//! A caller that repeats a request which crashes each replica that runs it, through any entry VM.
 
+use super::invariants::OutcomeLog;
 use super::plan::SoakFault;
 use super::plan::SoakPlan;
-use super::promises::PromiseBook;
 use crate::site::HOST;
 use crate::site::SiteCluster;
 use crate::site::wait_until;
@@ -21,37 +21,37 @@
 /// The path of the request.
 const PATH: &str = "/stream/fatal";
 /// Pause between two tries, in ms.
-const PAUSE: std::ops::Range<u64> = 50..400;
-/// Ends of replicas after which the request is known.
-const KNOWN_ENDS: u32 = 3;
-/// Ends that may follow once every node that is in touch knows it.
-const LATE_ENDS: u32 = 3;
-/// Time within which trouble of the store and a kill of all nodes touch each other.
-const NEAR: Duration = Duration::from_secs(6);
+const PAUSE_MS: std::ops::Range<u64> = 50..400;
+/// Number of replica crashes after which the request is quarantined.
+const CRASHES_BEFORE_QUARANTINE: u32 = 3;
+/// Further crashes allowed once every reachable node has the request in quarantine.
+const MAX_LATE_CRASHES: u32 = 3;
+/// Time by which a store fault and a kill of all nodes may be apart and still affect each other.
+const OVERLAP_MARGIN: Duration = Duration::from_secs(6);
 
-/// The caller on its way.
-pub(crate) struct FatalCaller {
+/// The running caller.
+pub(crate) struct CrashingCaller {
     content: CallContent,
     task: JoinHandle<()>,
 }
 
-impl FatalCaller {
-    /// Starts it.
+impl CrashingCaller {
+    /// Starts the caller.
     pub(crate) fn start(seed: u64, site: &SiteCluster) -> Self {
         let content = CallContent::of_path(PATH);
         site.fatal.add(content.clone());
         let fronts = site.entries.iter().map(|entry| entry.addresses[0].clone());
-        let task = tokio::spawn(repeat(seed, fronts.collect()));
+        let task = tokio::spawn(send_repeatedly(seed, fronts.collect()));
         Self { content, task }
     }
 
-    /// Ends it and checks that every node tells it, once all is well, without many replicas more.
-    pub(crate) async fn check(self, site: &mut SiteCluster, plan: &SoakPlan, book: &PromiseBook) {
+    /// Stops the caller and checks that every node refuses the request with few further crashes.
+    pub(crate) async fn check(self, site: &mut SiteCluster, plan: &SoakPlan, log: &OutcomeLog) {
         self.task.abort();
         let before = site.fatal.ends(&self.content);
         let tries = AtomicU32::new(0);
         for index in 0..site.entries.len() {
-            wait_until("a node knows the fatal request", async || {
+            wait_until("an entry VM refuses the crashing request", async || {
                 site.replace_crashed().await;
                 let number = tries.fetch_add(1, Ordering::SeqCst);
                 let attempt = format!("fatal-after-{number}");
@@ -61,19 +61,19 @@
             .await;
         }
         let late = site.fatal.ends(&self.content) - before;
-        let most = KNOWN_ENDS.saturating_sub(before) + LATE_ENDS;
-        if late > most && !forgets(plan) {
-            book.note_broken(format!(
+        let max_late = CRASHES_BEFORE_QUARANTINE.saturating_sub(before) + MAX_LATE_CRASHES;
+        if late > max_late && !may_lose_quarantine(plan) {
+            log.record_violation(format!(
                 "{late} replicas ended under the fatal request after {before} had"
             ));
         }
     }
 }
 
-/// Tells whether all nodes may have lost what they knew while the store could not keep it.
-fn forgets(plan: &SoakPlan) -> bool {
-    let touch = |kill: &super::plan::PlannedFault, other: &super::plan::PlannedFault| {
-        other.at < kill.until + NEAR && kill.at < other.until + NEAR
+/// Returns whether all nodes may have lost the quarantine while the store could not persist it.
+fn may_lose_quarantine(plan: &SoakPlan) -> bool {
+    let overlap = |kill: &super::plan::PlannedFault, other: &super::plan::PlannedFault| {
+        other.at < kill.until + OVERLAP_MARGIN && kill.at < other.until + OVERLAP_MARGIN
     };
     let kills = plan
         .faults
@@ -83,12 +83,12 @@
         let others = plan
             .faults
             .iter()
-            .filter(|other| other.fault.troubles_store());
-        others.into_iter().any(|other| touch(kill, other))
+            .filter(|other| other.fault.impairs_store());
+        others.into_iter().any(|other| overlap(kill, other))
     })
 }
 
-async fn repeat(seed: u64, fronts: Vec<Box<str>>) {
+async fn send_repeatedly(seed: u64, fronts: Vec<Box<str>>) {
     let mut random = StdRng::seed_from_u64(seed);
     let client = Client::new();
     for number in 0_u32.. {
@@ -98,10 +98,10 @@
             .header("host", HOST)
             .header("x-attempt-id", format!("fatal-{number}"))
             .header("x-time-remaining", "3000");
-        // Whatever comes of it, the caller comes again.
+        // The caller repeats the request whatever the outcome.
         if let Ok(answer) = call.send().await {
             let _ = answer.bytes().await;
         }
-        sleep(Duration::from_millis(random.random_range(PAUSE))).await;
+        sleep(Duration::from_millis(random.random_range(PAUSE_MS))).await;
     }
 }
--- a/crates/zinniahatch_lab/src/soak/faults.rs
+++ b/crates/zinniahatch_lab/src/soak/injector.rs
@@ -1,9 +1,9 @@
-//! Beginning and ending the faults of a plan.
+//! Injects and heals the faults of a plan.
 
+use super::invariants::OutcomeLog;
 use super::plan::PlannedFault;
 use super::plan::SoakFault;
 use super::plan::SoakPlan;
-use super::promises::PromiseBook;
 use crate::relay::LinkWay;
 use crate::site::SiteCluster;
 use crate::site::wait_until;
@@ -13,47 +13,48 @@
 use tokio::time::sleep_until;
 use zinniahatch_base::prelude::*;
 
-/// Time within which replicas that have left get no more work, and a reserve for a busy machine.
-const LEAVE_TIME: Duration = Duration::from_secs(6);
-/// Time after trouble with the store for which nodes may still be behind.
-const NEWS_TIME: Duration = Duration::from_secs(6);
+/// Time after which a leaving replica must get no more work; includes a reserve for a busy machine.
+const DRAIN_TIME: Duration = Duration::from_secs(6);
+/// Time after a store fault for which nodes may still have stale state.
+const STALE_TIME: Duration = Duration::from_secs(6);
 
-/// A beginning or an end.
+/// The beginning or the end of a fault.
 #[derive(Clone, Copy, Debug)]
-struct BoardStep {
+struct FaultStep {
     at: Duration,
     begins: bool,
     planned: PlannedFault,
 }
 
-/// The faults that are on.
+/// Injects the faults of a plan and records what they left behind.
 #[derive(Debug)]
-pub(crate) struct FaultBoard {
-    steps: Vec<BoardStep>,
+pub(crate) struct FaultInjector {
+    steps: Vec<FaultStep>,
     plan: SoakPlan,
-    /// When the faults began.
-    pub(crate) began: Instant,
-    /// The version of the desired state, and the routes that were added.
+    /// Start of the fault schedule.
+    pub(crate) started: Instant,
+    /// Current version of the desired state.
     version: u64,
-    added: Vec<String>,
-    /// When each replica that is leaving began to.
+    /// Routes that were added.
+    added_routes: Vec<String>,
+    /// Time since which each leaving replica has been leaving.
     leaving: BTreeMap<usize, Instant>,
     /// Entry VMs that were asked to stop.
     stopping: BTreeSet<usize>,
-    /// The copies from which the store comes back, by the time of their making.
-    copies: Vec<StandCopy>,
-    /// Data centres that the operator has evacuated.
+    /// Backups from which the store is restored, oldest first.
+    backups: Vec<StandCopy>,
+    /// Regions whose data centre the operator has evacuated.
     evacuated: BTreeSet<&'static str>,
-    /// How many faults hold each thing, so that the first to end does not mend it for the others.
-    holds: BTreeMap<String, u32>,
+    /// Number of active faults per resource, so that the first fault to end does not heal the resource for the others.
+    active_faults: BTreeMap<String, u32>,
 }
 
-impl FaultBoard {
+impl FaultInjector {
     pub(crate) fn new(plan: &SoakPlan) -> Self {
-        let mut steps: Vec<BoardStep> = Vec::new();
+        let mut steps: Vec<FaultStep> = Vec::new();
         for planned in &plan.faults {
             for (at, begins) in [(planned.at, true), (planned.until, false)] {
-                steps.push(BoardStep {
+                steps.push(FaultStep {
                     at,
                     begins,
                     planned: *planned,
@@ -64,63 +65,64 @@
         Self {
             steps,
             plan: plan.clone(),
-            began: Instant::now(),
+            started: Instant::now(),
             version: 1,
-            added: Vec::new(),
+            added_routes: Vec::new(),
             leaving: BTreeMap::new(),
             stopping: BTreeSet::new(),
-            copies: Vec::new(),
+            backups: Vec::new(),
             evacuated: BTreeSet::new(),
-            holds: BTreeMap::new(),
+            active_faults: BTreeMap::new(),
         }
     }
 
-    /// Gives the names of the routes that were added.
-    pub(crate) fn added(&self) -> Vec<&str> {
-        self.added.iter().map(String::as_str).collect()
+    /// Returns the names of the routes that were added.
+    pub(crate) fn added_routes(&self) -> Vec<&str> {
+        self.added_routes.iter().map(String::as_str).collect()
     }
 
-    /// Plays all faults to their end.
-    pub(crate) async fn play(&mut self, site: &mut SiteCluster, book: &PromiseBook) {
+    /// Injects and heals all faults on schedule.
+    pub(crate) async fn run(&mut self, site: &mut SiteCluster, log: &OutcomeLog) {
         let start = Instant::now();
-        self.began = start;
+        self.started = start;
         for step in std::mem::take(&mut self.steps) {
             sleep_until((start + step.at).into()).await;
             if step.begins {
-                self.begin(site, step.planned.fault).await;
+                self.inject(site, step.planned.fault).await;
             } else {
-                self.end(site, &step.planned, book).await;
+                self.heal(site, &step.planned, log).await;
             }
-            self.look_for_ends(site, book);
+            self.restart_exited_entries(site, log);
             for index in site.replace_crashed().await {
-                // What takes the place of a crashed replica does not leave.
+                // The replacement of a crashed replica is not leaving.
                 self.leaving.remove(&index);
             }
         }
     }
 
-    /// Notes entry VMs that ended though nobody asked them to, or with an error, and starts them anew. One that was
-    /// asked to while its program was being loaded could not heed that.
-    fn look_for_ends(&mut self, site: &mut SiteCluster, book: &PromiseBook) {
+    /// Restarts entry VMs that have exited, and records a violation for each that exited unasked or with an error. One
+    /// that was asked to stop while its program was still being loaded could not handle the signal; it counts as a
+    /// missed stop.
+    fn restart_exited_entries(&mut self, site: &mut SiteCluster, log: &OutcomeLog) {
         for index in 0..site.entries.len() {
             let stopping = self.stopping.contains(&index);
             match site.ended(index) {
                 None => continue,
                 Some(true) if stopping => continue,
-                Some(_) if stopping && site.ended_unheard(index) => book.note_unheard(),
+                Some(_) if stopping && site.ended_unheard(index) => log.record_missed_stop(),
                 Some(_) => {
-                    book.note_broken(format!("{} ended by itself", site.entries[index].name));
+                    log.record_violation(format!("{} ended by itself", site.entries[index].name));
                 }
             }
-            // Nobody has told the process that follows to stop.
+            // The new process has not been asked to stop.
             self.stopping.remove(&index);
             site.kill(index);
             site.spawn(index);
         }
     }
 
-    /// Wakes and starts the entry VMs, once no fault holds any of them.
-    async fn revive_all(&mut self, site: &mut SiteCluster) {
+    /// Resumes and restarts the entry VMs once no active fault affects any of them.
+    async fn resume_entries(&mut self, site: &mut SiteCluster) {
         for index in 0..site.entries.len() {
             site.signal(index, "-CONT");
             if self.stopping.remove(&index) && site.has_process(index) {
@@ -136,19 +138,19 @@
         }
     }
 
-    fn hold(&mut self, what: &str) {
-        *self.holds.entry(what.into()).or_default() += 1;
+    fn mark_active(&mut self, resource: &str) {
+        *self.active_faults.entry(resource.into()).or_default() += 1;
     }
 
-    /// Tells whether the last fault that held a thing has ended.
-    fn release(&mut self, what: &str) -> bool {
-        let count = self.holds.entry(what.into()).or_default();
+    /// Returns whether the last active fault on a resource has ended.
+    fn mark_ended(&mut self, resource: &str) -> bool {
+        let count = self.active_faults.entry(resource.into()).or_default();
         *count = count.saturating_sub(1);
         *count == 0
     }
 
-    async fn begin(&mut self, site: &mut SiteCluster, fault: SoakFault) {
-        self.hold(&held_by(fault));
+    async fn inject(&mut self, site: &mut SiteCluster, fault: SoakFault) {
+        self.mark_active(&affected_resource(fault));
         match fault {
             SoakFault::KillEntry(index) => site.kill(index),
             SoakFault::KillAll => {
@@ -170,7 +172,7 @@
             SoakFault::StoreLosesAnswers(count) => site.switch.lose_answers(count),
             SoakFault::LeasesLapse => site.store.lapse_leases(),
             SoakFault::HistoryGone => site.store.forget_history(),
-            SoakFault::StoreReturns => self.copies.push(site.store.copy()),
+            SoakFault::StoreReturns => self.backups.push(site.store.copy()),
             SoakFault::StoreCut(region) => site.store_link(region).lose(LinkWay::There),
             SoakFault::StoreMute(region) => site.store_link(region).silence_open(),
             SoakFault::LinkSlow(index, millis) => {
@@ -196,7 +198,7 @@
                 let rate = f64::from(tenths) / 10.0;
                 site.replicas[index].0.name_limit(Some(rate));
             }
-            SoakFault::ReplicaIll(index, illness) => site.replicas[index].0.behave(illness),
+            SoakFault::ReplicaIll(index, behaviour) => site.replicas[index].0.behave(behaviour),
             SoakFault::ReplicaSaysLeaving(index) => site.replicas[index].0.say_leaving(),
             SoakFault::ReplicaRests(index, tenths) => {
                 let replica = &site.replicas[index].0;
@@ -211,15 +213,15 @@
         }
     }
 
-    async fn end(&mut self, site: &mut SiteCluster, planned: &PlannedFault, book: &PromiseBook) {
-        if !self.release(&held_by(planned.fault)) {
+    async fn heal(&mut self, site: &mut SiteCluster, planned: &PlannedFault, log: &OutcomeLog) {
+        if !self.mark_ended(&affected_resource(planned.fault)) {
             return;
         }
         match planned.fault {
             SoakFault::KillEntry(_)
             | SoakFault::KillAll
             | SoakFault::StopEntry(_)
-            | SoakFault::FreezeEntry(_) => self.revive_all(site).await,
+            | SoakFault::FreezeEntry(_) => self.resume_entries(site).await,
             SoakFault::StoreDown | SoakFault::StoreSilent | SoakFault::StoreSlow(_) => {
                 site.switch.set(ServiceMode::Up);
             }
@@ -228,12 +230,12 @@
             | SoakFault::LinkLosesRequests(index)
             | SoakFault::LinkLosesAnswers(index) => site.link(index).restore(),
             SoakFault::ReplicaDrains(index) => {
-                self.check_left(site, index, planned, book);
+                self.check_drained(site, index, planned, log);
                 self.leaving.remove(&index);
                 site.restart_replica(index).await;
             }
             SoakFault::ReplicaVanishes(index) => {
-                self.check_left(site, index, planned, book);
+                self.check_drained(site, index, planned, log);
                 self.leaving.remove(&index);
                 site.register(index, "ready");
             }
@@ -250,7 +252,7 @@
                 self.evacuated.remove(region);
                 site.store.remove(&format!("op/evacuate/{region}-a"));
             }
-            SoakFault::StoreReturns => self.bring_back(site),
+            SoakFault::StoreReturns => self.restore_store(site),
             SoakFault::StoreLosesAnswers(_)
             | SoakFault::LeasesLapse
             | SoakFault::HistoryGone
@@ -262,13 +264,13 @@
         }
     }
 
-    /// Brings the store back from its copy. What the operator and the replicas wrote since is written again; entries
-    /// of replicas that have ended are gone, as they are once these were silent.
-    fn bring_back(&mut self, site: &SiteCluster) {
-        if let Some(copy) = self.copies.pop() {
+    /// Restores the store from its backup. What the operator and the replicas have written since is written again;
+    /// the entries of replicas that have ended are removed, as happens once a replica stays silent.
+    fn restore_store(&mut self, site: &SiteCluster) {
+        if let Some(copy) = self.backups.pop() {
             site.store.come_back(&copy);
         }
-        site.configure(self.version, &self.added());
+        site.configure(self.version, &self.added_routes());
         for (_, region) in &site.replicas {
             let key = format!("op/evacuate/{region}-a");
             if self.evacuated.contains(region) {
@@ -280,47 +282,48 @@
         site.register_again(|index| self.entry_state(index));
     }
 
-    /// Gives what the entry of a replica says now; none where it has none.
+    /// Returns the state in a replica's store entry; `None` where it has no entry.
     fn entry_state(&self, index: usize) -> Option<&'static str> {
-        let holds = |fault| {
-            self.holds
-                .get(&held_by(fault))
+        let active_faults = |fault| {
+            self.active_faults
+                .get(&affected_resource(fault))
                 .is_some_and(|count| *count > 0)
         };
         if !self.leaving.contains_key(&index) {
             return Some("ready");
         }
-        // Either fault holds the entry; a replica that drains says so for as long as it runs.
-        holds(SoakFault::ReplicaDrains(index)).then_some("draining")
+        // Both faults affect the entry; a draining replica keeps its entry for as long as it runs.
+        active_faults(SoakFault::ReplicaDrains(index)).then_some("draining")
     }
 
     fn add_route(&mut self, site: &SiteCluster) {
         self.version += 3;
-        self.added.push(format!("added-{}", self.version));
-        site.configure(self.version, &self.added());
+        self.added_routes.push(format!("added-{}", self.version));
+        site.configure(self.version, &self.added_routes());
     }
 
-    /// Checks that a replica that left got nothing after a few seconds, where nothing hid the news.
-    fn check_left(
+    /// Checks that a leaving replica got no request after `DRAIN_TIME`, unless another fault delayed the update.
+    fn check_drained(
         &self,
         site: &SiteCluster,
         index: usize,
         planned: &PlannedFault,
-        book: &PromiseBook,
+        log: &OutcomeLog,
     ) {
         let Some(since) = self.leaving.get(&index) else {
             return;
         };
         let excused = self.plan.faults.iter().any(|other| {
-            let touches = other.fault.hides_news() || other.fault.registers() == Some(index);
+            let touches =
+                other.fault.delays_store_updates() || other.fault.changed_entry() == Some(index);
             let overlaps =
-                other.at < planned.until + NEWS_TIME && planned.at < other.until + NEWS_TIME;
+                other.at < planned.until + STALE_TIME && planned.at < other.until + STALE_TIME;
             let same = other.at == planned.at;
             touches && overlaps && !same
         });
         let last = site.replicas[index].0.sight().last_run;
-        if !excused && last.is_some_and(|last| last > *since + LEAVE_TIME) {
-            book.note_broken(format!(
+        if !excused && last.is_some_and(|last| last > *since + DRAIN_TIME) {
+            log.record_violation(format!(
                 "{} ran a request {:?} after it began to leave",
                 site.replicas[index].0.id,
                 last.map(|last| last - *since)
@@ -329,8 +332,8 @@
     }
 }
 
-/// Names the thing that a fault holds.
-fn held_by(fault: SoakFault) -> String {
+/// Returns the name of the resource that a fault affects.
+fn affected_resource(fault: SoakFault) -> String {
     match fault {
         SoakFault::KillEntry(_)
         | SoakFault::KillAll
--- /dev/null
+++ b/crates/zinniahatch_lab/src/soak/invariants.rs
@@ -0,0 +1,245 @@
+//! Invariants of a soak, checked on each response and against the requests recorded by the replicas at the end.
+
+use super::injector::FaultInjector;
+use super::plan::FaultMix;
+use crate::site::SiteCluster;
+use crate::site::wait_until;
+use bytes::Bytes;
+use std::sync::Mutex;
+use std::sync::MutexGuard;
+use std::sync::PoisonError;
+use zinniahatch_base::prelude::*;
+
+/// Response statuses which guarantee that a request has not run and never will.
+const NOT_RUN: [u16; 4] = [408, 421, 429, 503];
+/// Number of events of a complete stream.
+const EVENTS: u32 = super::SHAPE.events;
+
+/// The routes to which callers send.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum RouteKind {
+    /// Idempotent; may run on at most two replicas.
+    Plain,
+    /// Must run at most once.
+    Once,
+    /// A resumable stream.
+    Stream,
+    /// Bound to its home region.
+    Bound,
+}
+
+impl RouteKind {
+    /// All routes.
+    pub(crate) const ALL: [Self; 4] = [Self::Plain, Self::Once, Self::Stream, Self::Bound];
+
+    /// Returns the route's name, which is also the first segment of its paths.
+    pub(crate) fn name(self) -> &'static str {
+        match self {
+            Self::Plain => "plain",
+            Self::Once => "once",
+            Self::Stream => "stream",
+            Self::Bound => "bound",
+        }
+    }
+}
+
+/// How a request ended for its caller.
+#[derive(Clone, Debug)]
+pub(crate) enum CallOutcome {
+    /// A response arrived that looks complete; `sealed` says whether it carries a replica's seal.
+    Answered {
+        status: u16,
+        sealed: bool,
+        body: Bytes,
+    },
+    /// The connection broke or could not be opened.
+    Disconnected,
+    /// No response arrived until long after the caller's time limit.
+    TimedOut,
+    /// The caller abandoned the request.
+    Abandoned,
+}
+
+#[derive(Debug, Default)]
+struct OutcomeRecords {
+    /// Entry VMs that were asked to stop before they could handle the signal.
+    missed_stops: u32,
+    routes: BTreeMap<Box<str>, RouteKind>,
+    /// Requests that were reported to their callers as not run.
+    not_run: BTreeSet<Box<str>>,
+    served: usize,
+    refused: usize,
+    disconnected: BTreeSet<Box<str>>,
+    abandoned: usize,
+    violations: Vec<String>,
+}
+
+/// Outcomes seen by callers, and the invariants that were violated.
+#[derive(Debug, Default)]
+pub(crate) struct OutcomeLog {
+    records: Mutex<OutcomeRecords>,
+}
+
+impl OutcomeLog {
+    fn lock(&self) -> MutexGuard<'_, OutcomeRecords> {
+        self.records.lock().unwrap_or_else(PoisonError::into_inner)
+    }
+
+    /// Records a violated invariant.
+    pub(crate) fn record_violation(&self, what: String) {
+        self.lock().violations.push(what);
+    }
+
+    /// Counts an entry VM that was asked to stop before it could handle the signal.
+    pub(crate) fn record_missed_stop(&self) {
+        self.lock().missed_stops += 1;
+    }
+
+    /// Takes the recorded violations.
+    pub(crate) fn take_violations(&self) -> Vec<String> {
+        std::mem::take(&mut self.lock().violations)
+    }
+
+    /// Summarises the outcomes in one line.
+    pub(crate) fn summary(&self) -> String {
+        let records = self.lock();
+        format!(
+            "{} calls: {} served, {} refused or failed, {} broken off, {} left, {} stops unheard",
+            records.routes.len(),
+            records.served,
+            records.refused,
+            records.disconnected.len(),
+            records.abandoned,
+            records.missed_stops
+        )
+    }
+
+    /// Records the outcome of a request and checks it.
+    pub(crate) fn record(&self, attempt: &str, kind: RouteKind, outcome: &CallOutcome) {
+        let mut records = self.lock();
+        records.routes.insert(attempt.into(), kind);
+        let problem = match outcome {
+            CallOutcome::Answered {
+                status: 200,
+                sealed,
+                body,
+            } => {
+                records.served += 1;
+                check_success(attempt, kind, *sealed, body)
+            }
+            CallOutcome::Answered { status, sealed, .. } => {
+                records.refused += 1;
+                if !*sealed && NOT_RUN.contains(status) {
+                    records.not_run.insert(attempt.into());
+                }
+                // All requests are valid and their routes always exist, whatever faults are active.
+                let denied = !*sealed && matches!(*status, 400..=404 | 413 | 431);
+                // The site has no rate limits for callers, so that 429 can only mean quarantine, and
+                // none of these requests crashes a replica.
+                let quarantined = !*sealed && *status == 429;
+                if quarantined {
+                    Some("was held though it ends no replica".into())
+                } else {
+                    denied.then(|| format!("was denied with {status}"))
+                }
+            }
+            CallOutcome::Disconnected => {
+                records.disconnected.insert(attempt.into());
+                None
+            }
+            CallOutcome::TimedOut => Some("was never answered".into()),
+            CallOutcome::Abandoned => {
+                records.abandoned += 1;
+                None
+            }
+        };
+        if let Some(problem) = problem {
+            records
+                .violations
+                .push(format!("{attempt} ({}) {problem}", kind.name()));
+        }
+    }
+}
+
+fn check_success(attempt: &str, kind: RouteKind, sealed: bool, body: &Bytes) -> Option<String> {
+    if !sealed {
+        return Some("got a success that no replica gave".into());
+    }
+    let text = String::from_utf8_lossy(body);
+    if kind != RouteKind::Stream {
+        let own = text.split('@').next() == Some(attempt);
+        return (!own).then(|| format!("got another answer: {text}"));
+    }
+    let mut expected = String::new();
+    for id in 1..=EVENTS {
+        expected += &format!("id: {id}\ndata: {attempt}\n\n");
+    }
+    (text != expected).then(|| format!("got another stream: {text}"))
+}
+
+/// Compares the requests recorded by the replicas with the outcomes that callers saw.
+///
+/// With `fatal`, replicas have crashed, so that streams cut off under planned operations are no violation.
+pub(crate) fn check_runs(site: &SiteCluster, mix: FaultMix, fatal: bool, log: &OutcomeLog) {
+    let runs = site.all_runs();
+    let foreign = site.runs_outside("north");
+    let mut records = log.lock();
+    let mut violations = Vec::new();
+    for (attempt, count) in &runs {
+        let Some(kind) = records.routes.get(attempt) else {
+            continue;
+        };
+        if *kind == RouteKind::Once && *count > 1 {
+            violations.push(format!("{attempt} (once) ran {count} times"));
+        }
+        if *kind == RouteKind::Once && records.not_run.contains(attempt) {
+            violations.push(format!("{attempt} (once) was told not run, and ran"));
+        }
+        if *kind == RouteKind::Bound && foreign.contains(attempt) {
+            violations.push(format!("{attempt} (bound) ran outside its home"));
+        }
+        if mix == FaultMix::Planned && !fatal && records.disconnected.contains(attempt) {
+            violations.push(format!(
+                "{attempt} ({}) was cut off by planned work",
+                kind.name()
+            ));
+        }
+        // Two replicas are allowed, and a third where one of them ended meanwhile.
+        if *kind == RouteKind::Plain && *count > 3 {
+            violations.push(format!("{attempt} (plain) ran {count} times"));
+        }
+    }
+    records.violations.extend(violations);
+}
+
+/// Waits until every entry VM serves the newest desired state; an entry VM that does not recover makes the
+/// wait time out.
+pub(crate) async fn check_recovery(
+    site: &mut SiteCluster,
+    injector: &FaultInjector,
+    log: &OutcomeLog,
+) {
+    site.replace_crashed().await;
+    for index in 0..site.replicas.len() {
+        site.register(index, "ready");
+    }
+    let mut routes = vec!["plain"];
+    routes.extend(injector.added_routes().last());
+    for index in 0..site.entries.len() {
+        site.wait_ready(index).await;
+        for route in &routes {
+            let path = format!("/{route}/x");
+            let mut tries = 0;
+            wait_until("an entry VM serves after the faults", async || {
+                tries += 1;
+                let attempt = format!("after-{index}-{route}-{tries}");
+                let answer = site.call(index, &path, &attempt).send().await;
+                answer.is_ok_and(|answer| answer.status().is_success())
+            })
+            .await;
+        }
+    }
+    if log.lock().served == 0 {
+        log.record_violation("nobody was served".into());
+    }
+}
--- a/crates/zinniahatch_lab/src/soak/limits.rs
+++ b/crates/zinniahatch_lab/src/soak/limits.rs
@@ -1,38 +1,38 @@
-//! Rate limits that replicas named, checked against what reached them.
+//! Checks the rate limits that replicas announced against the requests that reached them.
 
+use super::invariants::OutcomeLog;
 use super::plan::SoakFault;
 use super::plan::SoakPlan;
-use super::promises::PromiseBook;
 use crate::site::SiteCluster;
 use zinniahatch_base::prelude::*;
 
-/// Time after which the nodes must keep to a limit that was named, and for which a fault excuses them.
+/// Time after which nodes must respect an announced limit, and for which a fault may_exceed_limit them after its end.
 const GRACE: Duration = Duration::from_secs(6);
 
-/// Checks that every replica that named a rate limit got no more.
+/// Checks that no replica got more requests than the rate limit that it announced.
 pub(crate) fn check_limits(
     site: &SiteCluster,
     plan: &SoakPlan,
-    began: Instant,
-    book: &PromiseBook,
+    started: Instant,
+    log: &OutcomeLog,
 ) {
     for (index, record) in site.limit_records() {
         let excused = |start: Instant, end: Instant| {
             plan.faults.iter().any(|planned| {
-                let (from, until) = (began + planned.at, began + planned.until + GRACE);
-                excuses(planned.fault, index) && from < end && start < until
+                let (from, until) = (started + planned.at, started + planned.until + GRACE);
+                may_exceed_limit(planned.fault, index) && from < end && start < until
             })
         };
         if let Some(window) = record.broken_window(GRACE, excused) {
-            book.note_broken(format!(
+            log.record_violation(format!(
                 "replica {index} got more than its limit: {window:?}"
             ));
         }
     }
 }
 
-/// Tells whether a fault may keep a replica's limit from the nodes, or bring together what they sent it one after
-/// the other.
-fn excuses(fault: SoakFault, replica: usize) -> bool {
-    fault == SoakFault::KillAll || fault.harms_link_of() == Some(replica)
+/// Returns whether a fault may keep a replica's limit from the nodes, or make requests that they sent one after the
+/// other arrive together.
+fn may_exceed_limit(fault: SoakFault, replica: usize) -> bool {
+    fault == SoakFault::KillAll || fault.impaired_link() == Some(replica)
 }
--- a/crates/zinniahatch_lab/src/soak/notices.rs
+++ b/crates/zinniahatch_lab/src/soak/notices.rs
@@ -1,49 +1,50 @@
-//! What replicas said of their leaving and of rests, checked against what reached them.
+//! Checks the leaving and backoff notices of replicas against the requests that reached them.
 
+use super::invariants::OutcomeLog;
 use super::plan::SoakFault;
 use super::plan::SoakPlan;
-use super::promises::PromiseBook;
 use crate::site::SiteCluster;
 use zinniahatch_base::prelude::*;
 
-/// Time after which a replica that leaves must get nothing more from a node that it has told.
+/// Time after which a leaving replica must get no more requests from a node that got its notice.
 const DRAIN_TIME: Duration = Duration::from_secs(4);
-/// Time for which a fault of a link may go on to show.
-const LINK_TIME: Duration = Duration::from_secs(3);
+/// Time for which a link fault may still show effects after its end.
+const LINK_FAULT_TIME: Duration = Duration::from_secs(3);
 
-/// Checks that no node sent to a replica that had told it that it leaves, or too much to one that had asked it for rest.
+/// Checks that no node sent requests to a replica that had announced to it that it is leaving, or too many to one
+/// that had asked it for backoff.
 pub(crate) fn check_notices(
     site: &SiteCluster,
     plan: &SoakPlan,
-    began: Instant,
-    book: &PromiseBook,
+    started: Instant,
+    log: &OutcomeLog,
 ) {
     let placers = site.placers();
     for (place, id, record) in site.notice_records() {
         let node_of = |attempt: &str| placers.get(&(attempt.into(), id.clone())).copied();
         let excused = |node: usize, from: Instant, until: Instant| {
             plan.faults.iter().any(|planned| {
-                let end = if touches_entry(planned.fault, node) {
-                    held_until(plan, planned.until)
-                } else if planned.fault.harms_link_of() == Some(place) {
-                    planned.until + LINK_TIME
+                let end = if interrupts_entry(planned.fault, node) {
+                    entries_down_until(plan, planned.until)
+                } else if planned.fault.impaired_link() == Some(place) {
+                    planned.until + LINK_FAULT_TIME
                 } else {
                     return false;
                 };
-                began + planned.at <= until && from <= began + end
+                started + planned.at <= until && from <= started + end
             })
         };
         if let Some(broken) = record.broken_leaving(DRAIN_TIME, node_of, excused) {
-            book.note_broken(format!("{id} leaves and got a request: {broken:?}"));
+            log.record_violation(format!("{id} leaves and got a request: {broken:?}"));
         }
         if let Some(broken) = record.broken_rest(node_of, excused) {
-            book.note_broken(format!("{id} rests and got requests: {broken:?}"));
+            log.record_violation(format!("{id} rests and got requests: {broken:?}"));
         }
     }
 }
 
-/// Tells whether a fault ends or pauses an entry VM.
-fn touches_entry(fault: SoakFault, node: usize) -> bool {
+/// Returns whether a fault ends or pauses an entry VM.
+fn interrupts_entry(fault: SoakFault, node: usize) -> bool {
     match fault {
         SoakFault::KillAll => true,
         SoakFault::KillEntry(index)
@@ -53,8 +54,8 @@
     }
 }
 
-/// Gives when the entry VMs are back: once no fault holds any of them.
-fn held_until(plan: &SoakPlan, until: Duration) -> Duration {
+/// Returns when the entry VMs run again, which is when the last overlapping fault on any of them ends.
+fn entries_down_until(plan: &SoakPlan, until: Duration) -> Duration {
     let mut end = until;
     loop {
         let holding = plan.faults.iter().filter(|planned| {
--- a/crates/zinniahatch_lab/src/soak/plan.rs
+++ b/crates/zinniahatch_lab/src/soak/plan.rs
@@ -1,4 +1,4 @@
-//! Which faults a seed draws, when they begin and how long they last.
+//! Randomized fault schedules: which faults a seed yields, when they begin and how long they last.
 
 use crate::site::SiteCluster;
 use crate::stand::replica::ReplicaBehaviour;
@@ -9,81 +9,83 @@
 use zinniahatch_base::prelude::*;
 
 /// Mean time between the beginnings of two faults.
-const FAULT_EVERY: Duration = Duration::from_millis(900);
-/// How long a fault lasts.
-const FAULT_MILLIS: std::ops::Range<u64> = 300..4_000;
-/// How long a replica that leaves goes on serving before it is gone.
+const MEAN_FAULT_INTERVAL: Duration = Duration::from_millis(900);
+/// Duration of most faults, in ms.
+const FAULT_MS: std::ops::Range<u64> = 300..4_000;
+/// Time for which a leaving replica goes on serving before it ends.
 const DRAIN_TIME: Duration = Duration::from_secs(7);
-/// Age of the copy from which the store comes back.
-const RETURN_MILLIS: std::ops::Range<u64> = 1_500..5_000;
-/// Added delay of a slow link.
-const SLOW_MILLIS: std::ops::Range<u64> = 50..600;
+/// Age of the backup from which the store is restored, in ms.
+const BACKUP_AGE_MS: std::ops::Range<u64> = 1_500..5_000;
+/// Added delay of a slow link or store, in ms.
+const SLOW_MS: std::ops::Range<u64> = 50..600;
 
-/// Replicas that name rate limits, and these in tenths of a request a second.
-const LIMITS: usize = 3;
+/// Number of replicas that announce a rate limit.
+const RATE_LIMITS: usize = 3;
+/// Announced rate limits, in tenths of a request per second.
 const LIMIT_TENTHS: std::ops::Range<u32> = 2..60;
-/// Mixed into the seed, so that limits are drawn apart from the other faults.
-const LIMIT_DRAW: u64 = 0x11_3175;
+/// XORed with the seed, so that limits are drawn independently of the other faults.
+const LIMIT_SEED_MASK: u64 = 0x11_3175;
 
-/// Replicas that say that they leave or ask for rest, half each; how long the one goes on serving, and what the other
-/// asks for in tenths of a second.
+/// Number of notices from replicas: half announce that they are leaving, half ask for backoff.
 const NOTICES: usize = 6;
+/// Time for which a replica goes on serving after it announced that it is leaving.
 const LEAVING_TIME: Duration = Duration::from_secs(7);
-const REST_TENTHS: std::ops::Range<u32> = 5..60;
-/// Mixed into the seed, as for limits.
-const NOTICE_DRAW: u64 = 0x0007_1ce5;
+/// Requested backoff, in tenths of a second.
+const BACKOFF_TENTHS: std::ops::Range<u32> = 5..60;
+/// XORed with the seed, as for limits.
+const NOTICE_SEED_MASK: u64 = 0x0007_1ce5;
 
-/// What goes wrong.
+/// A fault that a soak injects.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum SoakFault {
     /// An entry VM is killed, and started again at the end.
     KillEntry(usize),
     /// Every entry VM is killed at once.
     KillAll,
-    /// An entry VM is stopped as planned, and started again when it has ended.
+    /// An entry VM is asked to stop, and started again when it has ended.
     StopEntry(usize),
     /// An entry VM is paused.
     FreezeEntry(usize),
-    /// The store refuses.
+    /// The store refuses all calls.
     StoreDown,
-    /// The store hangs.
+    /// The store accepts calls and never answers.
     StoreSilent,
-    /// The store answers late.
+    /// The store answers with a delay, in ms.
     StoreSlow(u64),
-    /// The answers of some writes are lost.
+    /// The store executes this many writes and loses their responses.
     StoreLosesAnswers(u32),
-    /// All leases lapse.
+    /// All leases in the store expire.
     LeasesLapse,
-    /// The store forgets its history.
+    /// The store compacts its history, so that open watches get 410.
     HistoryGone,
-    /// The store is away and comes back from a copy that was made when it went.
+    /// The store is restored from a backup that was taken at the beginning of the fault.
     StoreReturns,
-    /// A region's link to the store loses what nodes send.
+    /// A region's link to the store drops what nodes send.
     StoreCut(&'static str),
-    /// A region's connections to the store go silent for good.
+    /// A region's open connections to the store go silent and stay so.
     StoreMute(&'static str),
-    /// The link to a replica is slow.
+    /// The link to a replica is slow, by a delay in ms.
     LinkSlow(usize, u64),
     /// The open connections to a replica are closed.
     LinkReset(usize),
-    /// Requests to a replica are lost.
+    /// The link to a replica drops requests.
     LinkLosesRequests(usize),
-    /// Answers of a replica are lost.
+    /// The link to a replica drops responses.
     LinkLosesAnswers(usize),
-    /// The open connections to a replica go silent for good.
+    /// The open connections to a replica go silent and stay so.
     LinkMute(usize),
-    /// A replica ends, and another one takes its place.
+    /// A replica ends and is replaced by another one.
     ReplicaReplaced(usize),
-    /// A replica says that it is leaving, and starts again under its id at the end.
+    /// A replica's store entry says that it is draining; the replica restarts under its id at the end.
     ReplicaDrains(usize),
-    /// A replica's entry vanishes without a word, and is back at the end.
+    /// A replica's store entry is removed without notice, and written again at the end.
     ReplicaVanishes(usize),
-    /// A replica names a rate limit, in tenths of a request a second.
+    /// A replica announces a rate limit, in tenths of a request per second.
     ReplicaLimits(usize, u32),
-    /// A replica says in its answers that it leaves, which its entry may not say, and starts again under its id at
-    /// the end.
+    /// A replica announces in its responses that it is leaving, which its store entry may not say, and restarts under
+    /// its id at the end.
     ReplicaSaysLeaving(usize),
-    /// A replica turns requests away and asks for rest, in tenths of a second.
+    /// A replica sheds requests and asks for backoff, in tenths of a second.
     ReplicaRests(usize, u32),
     /// A replica misbehaves.
     ReplicaIll(usize, ReplicaBehaviour),
@@ -94,8 +96,8 @@
 }
 
 impl SoakFault {
-    /// Tells whether it may delay or hide news from the store.
-    pub(crate) fn hides_news(self) -> bool {
+    /// Returns whether the fault may delay updates from the store or keep them from nodes.
+    pub(crate) fn delays_store_updates(self) -> bool {
         matches!(
             self,
             Self::KillEntry(_)
@@ -114,8 +116,8 @@
         )
     }
 
-    /// Tells whether the store may not take or give what must last.
-    pub(crate) fn troubles_store(self) -> bool {
+    /// Returns whether the store may fail to persist or return state.
+    pub(crate) fn impairs_store(self) -> bool {
         matches!(
             self,
             Self::StoreDown
@@ -129,8 +131,8 @@
         )
     }
 
-    /// Gives the replica whose link it harms, which may keep its answers from the nodes or hold up what they sent.
-    pub(crate) fn harms_link_of(self) -> Option<usize> {
+    /// Returns the replica whose link the fault impairs, so that its responses may be lost or requests to it delayed.
+    pub(crate) fn impaired_link(self) -> Option<usize> {
         match self {
             Self::LinkSlow(index, _)
             | Self::LinkReset(index)
@@ -141,8 +143,8 @@
         }
     }
 
-    /// Gives the replica whose entry in the store it changes.
-    pub(crate) fn registers(self) -> Option<usize> {
+    /// Returns the replica whose store entry the fault changes.
+    pub(crate) fn changed_entry(self) -> Option<usize> {
         match self {
             Self::ReplicaReplaced(index)
             | Self::ReplicaDrains(index)
@@ -153,26 +155,28 @@
     }
 }
 
-/// A fault with its time.
+/// A fault with its start and end.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct PlannedFault {
-    /// When it begins, from the start of the calls.
+    /// Start, counted from the beginning of the schedule.
     pub(crate) at: Duration,
-    /// When it ends.
+    /// End, counted likewise.
     pub(crate) until: Duration,
-    /// What it is.
+    /// The fault.
     pub(crate) fault: SoakFault,
 }
 
-/// Which kinds of faults a seed draws. Among all of them, each is excused by some other one nearly all of
-/// the time: a mutant that sent to leaving replicas, and one whose stops did not wait, went unseen.
+/// Which kinds of faults a seed draws.
+///
+/// When all kinds are mixed, nearly every violation is excused by some other fault: a mutant that sent to
+/// leaving replicas, and one whose stops did not wait, went undetected. Two mixes are therefore restricted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum FaultMix {
-    /// Any.
+    /// All kinds.
     Any,
-    /// Those of replicas and of the links to them: nothing hides what the store says.
+    /// Faults of replicas and of links to them; updates from the store arrive in time.
     Replicas,
-    /// Planned work: stops, leaving replicas, new routes, evacuations. Nothing may be cut off.
+    /// Planned operations: stops, leaving replicas, new routes, evacuations. No response may be cut off.
     Planned,
 }
 
@@ -188,7 +192,7 @@
     fn has(self, fault: SoakFault) -> bool {
         match self {
             Self::Any => true,
-            Self::Replicas => !fault.hides_news(),
+            Self::Replicas => !fault.delays_store_updates(),
             Self::Planned => matches!(
                 fault,
                 SoakFault::StopEntry(_)
@@ -200,7 +204,7 @@
     }
 }
 
-/// All faults of a seed, by their beginning.
+/// The fault schedule of a seed.
 #[derive(Clone, Debug)]
 pub(crate) struct SoakPlan {
     pub(crate) mix: FaultMix,
@@ -208,24 +212,24 @@
 }
 
 impl SoakPlan {
-    /// Adds a return of the store from an older copy. It is drawn apart, so that the other faults of a seed stay.
-    pub(crate) fn with_return(mut self, seed: u64, time: Duration) -> Self {
+    /// Adds a restore of the store from an older backup, drawn independently, so that the seed's other faults stay.
+    pub(crate) fn with_store_restore(mut self, seed: u64, time: Duration) -> Self {
         let mut random = StdRng::seed_from_u64(!seed);
         let at = time.mul_f64(random.random_range(0.1..0.6));
-        // The copy is made at the beginning; what follows is lost, until the store is away.
-        let lasting = Duration::from_millis(random.random_range(RETURN_MILLIS));
+        // The backup is taken at the beginning of the fault; writes after that are lost at its end.
+        let duration = Duration::from_millis(random.random_range(BACKUP_AGE_MS));
         self.faults.push(PlannedFault {
             at,
-            until: at + lasting,
+            until: at + duration,
             fault: SoakFault::StoreReturns,
         });
         self
     }
 
-    /// Adds replicas that name rate limits. They are drawn apart, so that the other faults of a seed stay.
+    /// Adds replicas that announce rate limits, drawn independently, so that the seed's other faults stay.
     pub(crate) fn with_limits(mut self, seed: u64, time: Duration, site: &SiteCluster) -> Self {
-        let mut random = StdRng::seed_from_u64(seed ^ LIMIT_DRAW);
-        for _ in 0..LIMITS {
+        let mut random = StdRng::seed_from_u64(seed ^ LIMIT_SEED_MASK);
+        for _ in 0..RATE_LIMITS {
             let replica = random.random_range(0..site.replicas.len());
             let fault = SoakFault::ReplicaLimits(replica, random.random_range(LIMIT_TENTHS));
             self.faults.push(PlannedFault {
@@ -237,37 +241,37 @@
         self
     }
 
-    /// Adds replicas that say that they leave, or ask for rest. They are drawn apart, so that the other faults of a seed
-    /// stay.
+    /// Adds replicas that announce that they are leaving or ask for backoff, drawn independently, so that the seed's
+    /// other faults stay.
     pub(crate) fn with_notices(mut self, seed: u64, time: Duration, site: &SiteCluster) -> Self {
-        let mut random = StdRng::seed_from_u64(seed ^ NOTICE_DRAW);
+        let mut random = StdRng::seed_from_u64(seed ^ NOTICE_SEED_MASK);
         for number in 0..NOTICES {
             let replica = random.random_range(0..site.replicas.len());
             let at = time.mul_f64(random.random_range(0.0..0.7));
-            let (fault, lasting) = if number % 2 == 0 {
+            let (fault, duration) = if number % 2 == 0 {
                 (SoakFault::ReplicaSaysLeaving(replica), LEAVING_TIME)
             } else {
-                let rest = random.random_range(REST_TENTHS);
-                let lasting = Duration::from_millis(random.random_range(FAULT_MILLIS));
-                (SoakFault::ReplicaRests(replica, rest), lasting)
+                let backoff = random.random_range(BACKOFF_TENTHS);
+                let duration = Duration::from_millis(random.random_range(FAULT_MS));
+                (SoakFault::ReplicaRests(replica, backoff), duration)
             };
             self.faults.push(PlannedFault {
                 at,
-                until: at + lasting,
+                until: at + duration,
                 fault,
             });
         }
         self
     }
 
-    /// Draws the faults of a seed.
+    /// Draws the faults of a seed; the same seed gives the same faults.
     pub(crate) fn draw(seed: u64, time: Duration, site: &SiteCluster) -> Self {
         let mut random = StdRng::seed_from_u64(seed);
         let mix = FaultMix::of_seed(seed);
         let mut faults = Vec::new();
         let mut at = Duration::ZERO;
         loop {
-            at += FAULT_EVERY.mul_f64(random.random_range(0.1..1.9));
+            at += MEAN_FAULT_INTERVAL.mul_f64(random.random_range(0.1..1.9));
             if at >= time {
                 return Self { mix, faults };
             }
@@ -277,13 +281,13 @@
                     break drawn;
                 }
             };
-            let lasting = match fault {
+            let duration = match fault {
                 SoakFault::ReplicaDrains(_) | SoakFault::ReplicaVanishes(_) => DRAIN_TIME,
-                _ => Duration::from_millis(random.random_range(FAULT_MILLIS)),
+                _ => Duration::from_millis(random.random_range(FAULT_MS)),
             };
             faults.push(PlannedFault {
                 at,
-                until: at + lasting,
+                until: at + duration,
                 fault,
             });
         }
@@ -317,13 +321,13 @@
         3 => SoakFault::FreezeEntry(entry),
         4 => SoakFault::StoreDown,
         5 => SoakFault::StoreSilent,
-        6 => SoakFault::StoreSlow(random.random_range(SLOW_MILLIS)),
+        6 => SoakFault::StoreSlow(random.random_range(SLOW_MS)),
         7 => SoakFault::StoreLosesAnswers(random.random_range(1..6)),
         8 => SoakFault::LeasesLapse,
         9 => SoakFault::HistoryGone,
         10 => SoakFault::StoreCut(region),
         11 => SoakFault::StoreMute(region),
-        12 => SoakFault::LinkSlow(replica, random.random_range(SLOW_MILLIS)),
+        12 => SoakFault::LinkSlow(replica, random.random_range(SLOW_MS)),
         13 => SoakFault::LinkReset(replica),
         14 => SoakFault::LinkLosesRequests(replica),
         15 => SoakFault::LinkLosesAnswers(replica),
@@ -331,13 +335,13 @@
         17 => SoakFault::ReplicaReplaced(replica),
         18 => SoakFault::ReplicaDrains(replica),
         19 => SoakFault::ReplicaVanishes(replica),
-        20 => SoakFault::ReplicaIll(replica, draw_illness(random)),
+        20 => SoakFault::ReplicaIll(replica, draw_misbehaviour(random)),
         21 => SoakFault::AddRoute,
         _ => SoakFault::Evacuate(region),
     }
 }
 
-fn draw_illness(random: &mut StdRng) -> ReplicaBehaviour {
+fn draw_misbehaviour(random: &mut StdRng) -> ReplicaBehaviour {
     match random.random_range(0..5) {
         0 => ReplicaBehaviour::Shed,
         1 => ReplicaBehaviour::Fail,
