--- a/crates/zinniahatch_lab/src/demo.rs
+++ b/crates/zinniahatch_lab/src/demo.rs
@@ -1,4 +1,4 @@
-//! The demonstration: both users' systems, load, a preset switch, a planned stop, the reports.
+//! Demonstration: the systems of both users with load, a preset switch, a planned stop and usage reports.
 
 use crate::checker::CheckExcuse;
 use crate::checker::check;
@@ -20,7 +20,7 @@
 
 const DURATION: Duration = Duration::from_secs(30);
 
-/// Runs the demonstration; gives how many promises broke.
+/// Runs the demonstration; returns the number of violations.
 pub async fn run_demo() -> usize {
     println!("starting both users' systems: 14 entry VMs, 27 backend servers, 6 regions");
     let options = ClusterOptions::default();
@@ -41,7 +41,7 @@
     violations
 }
 
-/// Runs one user's system, with load if a rate is given, and says how to reach it.
+/// Runs one user's system, with load if a rate is given, and prints its addresses.
 pub async fn run_up(user: &str, seconds: u64, rate: f64) -> usize {
     let Some(plan) = users::find(user) else {
         println!("no user `{user}`; the users are: amiantis, aqsu");
@@ -81,20 +81,20 @@
         async move { runner.run(&plan).await }
     });
     let mut problems = Vec::new();
-    progress(&cluster, &runner, DURATION / 3).await;
+    print_progress(&cluster, &runner, DURATION / 3).await;
     if let Err(problem) = switch_preset(&cluster, "peak").await {
         problems.push(problem);
     }
-    progress(&cluster, &runner, DURATION / 6).await;
+    print_progress(&cluster, &runner, DURATION / 6).await;
     let stopped = 0;
     println!(
         "{}: stopping entry VM {} as planned",
         cluster.plan.name, cluster.nodes[stopped].name
     );
     cluster.terminate(stopped);
-    progress(&cluster, &runner, DURATION / 2).await;
+    print_progress(&cluster, &runner, DURATION / 2).await;
     let _ = load.await;
-    let ended = wait_end(&mut cluster, stopped).await;
+    let ended = wait_for_exit(&mut cluster, stopped).await;
     if ended != Some(true) {
         problems.push(format!("the planned stop did not end well: {ended:?}"));
     }
@@ -128,7 +128,7 @@
     (breaks.len() + problems.len(), figures)
 }
 
-async fn progress(cluster: &LabCluster, runner: &LoadRunner, time: Duration) {
+async fn print_progress(cluster: &LabCluster, runner: &LoadRunner, time: Duration) {
     const STEP: Duration = Duration::from_secs(5);
     let until = Instant::now() + time;
     while Instant::now() < until {
@@ -142,7 +142,7 @@
     }
 }
 
-async fn wait_end(cluster: &mut LabCluster, index: usize) -> Option<bool> {
+async fn wait_for_exit(cluster: &mut LabCluster, index: usize) -> Option<bool> {
     for _ in 0..300 {
         if let Some(well) = cluster.ended(index) {
             return Some(well);
@@ -152,11 +152,11 @@
     None
 }
 
-/// Switches a preset through the second node and waits until every node obeys it.
+/// Switches to a preset through the second node and waits until it is in force on every node.
 ///
 /// # Errors
 ///
-/// Says that the switch was not accepted, or not in force everywhere in time.
+/// Returns an error if the switch is rejected or not in force on every node within 8 s.
 pub async fn switch_preset(cluster: &LabCluster, preset: &str) -> Result<Duration, String> {
     const BOUND: Duration = Duration::from_secs(8);
     let operator = OperatorCalls::new(cluster, 1, &cluster.plan.shift);
@@ -191,7 +191,7 @@
     }
 }
 
-/// Fetches the report by account and service once its counts stop rising.
+/// Fetches the report by account and service once its counts have stopped rising.
 pub async fn fetch_settled_report(cluster: &LabCluster) -> ReportResult {
     let mut last = 0;
     let mut same = 0;
--- a/crates/zinniahatch_lab/src/experiments.rs
+++ b/crates/zinniahatch_lab/src/experiments.rs
@@ -1,4 +1,4 @@
-//! Experiments: each prints its figures, and as its last line one JSON object with `violations`.
+//! Experiments; each prints its results and, as its last line, a JSON object with `violations`.
 
 pub mod control_cost;
 mod count_trace;
--- a/crates/zinniahatch_lab/src/experiments/control_cost.rs
+++ b/crates/zinniahatch_lab/src/experiments/control_cost.rs
@@ -1,4 +1,4 @@
-//! What control costs one node as the system grows: real daemons on loopback, no callers.
+//! Cost of the control plane per node as the system grows, measured with real daemons on loopback.
 
 use crate::cluster::ClusterOptions;
 use crate::cluster::LabCluster;
@@ -21,15 +21,15 @@
 use zinniahatch_base::prelude::*;
 use zinniahatch_config::split_accounts;
 
-/// Bytes of headers and acknowledgement that a frame costs on TCP over IPv4, both directions:
-/// two segments with 20 bytes of IP, 32 of TCP with timestamps, and nng's 8 bytes of length.
-const FRAME_HEADERS: f64 = 52.0 * 2.0 + 8.0;
-/// Time for the system to settle before it is measured.
-const SETTLE: Duration = Duration::from_secs(8);
+/// Overhead of a frame on TCP over IPv4, in bytes and for both directions: two segments (data and
+/// acknowledgement) with 20 bytes of IP and 32 of TCP with timestamps, and nng's 8-byte length.
+const FRAME_OVERHEAD: f64 = 52.0 * 2.0 + 8.0;
+/// Warm-up time before the measurement.
+const WARM_UP: Duration = Duration::from_secs(8);
 
-/// The size of one point.
+/// Size of a measured cluster; `axis` names what differs from `BASE`.
 #[derive(Clone, Copy, Debug, Serialize)]
-struct SizePoint {
+struct ClusterSize {
     axis: &'static str,
     members: usize,
     replicas: usize,
@@ -40,10 +40,10 @@
     requests: u64,
 }
 
-/// What one node costs, the mean over the members of the first data centre, and the worst.
+/// Cost per node: the mean and the maximum over the members of the first data centre.
 #[derive(Clone, Copy, Debug, Serialize)]
-struct CostLine {
-    size: SizePoint,
+struct ControlCost {
+    size: ClusterSize,
     cpu_percent: f64,
     cpu_worst: f64,
     tick_percent: f64,
@@ -55,7 +55,7 @@
     store_calls: f64,
 }
 
-const BASE: SizePoint = SizePoint {
+const BASE: ClusterSize = ClusterSize {
     axis: "base",
     members: 3,
     replicas: 16,
@@ -65,8 +65,8 @@
     change_every: 0,
     requests: 0,
 };
-/// Letter 1's size: 330 nodes and 3,800 replicas in 24 data centres make 14 and 158 in each.
-const DESIGN: SizePoint = SizePoint {
+/// The design size: 330 nodes and 3,800 replicas in 24 data centres, which is 14 and 158 in each.
+const DESIGN: ClusterSize = ClusterSize {
     axis: "design",
     members: 14,
     replicas: 158,
@@ -77,40 +77,40 @@
     requests: 0,
 };
 
-/// Measures the points; gives how many targets of the design size are missed.
+/// Measures all points; returns 0, since no violation is defined for them.
 pub async fn run(seconds: u64, only: Option<&str>) -> usize {
     let mut points = vec![BASE];
-    points.extend([2, 6, 10, 14].map(|members| SizePoint {
+    points.extend([2, 6, 10, 14].map(|members| ClusterSize {
         axis: "members",
         members,
         ..BASE
     }));
-    points.extend([64, 158].map(|replicas| SizePoint {
+    points.extend([64, 158].map(|replicas| ClusterSize {
         axis: "replicas",
         replicas,
         ..BASE
     }));
-    points.extend([5, 10].map(|services| SizePoint {
+    points.extend([5, 10].map(|services| ClusterSize {
         axis: "services",
         services,
         ..BASE
     }));
-    points.extend([1_000, 4_000].map(|accounts| SizePoint {
+    points.extend([1_000, 4_000].map(|accounts| ClusterSize {
         axis: "accounts",
         accounts,
         ..BASE
     }));
-    points.extend([4, 12, 24].map(|centres| SizePoint {
+    points.extend([4, 12, 24].map(|centres| ClusterSize {
         axis: "centres",
         centres,
         ..BASE
     }));
-    points.extend([8, 2].map(|change_every| SizePoint {
+    points.extend([8, 2].map(|change_every| ClusterSize {
         axis: "changes",
         change_every,
         ..BASE
     }));
-    points.extend([16, 64].map(|requests| SizePoint {
+    points.extend([16, 64].map(|requests| ClusterSize {
         axis: "requests",
         accounts: 4_000,
         requests,
@@ -152,7 +152,7 @@
     0
 }
 
-async fn measure(point: SizePoint, time: Duration) -> CostLine {
+async fn measure(point: ClusterSize, time: Duration) -> ControlCost {
     let options = ClusterOptions {
         log_level: "warn",
         merge: Duration::from_secs(60),
@@ -160,19 +160,19 @@
         shared_backends: true,
         ..ClusterOptions::default()
     };
-    let cluster = LabCluster::start(plan_of(point), &options).await;
-    sleep(SETTLE).await;
+    let cluster = LabCluster::start(build_plan(point), &options).await;
+    sleep(WARM_UP).await;
     let client = Client::new();
-    let before = read_all(&client, &cluster, point.members).await;
+    let before = read_counters(&client, &cluster, point.members).await;
     let calls = cluster.store.calls().0;
     let started = Instant::now();
     tokio::join!(
-        change_for(&cluster, point, time),
-        call_for(&cluster, point, time)
+        run_changes(&cluster, point, time),
+        run_requests(&cluster, point, time)
     );
     let elapsed = started.elapsed().as_secs_f64();
     let calls = (cluster.store.calls().0 - calls) as f64 / elapsed;
-    let after = read_all(&client, &cluster, point.members).await;
+    let after = read_counters(&client, &cluster, point.members).await;
     let rates: Vec<[f64; 5]> = before
         .iter()
         .zip(&after)
@@ -182,7 +182,7 @@
                 rate(0) * 100.0,
                 rate(1) / 1e7,
                 new[2] / 1e6,
-                rate(3) + rate(4) * FRAME_HEADERS,
+                rate(3) + rate(4) * FRAME_OVERHEAD,
                 rate(4),
             ]
         })
@@ -190,7 +190,7 @@
     let mean =
         |index: usize| rates.iter().map(|rate| rate[index]).sum::<f64>() / rates.len() as f64;
     let worst = |index: usize| rates.iter().map(|rate| rate[index]).fold(0.0, f64::max);
-    CostLine {
+    ControlCost {
         size: point,
         cpu_percent: mean(0),
         cpu_worst: worst(0),
@@ -204,8 +204,8 @@
     }
 }
 
-/// Reads processor seconds, tick nanoseconds, resident bytes, frame bytes and frames of each node.
-async fn read_all(client: &Client, cluster: &LabCluster, members: usize) -> Vec<[f64; 5]> {
+/// Reads of each node the CPU seconds, nanoseconds in control ticks, resident bytes, frame bytes and frames.
+async fn read_counters(client: &Client, cluster: &LabCluster, members: usize) -> Vec<[f64; 5]> {
     let mut lines = Vec::new();
     for index in 0..members {
         let process = cluster.process(index).unwrap_or(0);
@@ -234,8 +234,8 @@
     lines
 }
 
-/// Lets the time pass, with a change of one account each so many seconds.
-async fn change_for(cluster: &LabCluster, point: SizePoint, time: Duration) {
+/// Waits for `time` and meanwhile changes one account every `change_every` seconds.
+async fn run_changes(cluster: &LabCluster, point: ClusterSize, time: Duration) {
     let until = Instant::now() + time;
     if point.change_every == 0 {
         sleep(time).await;
@@ -243,20 +243,20 @@
     }
     let operator = OperatorCalls::new(cluster, 0, &cluster.plan.chief);
     let mut number = 0;
-    // The first change comes after half the interval, so that the time holds its due number.
+    // The first change comes after half an interval, so that the expected number fits into the time.
     let mut next = Instant::now() + Duration::from_secs(point.change_every) / 2;
     while next < until {
         sleep(next.saturating_duration_since(Instant::now())).await;
         next += Duration::from_secs(point.change_every);
         number += 1;
-        change(&operator, number).await;
+        add_account(&operator, number).await;
     }
     sleep(until.saturating_duration_since(Instant::now())).await;
 }
 
-/// Sends short model requests to each member of the first data centre, each from an account drawn
-/// evenly, which makes the most rows of counts.
-async fn call_for(cluster: &LabCluster, point: SizePoint, time: Duration) {
+/// Sends short model requests to each member of the first data centre. The account of each request is
+/// drawn uniformly, which gives the largest number of usage count rows.
+async fn run_requests(cluster: &LabCluster, point: ClusterSize, time: Duration) {
     if point.requests == 0 {
         return;
     }
@@ -273,7 +273,7 @@
             node.http,
             random.random_range(0..point.services)
         );
-        let key = key_of(random.random_range(0..point.accounts));
+        let key = account_key(random.random_range(0..point.accounts));
         let body =
             json!({"stream": true, "max_tokens": 1, "messages": [{"content": "operation=1;"}]});
         let request = client.post(url).bearer_auth(key).json(&body);
@@ -286,19 +286,19 @@
     while tasks.join_next().await.is_some() {}
 }
 
-fn key_of(account: usize) -> String {
+fn account_key(account: usize) -> String {
     format!("cost-key-{account}")
 }
 
 /// Adds one account.
-async fn change(operator: &OperatorCalls, number: u32) {
+async fn add_account(operator: &OperatorCalls, number: u32) {
     let ask = json!({"change": format!("cost-{number}"), "expect_revision": operator.revision().await, "account": format!("account-{number}"), "home": "region-0", "class": "standard", "team": "t", "in_progress_limit": number});
     operator.post("accounts", &ask).await;
 }
 
-/// Makes a system of this size: the first data centre has the members and replicas, each other
-/// one has one entry VM and one replica of each service.
-fn plan_of(point: SizePoint) -> UserPlan {
+/// Builds a system of this size: the first data centre has all members and replicas, each other
+/// data centre has one entry VM and one replica of each service.
+fn build_plan(point: ClusterSize) -> UserPlan {
     let mut plan = users::aqsu();
     plan.callers.clear();
     let mut topology = String::new();
@@ -328,7 +328,7 @@
     }
     let mut accounts = String::new();
     for account in 0..point.accounts {
-        accounts.push_str(&format!("[account account-{account}]\nhome = region-0\nclass = standard\nteam = t\n[caller caller-{account}]\naccount = account-{account}\nkey_digest = {}\n", digest_text(&key_of(account))));
+        accounts.push_str(&format!("[account account-{account}]\nhome = region-0\nclass = standard\nteam = t\n[caller caller-{account}]\naccount = account-{account}\nkey_digest = {}\n", digest_text(&account_key(account))));
     }
     plan.regions = regions;
     plan.parts.retain(|name, _| &**name == "operators");
@@ -336,7 +336,9 @@
     plan.parts.insert("services".into(), services.into());
     plan.parts.insert("backends".into(), backends.into());
     plan.parts.insert("preset-ordinary".into(), "[preset]\ntitle = cost\n[weights]\ncost = 1\ntail = 1\n[classes]\nstandard = 1\n[work]\ninteractive = 0.5\n[away]\nallowed = yes\n[waits]\nwait_limit = 60s\n[budgets]\nretry = 0.1\nhedge = 0\n".into());
-    for (shard, text) in split_accounts("accounts", &accounts).expect("the accounts are right") {
+    for (shard, text) in
+        split_accounts("accounts", &accounts).expect("the generated accounts are valid")
+    {
         plan.parts.insert(shard, text.into());
     }
     plan
--- a/crates/zinniahatch_lab/src/experiments/count_trace.rs
+++ b/crates/zinniahatch_lab/src/experiments/count_trace.rs
@@ -1,10 +1,10 @@
-//! What tells why the reports and the callers count differently.
+//! Diagnostics for differences between the usage reports and the responses that callers saw.
 
 use crate::cluster::LabCluster;
 use crate::demo::fetch_report;
 use zinniahatch_base::prelude::*;
 
-/// Counters of a node that belong to the way of its counts.
+/// Metrics of a node that concern its usage counts.
 const TRACED_COUNTERS: [&str; 5] = [
     "zinnia_results_total",
     "zinnia_own_sheets",
@@ -13,8 +13,8 @@
     "zinnia_messages_dropped_total",
 ];
 
-/// Prints the requests by result as callers saw them and as the reports count them, what the report could not
-/// read, and each node's end or its counters.
+/// Prints the number of requests by result code as seen by callers and as counted in the reports, the parts that the
+/// report could not read, and of each node either how it ended or its counters.
 pub(crate) async fn print_trace(cluster: &mut LabCluster) {
     let seen = cluster.history.with(|data| {
         let mut seen: BTreeMap<u16, u64> = BTreeMap::new();
--- a/crates/zinniahatch_lab/src/experiments/faults.rs
+++ b/crates/zinniahatch_lab/src/experiments/faults.rs
@@ -1,4 +1,4 @@
-//! Faults under load: what breaks, what goes on, and how soon all is back.
+//! Faults under load: violated rules, goodput during the fault and time to recovery.
 
 use crate::checker::CheckExcuse;
 use crate::checker::RuleBreak;
@@ -22,74 +22,74 @@
 use tokio::time::sleep;
 use zinniahatch_base::prelude::*;
 
-/// Part of the answers before the fault that counts as being back.
-const BACK_SHARE: f64 = 0.95;
+/// Share of the success rate before the fault at which the system counts as recovered.
+const RECOVERED_SHARE: f64 = 0.95;
 
 word_enum! {
-    /// One fault.
+    /// A fault that the experiment injects.
     pub enum FaultKind {
-        /// An entry VM dies and is replaced.
+        /// An entry VM is killed, and started again at the end.
         NodeKilled = "node-killed",
-        /// The keeper of the busiest pool dies.
+        /// The pool coordinator of the model engines is killed, and started again at the end.
         KeeperKilled = "keeper-killed",
-        /// An entry VM is frozen for longer than its leases and goes on.
+        /// An entry VM is paused for longer than its leases last and then resumes.
         NodeFrozen = "node-frozen",
-        /// An entry VM stops as planned.
+        /// An entry VM is asked to stop.
         PlannedStop = "planned-stop",
-        /// A region is cut off from the others and from the platform.
+        /// A region is partitioned from the other regions and from the platform.
         RegionCut = "region-cut",
-        /// Open connections between regions go silent for good.
+        /// Open connections between regions go silent and stay so.
         LinksSilent = "links-silent",
-        /// The store is down.
+        /// The store refuses all calls.
         StoreDown = "store-down",
-        /// The store loses the answers of writes, and operators switch presets.
+        /// The store loses the responses of writes while an operator switches presets.
         StoreLoses = "store-loses",
-        /// A model engine dies.
+        /// A model engine is killed.
         EngineKilled = "engine-killed",
         /// Streams of an engine break after some tokens.
         StreamsBreak = "streams-break",
         /// Streams of an engine go silent after some tokens.
         StreamsSilent = "streams-silent",
-        /// A plain service runs calls and loses their answers.
+        /// A plain service runs requests and loses their responses.
         AnswersLost = "answers-lost",
-        /// A backend server leaves.
+        /// A backend server drains and leaves.
         BackendLeaves = "backend-leaves",
     }
 }
 
-/// How a run is made.
+/// Options of a run.
 #[derive(Clone, Copy, Debug)]
 pub struct FaultRun {
     /// Seed of the load.
     pub seed: u64,
-    /// Time before, during and after the fault, each.
+    /// Duration of each of the three phases before, during and after the fault.
     pub phase: Duration,
-    /// Factor on the load.
+    /// Factor on the rate of the load.
     pub scale: f64,
 }
 
-/// What a run gave.
+/// Result of a run.
 #[derive(Clone, Debug, Serialize)]
 pub struct FaultResult {
-    /// The faults.
+    /// The injected faults.
     pub faults: Vec<&'static str>,
-    /// Broken rules.
+    /// Number of violations by rule.
     pub breaks: BTreeMap<&'static str, usize>,
     /// Operations sent.
     pub operations: usize,
-    /// Operations without a whole answer.
+    /// Operations without a complete response.
     pub failed: usize,
-    /// Share of the operations meant during the fault that were answered whole.
+    /// Share of the operations scheduled during the fault that got a complete response.
     pub goodput: f64,
-    /// Seconds from the end of the fault until 95 in 100 are answered again.
+    /// Seconds from the end of the fault until the success rate is back at 95 % of that before the fault.
     pub back_seconds: f64,
-    /// Requests in the reports beyond those that callers saw; negative where some are missing.
+    /// Number of requests in the reports minus the number that callers saw; negative if some are missing.
     pub count_difference: i64,
-    /// Gaps that the reports name.
+    /// Number of gaps that the reports state.
     pub gaps: usize,
 }
 
-/// Runs the faults alone and in pairs; gives how many rules broke.
+/// Runs the faults alone and in pairs; returns the number of violations.
 pub async fn run(run: &FaultRun, only: Option<FaultKind>) -> usize {
     let alone = [
         FaultKind::NodeKilled,
@@ -144,7 +144,7 @@
     violations
 }
 
-/// Runs one case; gives its figures and the broken rules.
+/// Runs one case; returns its result and the violations.
 pub async fn run_case(run: &FaultRun, kinds: &[FaultKind]) -> (FaultResult, Vec<RuleBreak>) {
     let mut cluster = LabCluster::start(users::aqsu(), &ClusterOptions::default()).await;
     let runner = LoadRunner::new(&cluster);
@@ -169,8 +169,8 @@
     }
     let _ = load.await;
     let breaks = cluster.history.with(|data| check(data, &excuse));
-    let expected = cluster.history.with(|data| counted_sends(data));
-    let (counted, gaps) = settled_requests(&cluster, expected as u64).await;
+    let expected = cluster.history.with(|data| count_reported_sends(data));
+    let (counted, gaps) = await_settled_requests(&cluster, expected as u64).await;
     let result = cluster
         .history
         .with(|data| summarise(kinds, data, &breaks, (begun, from, until), counted));
@@ -185,8 +185,8 @@
     match kind {
         FaultKind::NodeKilled => kill(cluster, 2, excuse),
         FaultKind::KeeperKilled => {
-            let keeper = find_keeper(cluster).await;
-            kill(cluster, keeper, excuse);
+            let coordinator = find_coordinator(cluster).await;
+            kill(cluster, coordinator, excuse);
         }
         FaultKind::NodeFrozen => cluster.freeze(2, true),
         FaultKind::PlannedStop => cluster.terminate(0),
@@ -217,14 +217,14 @@
             }
         }
         FaultKind::EngineKilled => cluster.kill_backend("zinnia-desk-almaty-hall-a-1"),
-        FaultKind::StreamsBreak => set_streams(
+        FaultKind::StreamsBreak => set_stream_faults(
             cluster,
             BackendFaults {
                 break_after: Some(5),
                 ..BackendFaults::default()
             },
         ),
-        FaultKind::StreamsSilent => set_streams(
+        FaultKind::StreamsSilent => set_stream_faults(
             cluster,
             BackendFaults {
                 silent_after: Some(5),
@@ -269,7 +269,7 @@
             .values()
             .for_each(|way| way.set(ServiceMode::Up)),
         FaultKind::StreamsBreak | FaultKind::StreamsSilent => {
-            set_streams(cluster, BackendFaults::default());
+            set_stream_faults(cluster, BackendFaults::default());
         }
         FaultKind::PlannedStop
         | FaultKind::LinksSilent
@@ -280,14 +280,14 @@
     }
 }
 
-/// Kills a node; requests that were in progress on it may end without an answer.
+/// Kills a node, and excuses its in-flight requests, which may end without a response.
 fn kill(cluster: &mut LabCluster, index: usize, excuse: &mut CheckExcuse) {
     let before = cluster.history.now();
     cluster.kill(index);
     excuse.killed.push((before, cluster.history.now()));
 }
 
-fn set_streams(cluster: &LabCluster, faults: BackendFaults) {
+fn set_stream_faults(cluster: &LabCluster, faults: BackendFaults) {
     for (name, engine) in &cluster.engines {
         if name.contains("almaty") {
             engine.backend.set_faults(faults);
@@ -295,24 +295,24 @@
     }
 }
 
-/// Finds the node of the first region that keeps the engines' pool.
-async fn find_keeper(cluster: &LabCluster) -> usize {
+/// Returns the index of the pool coordinator of the engines in the first region.
+async fn find_coordinator(cluster: &LabCluster) -> usize {
     let status = OperatorCalls::new(cluster, 0, &cluster.plan.reader)
         .get("status")
         .await;
     let pools = status["pools"].as_array().cloned().unwrap_or_default();
-    let keeper = pools
+    let coordinator = pools
         .iter()
         .find(|pool| pool["service"] == cluster.plan.engine)
         .and_then(|pool| pool["keeper"].as_str());
-    keeper.map_or(0, |name| cluster.index_of(name))
+    coordinator.map_or(0, |name| cluster.index_of(name))
 }
 
-/// Gives the requests that the reports know once they stop rising, and the gaps they name.
+/// Returns the number of requests in the reports once it has stopped rising, and the number of stated gaps.
 ///
-/// Less than what callers saw, without a gap that explains it, may still be on its way from a node that a
-/// busy machine slows down, so that such a sum is looked at to the last turn.
-async fn settled_requests(cluster: &LabCluster, expected: u64) -> (u64, usize) {
+/// A number below what callers saw, without a gap that explains it, may be due to counts still in transit from a node
+/// that a busy machine slows down. Such a number is therefore polled until the last turn.
+async fn await_settled_requests(cluster: &LabCluster, expected: u64) -> (u64, usize) {
     const TURNS: usize = 40;
     let mut last = (0, 0);
     let mut same = 0;
@@ -355,22 +355,22 @@
         operations: all.operations,
         failed: all.operations - all.answered,
         goodput: ratio(during.answered, during.operations),
-        back_seconds: seconds_back(data, until, usual * BACK_SHARE),
-        count_difference: counted as i64 - counted_sends(data) as i64,
+        back_seconds: seconds_to_recovery(data, until, usual * RECOVERED_SHARE),
+        count_difference: counted as i64 - count_reported_sends(data) as i64,
         gaps: 0,
     }
 }
 
 impl FaultResult {
-    /// Says whether the reports count what callers saw, but for gaps that they name.
+    /// Returns whether the reports count what callers saw, except for gaps that they state.
     pub fn counts_hold(&self) -> bool {
         self.count_difference == 0 || (self.count_difference < 0 && self.gaps > 0)
     }
 }
 
-/// Counts the sends that the system must have counted: those that got an answer of its own, and
-/// no collections, which are not requests.
-fn counted_sends(data: &HistoryData) -> usize {
+/// Counts the sends that the usage reports must contain: those with a response of the system, each request
+/// once. Fetches of kept responses are no requests.
+fn count_reported_sends(data: &HistoryData) -> usize {
     let mut seen = BTreeSet::new();
     data.sends
         .iter()
@@ -379,10 +379,10 @@
         .count()
 }
 
-/// Gives the seconds after a time until each half second's operations are answered as before.
-fn seconds_back(data: &HistoryData, from: Duration, usual: f64) -> f64 {
+/// Returns the seconds after `from` until the success rate of every later half second is at least `usual`.
+fn seconds_to_recovery(data: &HistoryData, from: Duration, usual: f64) -> f64 {
     const WINDOW: Duration = Duration::from_millis(500);
-    const LONGEST: u32 = 120;
+    const MAX_TURNS: u32 = 120;
     let latest = data
         .sends
         .iter()
@@ -390,7 +390,7 @@
         .max()
         .unwrap_or_default();
     let mut back = Duration::ZERO;
-    for turn in 0..LONGEST {
+    for turn in 0..MAX_TURNS {
         let start = from + WINDOW * turn;
         if start > latest {
             break;
--- a/crates/zinniahatch_lab/src/experiments/figures.rs
+++ b/crates/zinniahatch_lab/src/experiments/figures.rs
@@ -1,4 +1,4 @@
-//! Figures of a history.
+//! Summary statistics of a history.
 
 use crate::history::HistoryData;
 use crate::history::SeenEnd;
@@ -7,38 +7,38 @@
 use serde::Serialize;
 use zinniahatch_base::prelude::*;
 
-/// What a run gave.
+/// Summary statistics of a run.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct RunFigures {
     /// Operations sent.
     pub operations: usize,
-    /// Operations answered whole.
+    /// Operations with a complete response.
     pub answered: usize,
-    /// Operations whose last word was "not run".
+    /// Operations whose last response was "not run".
     pub refused: usize,
-    /// Operations whose outcome stayed unknown, cut off or without an answer.
+    /// Operations whose outcome is unknown, whose response was cut off, or which got no response.
     pub unknown: usize,
-    /// Share of answers served away from the home region.
+    /// Share of complete responses that were served outside the home region.
     pub away_share: f64,
-    /// Cost of all answers.
+    /// Cost of all complete responses.
     pub cost: f64,
-    /// Cost of a thousand answers.
+    /// Cost of a thousand complete responses.
     pub cost_per_thousand: f64,
-    /// Median delay to the end, in milliseconds, from the intended send.
+    /// Median time from the scheduled send to the end of the response, in milliseconds.
     pub p50_ms: f64,
-    /// 99th percentile of it.
+    /// 99th percentile of that time.
     pub p99_ms: f64,
-    /// 95th percentile of the delay to the first token of streams, in milliseconds.
+    /// 95th percentile of the time to the first byte of the streaming service, in milliseconds.
     pub first_p95_ms: f64,
-    /// Answers refused, by code.
+    /// Number of sends by result code.
     pub codes: BTreeMap<u16, usize>,
 }
 
-/// Computes the figures of the sends that a filter takes.
+/// Computes the statistics of the sends that a filter selects.
 ///
 /// # Panics
 ///
-/// Never: the histograms' bounds are constants.
+/// Never panics: the bounds of the histograms are constants.
 pub fn figures(
     data: &HistoryData,
     stream_service: &str,
@@ -50,7 +50,7 @@
         *figures.codes.entry(send.code).or_default() += 1;
         let better = ends
             .get(&send.operation)
-            .is_none_or(|known| !is_whole(known));
+            .is_none_or(|known| !is_complete(known));
         if better {
             ends.insert(send.operation, send);
         }
@@ -91,7 +91,7 @@
     figures
 }
 
-/// Gives a share, 0 of nothing.
+/// Returns `part / whole`, or 0 if `whole` is 0.
 pub fn ratio(part: usize, whole: usize) -> f64 {
     if whole == 0 {
         0.0
@@ -100,16 +100,16 @@
     }
 }
 
-/// Makes a histogram of microseconds up to ten minutes.
+/// Creates a histogram of durations in microseconds, up to ten minutes.
 ///
 /// # Panics
 ///
-/// Never: the bounds are constants.
+/// Never panics: the bounds are constants.
 pub fn new_histogram() -> Histogram<u64> {
-    const MOST: u64 = 600_000_000;
-    Histogram::new_with_bounds(1, MOST, 3).expect("the bounds are right")
+    const MAX_MICROS: u64 = 600_000_000;
+    Histogram::new_with_bounds(1, MAX_MICROS, 3).expect("the bounds are valid")
 }
 
-fn is_whole(send: &SendRecord) -> bool {
+fn is_complete(send: &SendRecord) -> bool {
     matches!(send.end, SeenEnd::Whole { .. })
 }
--- a/crates/zinniahatch_lab/src/experiments/overhead.rs
+++ b/crates/zinniahatch_lab/src/experiments/overhead.rs
@@ -1,4 +1,4 @@
-//! What one node adds: plain calls and streams, direct and through it, in one run.
+//! Overhead of one node: plain requests directly and through the node, and streams through it, in one run.
 
 use crate::cluster::ClusterOptions;
 use crate::cluster::LabCluster;
@@ -20,10 +20,10 @@
 use tokio::task::JoinSet;
 use zinniahatch_base::prelude::*;
 
-/// Clock ticks of the kernel in a second, as `/proc` counts them on Linux.
-const TICKS: f64 = 100.0;
-/// Streams at once and tokens of each; at 18 ms a token, the 22,000 tokens a second that a node
-/// relays at design size (`docs/CAPACITY.md`).
+/// Kernel clock ticks per second, the unit of CPU times in `/proc` on Linux.
+const TICKS_PER_SECOND: f64 = 100.0;
+/// Number of concurrent streams. At 18 ms per token they make the 22,000 tokens per second that a node
+/// relays at the design size (`docs/CAPACITY.md`).
 const STREAMS: usize = 400;
 const STREAM_TOKENS: u64 = 300;
 const TOKEN_TIME: Duration = Duration::from_millis(18);
@@ -35,11 +35,11 @@
     calls: u64,
 }
 
-/// Measures; gives how many calls failed.
+/// Runs the experiment; returns the number of failed requests.
 ///
 /// # Panics
 ///
-/// Where the system cannot be started.
+/// Panics if the system cannot be started.
 pub async fn run(seconds: u64) -> usize {
     let mut plan = users::aqsu();
     plan.regions.truncate(1);
@@ -56,23 +56,23 @@
         plain_time: Duration::ZERO,
         ..ClusterOptions::default()
     };
-    widen(&mut plan);
+    raise_slots(&mut plan);
     let cluster = LabCluster::start(plan, &options).await;
-    // The first leases are given three seconds after the start of a lone node.
+    // A single node grants the first leases three seconds after its start.
     tokio::time::sleep(Duration::from_secs(4)).await;
     let config = crate::cluster::config_of(&cluster.plan);
     let direct = config
         .backends_in("coldbook", "almaty-hall-a")
         .next()
-        .expect("there is a backend")
+        .expect("the service has a backend server")
         .1
         .address
         .to_string();
     let through = format!("http://{}/s/coldbook", cluster.nodes[0].http);
-    let process = cluster.process(0).expect("the node runs");
+    let process = cluster.process(0).expect("the node is running");
     let key = &cluster.plan.callers[0].key;
     let time = Duration::from_secs(seconds);
-    // Warm up, then the highest rate with closed loops.
+    // Warms up, then measures the highest rate with closed loops.
     closed_loop(&through, key, 32, Duration::from_secs(1)).await;
     let before = cpu_seconds(process);
     let (peak, mut failed) = closed_loop(&through, key, 32, time).await;
@@ -83,7 +83,7 @@
     failed += lost;
     let (through_calls, lost) = open_loop(&through, key, rate, time).await;
     failed += lost;
-    let (events, stream_cpu, lost) = streams(&cluster, process).await;
+    let (events, stream_cpu, lost) = run_streams(&cluster, process).await;
     failed += lost;
     let (one, two) = (figures(&direct_calls), figures(&through_calls));
     let per_event = stream_cpu * 1e6 / events as f64;
@@ -105,8 +105,8 @@
     failed
 }
 
-/// Gives the plain service and the engines enough slots not to be what is measured.
-fn widen(plan: &mut UserPlan) {
+/// Raises the slots of the plain service and the engines, so that they are not the bottleneck.
+fn raise_slots(plan: &mut UserPlan) {
     let text = plan.parts["backends"]
         .replace("slots = 32", "slots = 4000")
         .replace("slots = 8", "slots = 64");
@@ -122,7 +122,7 @@
     let client = Client::builder()
         .no_proxy()
         .build()
-        .expect("the client can be made");
+        .expect("the HTTP client can be created");
     let mut tasks = JoinSet::new();
     for _ in 0..clients {
         let (client, base, key) = (client.clone(), base.to_owned(), key.to_owned());
@@ -132,7 +132,7 @@
             let started = Instant::now();
             while started.elapsed() < time {
                 let sent = Instant::now();
-                if call(&client, &base, &key).await {
+                if send_request(&client, &base, &key).await {
                     delays.saturating_record(sent.elapsed().as_micros() as u64);
                 } else {
                     failed += 1;
@@ -154,14 +154,14 @@
     let client = Client::builder()
         .no_proxy()
         .build()
-        .expect("the client can be made");
+        .expect("the HTTP client can be created");
     let results = Arc::new(Mutex::new((new_histogram(), 0)));
     let calls = (rate * time.as_secs_f64()) as u64;
     let (sender, mut ended) = mpsc::unbounded_channel();
     let handle = Handle::current();
     let (base, key, shared) = (base.to_owned(), key.to_owned(), Arc::clone(&results));
-    // A thread that spins keeps the intended times; the runtime's timer is only good to a
-    // millisecond, which is more than what is measured.
+    // A spinning thread keeps the scheduled send times. The runtime's timer has a resolution of one
+    // millisecond, which is more than the measured delays.
     let pacer = std::thread::spawn(move || {
         let started = Instant::now();
         for number in 0..calls {
@@ -177,7 +177,7 @@
                 sender.clone(),
             );
             handle.spawn(async move {
-                let right = call(&client, &base, &key).await;
+                let right = send_request(&client, &base, &key).await;
                 let mut results = results.lock().unwrap_or_else(PoisonError::into_inner);
                 results
                     .0
@@ -195,7 +195,7 @@
     results.clone()
 }
 
-async fn call(client: &Client, base: &str, key: &str) -> bool {
+async fn send_request(client: &Client, base: &str, key: &str) -> bool {
     let request = client
         .get(format!("{base}/record?operation=7;"))
         .bearer_auth(key);
@@ -205,11 +205,11 @@
     }
 }
 
-async fn streams(cluster: &LabCluster, process: u32) -> (u64, f64, usize) {
+async fn run_streams(cluster: &LabCluster, process: u32) -> (u64, f64, usize) {
     let client = Client::builder()
         .no_proxy()
         .build()
-        .expect("the client can be made");
+        .expect("the HTTP client can be created");
     let url = format!(
         "http://{}/s/zinnia-desk/v1/chat/completions",
         cluster.nodes[0].http
@@ -248,22 +248,22 @@
     }
 }
 
-/// Gives the processor time that a process has used, in seconds.
+/// Returns the CPU time that a process has used, in seconds.
 pub fn cpu_seconds(process: u32) -> f64 {
-    const FIELDS_BEFORE: usize = 11;
+    const FIELDS_BEFORE_CPU_TIME: usize = 11;
     let text = fs::read_to_string(format!("/proc/{process}/stat")).unwrap_or_default();
-    // The second field is the program's name in brackets and may hold spaces.
+    // The second field is the program's name in parentheses and may contain spaces.
     let rest = text.rsplit(')').next().unwrap_or_default();
     let ticks: f64 = rest
         .split_whitespace()
-        .skip(FIELDS_BEFORE)
+        .skip(FIELDS_BEFORE_CPU_TIME)
         .take(2)
         .filter_map(|field| field.parse::<f64>().ok())
         .sum();
-    ticks / TICKS
+    ticks / TICKS_PER_SECOND
 }
 
-/// Gives the memory that a process keeps, in bytes.
+/// Returns the resident memory of a process, in bytes.
 pub fn resident_bytes(process: u32) -> u64 {
     const KIB: u64 = 1_024;
     let text = fs::read_to_string(format!("/proc/{process}/status")).unwrap_or_default();
--- a/crates/zinniahatch_lab/src/experiments/policies.rs
+++ b/crates/zinniahatch_lab/src/experiments/policies.rs
@@ -1,4 +1,4 @@
-//! Staggered regional peaks: the score against always-home, least-loaded and random-two.
+//! Routing policies under staggered_rate regional peaks: score, always-home, least-loaded and random-two.
 
 use crate::checker::CheckExcuse;
 use crate::checker::check;
@@ -24,14 +24,14 @@
 ];
 
 #[derive(Debug, Serialize)]
-struct PolicyLine {
+struct PolicyResult {
     user: &'static str,
     rule: &'static str,
     broken: usize,
     figures: RunFigures,
 }
 
-/// Measures every rule with the same load; gives how many rules of the checker broke.
+/// Measures every routing rule with the same load; returns the number of violations.
 pub async fn run(seed: u64, seconds: u64, only: Option<&str>) -> usize {
     let mut lines = Vec::new();
     for plan in [users::amiantis(), users::aqsu()] {
@@ -64,7 +64,7 @@
     violations
 }
 
-async fn run_rule(plan: UserPlan, rule: RouteRule, seed: u64, seconds: u64) -> PolicyLine {
+async fn run_rule(plan: UserPlan, rule: RouteRule, seed: u64, seconds: u64) -> PolicyResult {
     let options = ClusterOptions {
         route: rule,
         ..ClusterOptions::default()
@@ -73,7 +73,7 @@
     let load = LoadPlan {
         seed,
         duration: Duration::from_secs(seconds),
-        rate: staggered,
+        rate: staggered_rate,
         mix: LoadMix {
             query: 0.6,
             summary: 0.2,
@@ -90,7 +90,7 @@
     let figures = cluster
         .history
         .with(|data| figures(data, cluster.plan.engine, |_| true));
-    PolicyLine {
+    PolicyResult {
         user: cluster.plan.name,
         rule: rule.word(),
         broken,
@@ -98,9 +98,9 @@
     }
 }
 
-/// Gives a region's rate: a quiet level, and a peak at a different time in each region that
-/// passes the region's own capacity.
-fn staggered(region: usize, part: f64) -> f64 {
+/// Returns a region's rate: a base level, and a peak above the region's own capacity at a different time
+/// in each region.
+fn staggered_rate(region: usize, part: f64) -> f64 {
     const PEAKS: [(f64, f64); 3] = [(70.0, 0.2), (38.0, 0.5), (26.0, 0.8)];
     const WIDTH: f64 = 0.12;
     const QUIET: f64 = 0.2;
--- a/crates/zinniahatch_lab/src/experiments/shares.rs
+++ b/crates/zinniahatch_lab/src/experiments/shares.rs
@@ -1,4 +1,4 @@
-//! One account floods: what the others get against their share.
+//! Fair sharing: one account floods a region, and another account's part is compared with its share.
 
 use crate::checker::CheckExcuse;
 use crate::checker::check;
@@ -6,9 +6,9 @@
 use crate::cluster::LabCluster;
 use crate::experiments::figures::figures;
 use crate::history::SeenEnd;
-use crate::load::CallTools;
 use crate::load::OperationJob;
 use crate::load::OperationKind;
+use crate::load::OperationSender;
 use crate::users;
 use crate::users::CallerPlan;
 use serde_json::json;
@@ -19,26 +19,27 @@
 use tokio::time::sleep;
 use zinniahatch_base::prelude::*;
 
-/// Requests that the flooding account keeps in progress; its region has 56 slots.
-const FLOOD: usize = 300;
-/// Requests that the other account keeps in progress, more than its share.
-const OTHER: usize = 80;
+/// Requests that the flooding account keeps in flight; its region has 56 slots.
+const FLOOD_IN_FLIGHT: usize = 300;
+/// Requests that the other account keeps in flight, more than its share.
+const OTHER_IN_FLIGHT: usize = 80;
 const TOKENS: u64 = 60;
-/// Shares of the two classes in the ordinary preset: wholesale 0.35, drivers 0.3.
+/// Fair share of the other account. The ordinary preset gives its class (drivers) 0.3, and the
+/// flooding account's class (wholesale) 0.35.
 const FAIR: f64 = 0.3 / 0.65;
-/// How far the other account's part may fall below its share.
-const SLACK: f64 = 0.1;
+/// Tolerated difference between the other account's share and its part.
+const TOLERANCE: f64 = 0.1;
 
-/// Measures; gives how many rules broke.
+/// Runs the experiment; returns the number of violations.
 pub async fn run(seconds: u64) -> usize {
     let mut plan = users::aqsu();
-    // Away is not allowed, so that one region's pool is what is shared.
+    // Requests may not leave their region, so that the accounts share one region's pool.
     let text = plan.parts["preset-ordinary"]
         .replace("allowed = yes", "allowed = no")
         .replace("wait_limit = 20s", "wait_limit = 60s");
     plan.parts.insert("preset-ordinary".into(), text.into());
     let cluster = LabCluster::start(plan, &ClusterOptions::default()).await;
-    let tools = CallTools::new(
+    let sender = OperationSender::new(
         &cluster.history,
         crate::cluster::config_of(&cluster.plan),
         cluster.plan.engine,
@@ -56,18 +57,21 @@
     let mut tasks = JoinSet::new();
     let flood = cluster.plan.callers[0].clone();
     let other = cluster.plan.callers[3].clone();
-    for (caller, count, delay) in [(flood, FLOOD, 0), (other, OTHER, seconds / 4)] {
+    for (caller, count, delay) in [
+        (flood, FLOOD_IN_FLIGHT, 0),
+        (other, OTHER_IN_FLIGHT, seconds / 4),
+    ] {
         for worker in 0..count {
-            let (tools, caller, entries, numbers) = (
-                tools.clone(),
+            let (sender, caller, entries, numbers) = (
+                sender.clone(),
                 caller.clone(),
                 entries.clone(),
                 Arc::clone(&numbers),
             );
             tasks.spawn(async move {
                 sleep(Duration::from_secs(delay)).await;
-                work(
-                    &tools,
+                run_worker(
+                    &sender,
                     &caller,
                     &entries[worker % entries.len()],
                     &numbers,
@@ -81,7 +85,7 @@
     let breaks = cluster
         .history
         .with(|data| check(data, &CheckExcuse::default()));
-    // Judged over the second half, when both accounts have long had more waiting than slots.
+    // Only the second half counts, when both accounts have long had more requests waiting than there are slots.
     let from = Duration::from_secs(seconds / 2);
     let of = |account: &'static str| {
         cluster.history.with(|data| {
@@ -99,7 +103,7 @@
         flood.answered, flood.refused, other.answered, other.refused
     );
     println!("the other account got {part:.3} of the answers, its share is {FAIR:.3}");
-    let violations = breaks.len() + usize::from(part < FAIR - SLACK);
+    let violations = breaks.len() + usize::from(part < FAIR - TOLERANCE);
     println!(
         "{}",
         json!({"experiment": "shares", "violations": violations, "part": part, "share": FAIR, "flood": flood, "other": other})
@@ -107,8 +111,8 @@
     violations
 }
 
-async fn work(
-    tools: &CallTools,
+async fn run_worker(
+    sender: &OperationSender,
     caller: &CallerPlan,
     entry: &str,
     numbers: &AtomicU64,
@@ -119,16 +123,16 @@
             number: numbers.fetch_add(1, Ordering::Relaxed),
             caller: caller.clone(),
             kind: OperationKind::Query,
-            meant: tools.history.now(),
+            scheduled_at: sender.history.now(),
             tokens: TOKENS,
             prompt: "stock check; ".repeat(20),
-            start: 0,
+            first_entry: 0,
         };
-        let Some(record) = tools.send(&job, entry, None).await else {
+        let Some(record) = sender.send(&job, entry, None).await else {
             continue;
         };
         let refused = matches!(record.end, SeenEnd::Told(Execution::NotRun));
-        tools.history.add_send(record);
+        sender.history.add_send(record);
         if refused {
             sleep(Duration::from_millis(500)).await;
         }
--- a/crates/zinniahatch_lab/src/experiments/spread.rs
+++ b/crates/zinniahatch_lab/src/experiments/spread.rs
@@ -1,4 +1,4 @@
-//! How soon a change of configuration is in force on every node, and that none goes back.
+//! Propagation of configuration changes: the delay until all nodes apply one, and whether any node reverts.
 
 use crate::cluster::ClusterOptions;
 use crate::cluster::LabCluster;
@@ -15,10 +15,10 @@
 use zinniahatch_base::prelude::*;
 
 const CHANGES: usize = 6;
-const BOUND: Duration = Duration::from_secs(8);
+const PROPAGATION_LIMIT: Duration = Duration::from_secs(8);
 
 #[derive(Debug, Serialize)]
-struct SpreadFigures {
+struct PropagationFigures {
     case: &'static str,
     changes: usize,
     p50_ms: f64,
@@ -27,7 +27,7 @@
     went_back: usize,
 }
 
-/// Measures; gives how many changes were late, lost, or reverted.
+/// Runs the experiment; returns the number of changes that were late, lost or reverted.
 pub async fn run() -> usize {
     let cluster = LabCluster::start(users::aqsu(), &ClusterOptions::default()).await;
     let region = cluster.plan.regions[1].region.clone();
@@ -66,11 +66,11 @@
     violations
 }
 
-async fn run_case(cluster: &LabCluster, case: &'static str) -> SpreadFigures {
+async fn run_case(cluster: &LabCluster, case: &'static str) -> PropagationFigures {
     let client = Client::new();
     let operator = OperatorCalls::new(cluster, 0, &cluster.plan.shift);
     let mut delays = new_histogram();
-    let mut figures = SpreadFigures {
+    let mut figures = PropagationFigures {
         case,
         changes: 0,
         p50_ms: 0.0,
@@ -94,7 +94,7 @@
         figures.changes += 1;
         let accepted = Instant::now();
         loop {
-            let seen = revisions(&client, cluster).await;
+            let seen = read_revisions(&client, cluster).await;
             for (node, revision) in &seen {
                 let last = newest.entry(node.clone()).or_default();
                 figures.went_back += usize::from(revision < last);
@@ -104,7 +104,7 @@
                 delays.saturating_record(accepted.elapsed().as_micros() as u64);
                 break;
             }
-            if accepted.elapsed() > BOUND {
+            if accepted.elapsed() > PROPAGATION_LIMIT {
                 figures.beyond_bound += 1;
                 break;
             }
@@ -116,7 +116,7 @@
     figures
 }
 
-async fn revisions(client: &Client, cluster: &LabCluster) -> BTreeMap<NodeId, u64> {
+async fn read_revisions(client: &Client, cluster: &LabCluster) -> BTreeMap<NodeId, u64> {
     let asked = cluster.nodes.iter().map(|node| async {
         let response = client
             .get(format!("http://{}/internal/brief", node.http))
--- a/crates/zinniahatch_lab/src/experiments/verdicts.rs
+++ b/crates/zinniahatch_lab/src/experiments/verdicts.rs
@@ -1,7 +1,7 @@
-//! When a member is judged failed: a node's own suspicion against a majority of reports.
+//! Failure detection policies: a node's own suspicion compared with majority reports.
 //!
-//! The second is the two-stage verdict of the paper on failover in a gossiping cluster that
-//! `docs/DESIGN.md` cites. Time is virtual: only the member tables run, no process.
+//! Majority reports are the two-stage failure detection of the paper on failover in a gossip-based cluster
+//! that `docs/DESIGN.md` cites. Only the member tables run, in virtual time and without processes.
 
 use rand::RngExt;
 use rand::SeedableRng;
@@ -15,17 +15,17 @@
 use zinniahatch_protocol::HeartbeatNote;
 use zinniahatch_protocol::NodeFrame;
 
-/// Members of a data centre at design size.
+/// Members of a data centre at the design size.
 const MEMBERS: usize = 14;
 const HOURS: u64 = 2;
 const STEPS_PER_HOUR: u64 = 3_600;
-/// Steps before the end at which a member dies.
-const DEATH_AT: u64 = 600;
-/// Step from which some members do not hear another one that everybody else hears.
+/// Number of steps before the end at which one member death_step.
+const STEPS_AFTER_DEATH: u64 = 600;
+/// Step from which some members no longer get one member's heartbeats, which all others still get.
 const ONE_WAY_FROM: u64 = 600;
 
 #[derive(Debug, Serialize)]
-struct VerdictLine {
+struct DetectionResult {
     case: &'static str,
     policy: &'static str,
     wrong_per_node_hour: f64,
@@ -33,7 +33,7 @@
     never: usize,
 }
 
-/// Measures both policies; gives 0, since a wrong verdict breaks no promise.
+/// Measures both policies; returns 0, since a false detection violates no invariant.
 pub fn run(seed: u64) -> usize {
     let mut lines = Vec::new();
     for (case, loss, one_way) in [
@@ -73,29 +73,29 @@
     policy: VerdictPolicy,
     loss: f64,
     one_way: usize,
-) -> VerdictLine {
+) -> DetectionResult {
     let mut random = StdRng::seed_from_u64(seed);
     let mut tables: Vec<MemberTable> = (0..MEMBERS)
         .map(|index| MemberTable::new(&node(index), policy))
         .collect();
-    // One node that some others cannot hear, though it hears them and everyone else hears it.
-    let deaf: Vec<usize> = (1..=one_way).collect();
+    // These members do not get the heartbeats of node 0, which gets theirs and reaches all others.
+    let unreached: Vec<usize> = (1..=one_way).collect();
     let mut now = Instant::now();
-    let mut judged = vec![vec![false; MEMBERS]; MEMBERS];
+    let mut seen_failed = vec![vec![false; MEMBERS]; MEMBERS];
     let mut wrong = 0_u64;
-    let mut right: Vec<f64> = Vec::new();
+    let mut right_delays: Vec<f64> = Vec::new();
     let last = MEMBERS - 1;
-    let dies = HOURS * STEPS_PER_HOUR - DEATH_AT;
+    let death_step = HOURS * STEPS_PER_HOUR - STEPS_AFTER_DEATH;
     for step in 0..HOURS * STEPS_PER_HOUR {
         now += HEARTBEAT_EVERY;
         for from in 0..MEMBERS {
-            if from == last && step >= dies {
+            if from == last && step >= death_step {
                 continue;
             }
             let suspects = tables[from].suspects(now);
             let vouches = tables[from].vouches(now);
             for to in (0..MEMBERS).filter(|to| *to != from) {
-                let one_way = step >= ONE_WAY_FROM && from == 0 && deaf.contains(&to);
+                let one_way = step >= ONE_WAY_FROM && from == 0 && unreached.contains(&to);
                 let lost = random.random::<f64>() < loss || one_way;
                 if !lost {
                     let (frame, note) = heartbeat(from, step, suspects.clone(), vouches.clone());
@@ -107,23 +107,23 @@
             for subject in (0..MEMBERS).filter(|subject| *subject != observer) {
                 let known = tables[observer].entries().contains_key(&*node(subject));
                 let failed = known && !tables[observer].is_live(now, &node(subject));
-                let dead = subject == last && step >= dies;
-                let fresh = failed && !judged[observer][subject];
-                judged[observer][subject] = failed;
-                if fresh && dead && observer != last {
-                    right.push((step - dies) as f64 * HEARTBEAT_EVERY.as_secs_f64());
+                let dead = subject == last && step >= death_step;
+                let newly_failed = failed && !seen_failed[observer][subject];
+                seen_failed[observer][subject] = failed;
+                if newly_failed && dead && observer != last {
+                    right_delays.push((step - death_step) as f64 * HEARTBEAT_EVERY.as_secs_f64());
                 }
-                wrong += u64::from(fresh && !dead && observer != last);
+                wrong += u64::from(newly_failed && !dead && observer != last);
             }
         }
     }
-    let never = (MEMBERS - 1).saturating_sub(right.len());
-    let mean = if right.is_empty() {
+    let never = (MEMBERS - 1).saturating_sub(right_delays.len());
+    let mean = if right_delays.is_empty() {
         0.0
     } else {
-        right.iter().sum::<f64>() / right.len() as f64
+        right_delays.iter().sum::<f64>() / right_delays.len() as f64
     };
-    VerdictLine {
+    DetectionResult {
         case,
         policy: name,
         wrong_per_node_hour: wrong as f64 / (MEMBERS as f64 * HOURS as f64),
--- a/crates/zinniahatch_lab/src/load.rs
+++ b/crates/zinniahatch_lab/src/load.rs
@@ -1,4 +1,4 @@
-//! Load: an open loop of operations with intended send times, each answer checked.
+//! Open-loop load generator: operations with scheduled send times, each response checked.
 
 use crate::cluster::LabCluster;
 use crate::history::HistoryLog;
@@ -28,28 +28,29 @@
 use zinniahatch_base::prelude::*;
 use zinniahatch_config::ClusterConfig;
 
-mod call;
+mod sender;
 
-pub use call::CallTools;
+pub use sender::OperationSender;
 
-/// Sends of one operation at most, where earlier ones were told "not run".
-const MOST_SENDS: usize = 4;
-/// Tries to collect the answer of an operation that may run once.
+/// Maximum number of sends of one operation; a further send follows only a "not run" response.
+const MAX_SENDS: usize = 4;
+/// Maximum number of tries to fetch the kept response of an operation that may run once.
 const COLLECT_TRIES: usize = 20;
-const COLLECT_GAP: Duration = Duration::from_millis(400);
-/// Keys taken at once.
+/// Pause before each of these tries.
+const COLLECT_PAUSE: Duration = Duration::from_millis(400);
+/// Idempotency keys requested at once.
 const KEY_BATCH: usize = 32;
 
-/// Kinds of operations, as shares of the load.
+/// Shares of the operation kinds in the load.
 #[derive(Clone, Copy, Debug)]
 pub struct LoadMix {
-    /// Streamed model queries.
+    /// Share of streamed model queries.
     pub query: f64,
-    /// Long model summaries in one piece.
+    /// Share of long model summaries that are not streamed.
     pub summary: f64,
-    /// Plain look-ups.
+    /// Share of plain look-ups.
     pub lookup: f64,
-    /// Entries or reorders that may run once and are bound.
+    /// Share of entries or reorders, which may run once and are bound to their home region.
     pub entry: f64,
 }
 
@@ -69,7 +70,7 @@
 pub enum OperationKind {
     /// A streamed model query.
     Query,
-    /// A long model summary in one piece.
+    /// A long model summary that is not streamed.
     Summary,
     /// A plain look-up.
     Lookup,
@@ -77,24 +78,24 @@
     Entry,
 }
 
-/// How load is made.
+/// Parameters of the load.
 #[derive(Clone, Debug)]
 pub struct LoadPlan {
-    /// Seed of every draw.
+    /// Seed of all random draws.
     pub seed: u64,
-    /// How long operations are sent.
+    /// Time during which operations are sent.
     pub duration: Duration,
-    /// Operations a second of each region, by the part of the duration that has passed.
+    /// Operations per second of a region, as a function of the elapsed fraction of the duration.
     pub rate: fn(region: usize, part: f64) -> f64,
     /// Factor on the rate.
     pub scale: f64,
-    /// Kinds.
+    /// Shares of the operation kinds.
     pub mix: LoadMix,
     /// Tokens of a query and of a summary.
     pub tokens: (u64, u64),
-    /// Bytes of a prompt's shared beginning, for queries and summaries.
+    /// Bytes of a prompt's shared prefix, for queries and for summaries.
     pub prompt: (usize, usize),
-    /// Distinct prompt beginnings of each region.
+    /// Number of distinct prompt prefixes of each region.
     pub prefixes: u64,
 }
 
@@ -115,22 +116,22 @@
 
 type KeysByCaller = BTreeMap<Box<str>, Vec<Box<str>>>;
 
-/// Where callers send, kept up to date as callers would.
+/// Addresses of the entry VMs and idempotency keys that callers hold.
 #[derive(Clone, Debug, Default)]
-pub struct EntryBook {
+pub struct EntryDirectory {
     entries: Arc<Mutex<BTreeMap<RegionId, Vec<Box<str>>>>>,
     keys: Arc<Mutex<KeysByCaller>>,
 }
 
-/// What one run of load needs.
+/// Generates load on a cluster.
 #[derive(Clone)]
 pub struct LoadRunner {
-    tools: CallTools,
+    sender: OperationSender,
     callers: Vec<CallerPlan>,
     regions: Vec<RegionId>,
-    book: EntryBook,
+    directory: EntryDirectory,
     next_operation: Arc<AtomicU64>,
-    /// Operations sent so far.
+    /// Number of operations started so far.
     pub sent: Arc<AtomicU64>,
 }
 
@@ -146,25 +147,25 @@
     region: RegionId,
 }
 
-impl EntryBook {
-    fn of(&self, region: &str) -> Vec<Box<str>> {
+impl EntryDirectory {
+    fn entries_in(&self, region: &str) -> Vec<Box<str>> {
         lock(&self.entries).get(region).cloned().unwrap_or_default()
     }
 }
 
 impl LoadRunner {
-    /// Makes a runner for a system.
+    /// Creates a runner for a cluster.
     pub fn new(cluster: &LabCluster) -> Self {
         let config = crate::cluster::config_of(&cluster.plan);
-        let book = EntryBook::default();
+        let directory = EntryDirectory::default();
         for node in &cluster.nodes {
-            lock(&book.entries)
+            lock(&directory.entries)
                 .entry(node.region.clone())
                 .or_default()
                 .push(node.http.clone());
         }
         Self {
-            tools: CallTools::new(
+            sender: OperationSender::new(
                 &cluster.history,
                 config,
                 cluster.plan.engine,
@@ -177,18 +178,18 @@
                 .iter()
                 .map(|region| region.region.clone())
                 .collect(),
-            book,
+            directory,
             next_operation: Arc::new(AtomicU64::new(1)),
             sent: Arc::default(),
         }
     }
 
-    /// Runs a plan to its end, and waits for every answer.
+    /// Sends all operations of a plan and waits until each has ended.
     pub async fn run(&self, plan: &LoadPlan) {
         let mut random = StdRng::seed_from_u64(plan.seed);
         let refresh = tokio::spawn(self.clone().refresh_entries());
         let started = tokio::time::Instant::now();
-        let begin = self.tools.history.now();
+        let begin = self.sender.history.now();
         let mut tasks = JoinSet::new();
         let mut schedule: Vec<(Duration, usize)> = Vec::new();
         for region in 0..self.regions.len() {
@@ -207,7 +208,7 @@
             let job = self.draw(&mut random, plan, region, begin + at);
             self.sent.fetch_add(1, Ordering::Relaxed);
             let runner = self.clone();
-            tasks.spawn(async move { runner.operate(job).await });
+            tasks.spawn(async move { runner.run_operation(job).await });
         }
         while tasks.join_next().await.is_some() {}
         refresh.abort();
@@ -218,7 +219,7 @@
         random: &mut StdRng,
         plan: &LoadPlan,
         region: usize,
-        meant: Duration,
+        scheduled_at: Duration,
     ) -> OperationJob {
         let home = &self.regions[region];
         let own: Vec<&CallerPlan> = self
@@ -248,35 +249,35 @@
             number: self.next_operation.fetch_add(1, Ordering::Relaxed),
             caller,
             kind,
-            meant,
+            scheduled_at,
             tokens,
             prompt: prompt_text(home, prefix, size),
-            start: random.random_range(0..64),
+            first_entry: random.random_range(0..64),
         }
     }
 
-    /// Sends an operation until it has an answer that is no plain "not run".
-    async fn operate(&self, job: OperationJob) {
+    /// Sends an operation until its response says anything but "not run".
+    async fn run_operation(&self, job: OperationJob) {
         let mut key = None;
-        for turn in 0..MOST_SENDS {
-            let entries = self.book.of(&job.caller.home);
+        for turn in 0..MAX_SENDS {
+            let entries = self.directory.entries_in(&job.caller.home);
             if entries.is_empty() {
                 sleep(Duration::from_millis(200)).await;
                 continue;
             }
-            let entry = entries[(job.start + turn) % entries.len()].clone();
+            let entry = entries[(job.first_entry + turn) % entries.len()].clone();
             if job.kind == OperationKind::Entry && key.is_none() {
                 key = self.take_key(&job.caller, &entry).await;
                 if key.is_none() {
                     continue;
                 }
             }
-            let Some(record) = self.tools.send(&job, &entry, key.as_deref()).await else {
+            let Some(record) = self.sender.send(&job, &entry, key.as_deref()).await else {
                 continue;
             };
             let end = record.end.clone();
             let code = record.code;
-            self.tools.history.add_send(record);
+            self.sender.history.add_send(record);
             match end {
                 SeenEnd::Told(Execution::NotRun) => {
                     if code == ResultCode::KeyForeign.number()
@@ -300,27 +301,27 @@
         }
     }
 
-    /// Collects the answer of an operation whose first answer did not arrive.
+    /// Fetches the kept response of an operation whose first response did not arrive.
     async fn collect(&self, job: &OperationJob, key: Option<&str>) {
         let Some(key) = key else {
             return;
         };
         for turn in 0..COLLECT_TRIES {
-            sleep(COLLECT_GAP).await;
-            let entries = self.book.of(&job.caller.home);
+            sleep(COLLECT_PAUSE).await;
+            let entries = self.directory.entries_in(&job.caller.home);
             let Some(entry) = entries
-                .get((job.start + turn) % entries.len().max(1))
+                .get((job.first_entry + turn) % entries.len().max(1))
                 .cloned()
             else {
                 continue;
             };
-            let Some(record) = self.tools.collect(job, &entry, key).await else {
+            let Some(record) = self.sender.collect(job, &entry, key).await else {
                 continue;
             };
             let settled = matches!(record.end, SeenEnd::Whole { .. })
                 || record.code == ResultCode::KeyBuried.number();
             if settled {
-                self.tools.history.add_send(record);
+                self.sender.history.add_send(record);
                 return;
             }
             if record.code != ResultCode::StillRunning.number() {
@@ -330,7 +331,7 @@
     }
 
     async fn take_key(&self, caller: &CallerPlan, entry: &str) -> Option<Box<str>> {
-        if let Some(key) = lock(&self.book.keys)
+        if let Some(key) = lock(&self.directory.keys)
             .get_mut(&caller.key)
             .and_then(Vec::pop)
         {
@@ -339,7 +340,7 @@
         let body = self.fetch_entries(caller, entry, KEY_BATCH).await?;
         let mut keys = body.keys;
         let key = keys.pop();
-        lock(&self.book.keys)
+        lock(&self.directory.keys)
             .entry(caller.key.clone())
             .or_default()
             .extend(keys);
@@ -353,7 +354,7 @@
         keys: usize,
     ) -> Option<EntriesBody> {
         let request = self
-            .tools
+            .sender
             .client
             .get(format!("http://{entry}/v1/entries"))
             .query(&[("keys", keys)])
@@ -366,12 +367,12 @@
         response.json().await.ok()
     }
 
-    /// Asks the system which entries to use, every second, as callers do.
+    /// Queries every second which entry VMs to use, as callers do.
     async fn refresh_entries(self) {
         let mut turn = 0;
         loop {
             for caller in &self.callers {
-                let known = self.book.of(&caller.home);
+                let known = self.directory.entries_in(&caller.home);
                 let Some(entry) = known.get(turn % known.len().max(1)) else {
                     continue;
                 };
@@ -385,7 +386,7 @@
                     .map(|line| line.http.clone())
                     .collect();
                 if !own.is_empty() {
-                    lock(&self.book.entries).insert(caller.home.clone(), own);
+                    lock(&self.directory.entries).insert(caller.home.clone(), own);
                 }
             }
             turn += 1;
@@ -397,20 +398,20 @@
 /// One operation to send.
 #[derive(Clone, Debug)]
 pub struct OperationJob {
-    /// Its number.
+    /// Number of the operation, unique within a run.
     pub number: u64,
-    /// Who sends it.
+    /// The sending caller.
     pub caller: CallerPlan,
-    /// Its kind.
+    /// Kind of the operation.
     pub kind: OperationKind,
-    /// When it is meant to be sent.
-    pub meant: Duration,
-    /// Tokens asked for.
+    /// Scheduled send time, from which delays are measured.
+    pub scheduled_at: Duration,
+    /// Number of tokens requested.
     pub tokens: u64,
-    /// The prompt's shared beginning.
+    /// Shared prefix of the prompt.
     pub prompt: String,
-    /// Which entry is tried first.
-    pub start: usize,
+    /// Index of the entry VM tried first.
+    pub first_entry: usize,
 }
 
 fn prompt_text(region: &str, prefix: u64, size: usize) -> String {
--- a/crates/zinniahatch_lab/src/load/call.rs
+++ b/crates/zinniahatch_lab/src/load/sender.rs
@@ -1,4 +1,4 @@
-//! One send, and what its caller sees.
+//! Sends one operation and records the response that its caller gets.
 
 use super::Client;
 use super::ClusterConfig;
@@ -20,23 +20,23 @@
 use std::sync::Arc;
 use zinniahatch_base::prelude::Execution;
 
-const CONNECT_TIME: Duration = Duration::from_secs(1);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What a send needs.
+/// Sends operations and checks their responses.
 #[derive(Clone)]
-pub struct CallTools {
+pub struct OperationSender {
     /// The HTTP client.
     pub client: Client,
-    /// Where sends are written down.
+    /// The history in which sends are recorded.
     pub history: HistoryLog,
     config: Arc<ClusterConfig>,
     engine: &'static str,
     plain: &'static str,
 }
 
-/// What was read of an answer.
+/// The parsed parts of a response.
 #[derive(Default)]
-struct ReadAnswer {
+struct ParsedResponse {
     end: Option<SeenEnd>,
     first_byte: Option<Duration>,
     input: u64,
@@ -44,12 +44,12 @@
     tokens: u64,
 }
 
-impl CallTools {
-    /// Makes the tools.
+impl OperationSender {
+    /// Creates a sender.
     ///
     /// # Panics
     ///
-    /// Where the HTTP client cannot be made.
+    /// Panics if the HTTP client cannot be created.
     pub fn new(
         history: &HistoryLog,
         config: ClusterConfig,
@@ -57,10 +57,10 @@
         plain: &'static str,
     ) -> Self {
         let client = Client::builder()
-            .connect_timeout(CONNECT_TIME)
+            .connect_timeout(CONNECT_TIMEOUT)
             .no_proxy()
             .build()
-            .expect("the client can be made");
+            .expect("the HTTP client can be created");
         Self {
             client,
             history: history.clone(),
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Sends an operation once; `None` where there was no connection.
+    /// Sends an operation once; returns `None` if the connection failed.
     pub async fn send(
         &self,
         job: &OperationJob,
@@ -111,7 +111,7 @@
         self.record(job, entry, false, request).await
     }
 
-    /// Asks for the kept answer of an operation's key.
+    /// Fetches the response that is kept under an operation's idempotency key.
     pub async fn collect(&self, job: &OperationJob, entry: &str, key: &str) -> Option<SendRecord> {
         let request = self
             .client
@@ -141,7 +141,7 @@
             sent_to: job.caller.home.clone(),
             entry: entry.into(),
             collects,
-            meant: job.meant,
+            meant: job.scheduled_at,
             ended: Duration::ZERO,
             first_byte: None,
             request: "".into(),
@@ -155,7 +155,7 @@
         match request.bearer_auth(&job.caller.key).send().await {
             Ok(response) => self.read(job, response, &mut record).await,
             Err(error) if error.is_connect() => return None,
-            Err(error) => record.problem = problem_text(&error),
+            Err(error) => record.problem = format_error(&error),
         }
         record.ended = self.history.now();
         Some(record)
@@ -203,15 +203,15 @@
         }
     }
 
-    async fn read_stream(&self, job: &OperationJob, mut response: Response) -> ReadAnswer {
-        let mut answer = ReadAnswer::default();
+    async fn read_stream(&self, job: &OperationJob, mut response: Response) -> ParsedResponse {
+        let mut answer = ParsedResponse::default();
         let mut bytes = Vec::new();
         loop {
             match response.chunk().await {
                 Ok(Some(chunk)) => {
                     answer
                         .first_byte
-                        .get_or_insert(self.history.now().saturating_sub(job.meant));
+                        .get_or_insert(self.history.now().saturating_sub(job.scheduled_at));
                     bytes.extend_from_slice(&chunk);
                 }
                 Ok(None) => break,
@@ -242,12 +242,12 @@
         answer
     }
 
-    async fn read_chat(&self, job: &OperationJob, response: Response) -> ReadAnswer {
-        let mut answer = ReadAnswer::default();
+    async fn read_chat(&self, job: &OperationJob, response: Response) -> ParsedResponse {
+        let mut answer = ParsedResponse::default();
         let Ok(bytes) = response.bytes().await else {
             return answer;
         };
-        answer.first_byte = Some(self.history.now().saturating_sub(job.meant));
+        answer.first_byte = Some(self.history.now().saturating_sub(job.scheduled_at));
         let body: Value = serde_json::from_slice(&bytes).unwrap_or(Value::Null);
         answer.read_usage(&body);
         let content = body["choices"][0]["message"]["content"]
@@ -259,12 +259,12 @@
         answer
     }
 
-    async fn read_plain(&self, job: &OperationJob, response: Response) -> ReadAnswer {
-        let mut answer = ReadAnswer::default();
+    async fn read_plain(&self, job: &OperationJob, response: Response) -> ParsedResponse {
+        let mut answer = ParsedResponse::default();
         let Ok(text) = response.text().await else {
             return answer;
         };
-        answer.first_byte = Some(self.history.now().saturating_sub(job.meant));
+        answer.first_byte = Some(self.history.now().saturating_sub(job.scheduled_at));
         answer.end = Some(SeenEnd::Whole {
             right: text == plain_answer(job.number),
         });
@@ -272,8 +272,8 @@
     }
 }
 
-/// Gives an error with its causes.
-fn problem_text(error: &dyn Error) -> Box<str> {
+/// Formats an error with its causes.
+fn format_error(error: &dyn Error) -> Box<str> {
     let mut text = error.to_string();
     let mut cause = error.source();
     while let Some(inner) = cause {
@@ -284,7 +284,7 @@
     text.into()
 }
 
-impl ReadAnswer {
+impl ParsedResponse {
     fn read_usage(&mut self, body: &Value) {
         let Some(usage) = body.get("usage") else {
             return;
--- a/crates/zinniahatch_lab/src/main.rs
+++ b/crates/zinniahatch_lab/src/main.rs
@@ -1,4 +1,4 @@
-//! `zinnia-lab`, the test side: never shipped to users' VMs.
+//! `zinnia-lab`, the command of the test harness; it is never shipped to users' VMs.
 
 use argh::FromArgs;
 use std::process::ExitCode;
@@ -26,8 +26,8 @@
     Soak(SoakArgs),
 }
 
-/// random faults on real processes, promises checked meanwhile; the last line is a JSON object with
-/// "violations"
+/// random faults on real processes, with invariants checked throughout; the last line is a JSON object
+/// with "violations"
 #[derive(FromArgs)]
 #[argh(subcommand, name = "soak")]
 #[expect(
@@ -38,54 +38,54 @@
     /// the first seed (default: 1)
     #[argh(option, default = "1")]
     seed: u64,
-    /// how many seeds, one after the other (default: 1)
+    /// number of seeds, which run one after the other (default: 1)
     #[argh(option, default = "1")]
     seeds: u64,
-    /// seconds in which faults begin, for each seed (default: 12)
+    /// seconds during which faults begin, for each seed (default: 12)
     #[argh(option, default = "12")]
     seconds: u64,
     /// entry VMs in each of three regions (default: 2)
     #[argh(option, default = "2")]
     entries: usize,
-    /// callers at once (default: 12)
+    /// concurrent callers (default: 12)
     #[argh(option, default = "12")]
     callers: usize,
-    /// one more caller comes with a request that ends each replica which begins it
+    /// add a caller that repeats a request which crashes each replica that runs it
     #[argh(switch)]
     fatal: bool,
-    /// let the store come back from an older copy
+    /// restore the store from an older backup
     #[argh(switch)]
     returns: bool,
-    /// let replicas name rate limits
+    /// let replicas announce rate limits
     #[argh(switch)]
     limits: bool,
-    /// let replicas say in their answers that they leave, or ask for rest
+    /// let replicas announce in their responses that they are leaving, or ask for backoff
     #[argh(switch)]
     notices: bool,
 }
 
-/// run a small site on the platform's protocol, with a kill and a planned stop
+/// a small site on the platform's protocol, with a killed entry VM and a planned stop
 #[derive(FromArgs)]
 #[argh(subcommand, name = "site")]
 struct SiteArgs {}
 
-/// one experiment; its last line is a JSON object with its figures and "violations"
+/// one experiment; its last line is a JSON object with its results and "violations"
 #[derive(FromArgs)]
 #[argh(subcommand, name = "experiment")]
 struct ExperimentArgs {
     /// overhead, faults, policies, shares, spread, verdicts or control-cost
     #[argh(positional)]
     name: String,
-    /// seed of every draw (default: 1)
+    /// seed of all random draws (default: 1)
     #[argh(option, default = "1")]
     seed: u64,
     /// seconds of each phase (default: the experiment's own)
     #[argh(option)]
     seconds: Option<u64>,
-    /// one case alone
+    /// run only this case
     #[argh(option)]
     only: Option<String>,
-    /// factor on the load of the fault runs (default: 1)
+    /// factor on the rate of the load in the experiment "faults" (default: 1)
     #[argh(option, default = "1.0")]
     scale: f64,
 }
@@ -137,17 +137,17 @@
     }
 }
 
-/// one user's system, without load, to try the command line on
+/// one user's system, by default without load, on which to try zinniactl
 #[derive(FromArgs)]
 #[argh(subcommand, name = "up")]
 struct UpArgs {
     /// amiantis or aqsu (default: amiantis)
     #[argh(option, default = "String::from(\"amiantis\")")]
     user: String,
-    /// how long it runs (default: 600)
+    /// seconds that it runs (default: 600)
     #[argh(option, default = "600")]
     seconds: u64,
-    /// operations a second in each region (default: none)
+    /// operations per second in each region (default: none)
     #[argh(option, default = "0.0")]
     rate: f64,
 }
--- a/crates/zinniahatch_lab/src/soak/injector.rs
+++ b/crates/zinniahatch_lab/src/soak/injector.rs
@@ -14,7 +14,7 @@
 use zinniahatch_base::prelude::*;
 
 /// Time after which a leaving replica must get no more work; includes a reserve for a busy machine.
-const DRAIN_TIME: Duration = Duration::from_secs(6);
+const DRAIN_LIMIT: Duration = Duration::from_secs(6);
 /// Time after a store fault for which nodes may still have stale state.
 const STALE_TIME: Duration = Duration::from_secs(6);
 
@@ -302,7 +302,7 @@
         site.configure(self.version, &self.added_routes());
     }
 
-    /// Checks that a leaving replica got no request after `DRAIN_TIME`, unless another fault delayed the update.
+    /// Checks that a leaving replica got no request after `DRAIN_LIMIT`, unless another fault delayed the update.
     fn check_drained(
         &self,
         site: &SiteCluster,
@@ -322,7 +322,7 @@
             touches && overlaps && !same
         });
         let last = site.replicas[index].0.sight().last_run;
-        if !excused && last.is_some_and(|last| last > *since + DRAIN_TIME) {
+        if !excused && last.is_some_and(|last| last > *since + DRAIN_LIMIT) {
             log.record_violation(format!(
                 "{} ran a request {:?} after it began to leave",
                 site.replicas[index].0.id,
--- a/crates/zinniahatch_lab/tests/checker.rs
+++ b/crates/zinniahatch_lab/tests/checker.rs
@@ -1,4 +1,4 @@
-//! The checker can fail: each rule, broken on purpose, is caught.
+//! Tests of the history checker: a violation of each rule is detected.
 
 use std::time::Duration;
 use test_case::test_case;
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn check_right_history_finds_nothing() {
+fn valid_history_has_no_violations() {
     assert_eq!(
         rules(
             send(SeenEnd::Whole { right: true }),
@@ -88,7 +88,7 @@
 #[test_case(SeenEnd::NoAnswer, &[], BrokenRule::Lost; "lost")]
 #[test_case(SeenEnd::Whole { right: true }, &[("n-1-1", "home", Some(4))], BrokenRule::LateWork; "work for one that leaves")]
 #[test_case(SeenEnd::Whole { right: true }, &[], BrokenRule::Invented; "answered without running")]
-fn check_broken_rule_is_caught(
+fn violation_of_rule_is_detected(
     end: SeenEnd,
     runs: &[(&str, &str, Option<u64>)],
     expected: BrokenRule,
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn check_killed_node_excuses_only_its_time() {
+fn killed_node_excuses_only_its_time() {
     let data = HistoryData {
         sends: vec![send(SeenEnd::NoAnswer)],
         executions: vec![],
@@ -113,7 +113,7 @@
     assert_eq!(check(&data, &at(20)).len(), 1);
 }
 
-/// Guards against a collected refusal that is taken for a request, and a repeated request that is not.
+/// Guards against counting the fetch of a kept response as a request, and against not counting a repeated request.
 #[test_case(211, false, true; "refused")]
 #[test_case(101, false, true; "answered_earlier")]
 #[test_case(211, true, false; "refusal_collected")]
--- a/crates/zinniahatch_lab/tests/kept_connections.rs
+++ b/crates/zinniahatch_lab/tests/kept_connections.rs
@@ -1,4 +1,4 @@
-//! Connections that callers keep open between requests, with a real entry VM.
+//! Persistent connections of callers, with a real entry VM.
 
 use std::io::ErrorKind;
 use std::io::Read;
@@ -9,9 +9,9 @@
 use zinniahatch_lab::cluster::LabCluster;
 use zinniahatch_lab::users;
 
-/// Longer than any head of a request may take.
-const QUIET_TIME: Duration = Duration::from_secs(12);
-const ANSWER_TIME: Duration = Duration::from_secs(5);
+/// Idle time, longer than the time limit for receiving a request head.
+const IDLE_TIME: Duration = Duration::from_secs(12);
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(5);
 
 async fn start() -> LabCluster {
     let mut plan = users::aqsu();
@@ -20,10 +20,10 @@
     LabCluster::start(plan, &ClusterOptions::default()).await
 }
 
-fn ask(stream: &mut TcpStream) -> usize {
+fn send_request(stream: &mut TcpStream) -> usize {
     stream
-        .set_read_timeout(Some(ANSWER_TIME))
-        .expect("a time limit can be set");
+        .set_read_timeout(Some(RESPONSE_TIMEOUT))
+        .expect("the read timeout can be set");
     stream
         .write_all(b"GET /healthz HTTP/1.1\r\nhost: node\r\n\r\n")
         .expect("the request is written");
@@ -31,18 +31,22 @@
     stream.read(&mut answer).expect("the node answers")
 }
 
-/// Guards against a request without an answer because its entry VM was just closing the kept connection.
+/// Guards against a request that gets no response because the entry VM closes the idle connection at the same moment.
 #[tokio::test(flavor = "multi_thread")]
 async fn kept_connection_stays_open() {
     let cluster = start().await;
     let mut stream = TcpStream::connect(&*cluster.nodes[0].http).expect("the node listens");
-    assert!(ask(&mut stream) > 0);
+    assert!(send_request(&mut stream) > 0);
     stream
-        .set_read_timeout(Some(QUIET_TIME))
-        .expect("a time limit can be set");
+        .set_read_timeout(Some(IDLE_TIME))
+        .expect("the read timeout can be set");
     let mut rest = [0; 1];
     let quiet = tokio::task::block_in_place(|| stream.read(&mut rest));
     let kind = quiet.as_ref().map_err(std::io::Error::kind);
-    assert_eq!(kind, Err(ErrorKind::WouldBlock), "the node closed it");
-    assert!(ask(&mut stream) > 0);
+    assert_eq!(
+        kind,
+        Err(ErrorKind::WouldBlock),
+        "the node closed the idle connection"
+    );
+    assert!(send_request(&mut stream) > 0);
 }
--- a/crates/zinniahatch_lab/tests/keyed_counts.rs
+++ b/crates/zinniahatch_lab/tests/keyed_counts.rs
@@ -1,4 +1,4 @@
-//! Requests whose key another node owns, in the reports.
+//! Usage counts of requests whose idempotency key is owned by another node.
 
 use reqwest::Client;
 use reqwest::Response;
@@ -15,12 +15,14 @@
 const KEY: &str = "buyer-almaty-example-key";
 const OWNER: usize = 0;
 const SENDER: usize = 1;
-/// Time for a request whose owner is silent, and for one that is answered also by a busy machine.
-const SILENT_MS: u64 = 500;
-const ANSWER_MS: u64 = 60_000;
-/// Looks at the report, and the pause between them.
-const LOOKS: usize = 40;
-const LOOK_GAP: Duration = Duration::from_millis(500);
+/// Deadline of a request whose owner is silent.
+const SILENT_DEADLINE_MS: u64 = 500;
+/// Deadline of a request that must be answered, also on a busy machine.
+const ANSWERED_DEADLINE_MS: u64 = 60_000;
+/// Maximum number of polls of the report.
+const MAX_POLLS: usize = 40;
+/// Pause between two polls.
+const POLL_PAUSE: Duration = Duration::from_millis(500);
 
 async fn start() -> LabCluster {
     let mut plan = users::aqsu();
@@ -36,7 +38,10 @@
         .bearer_auth(KEY);
     let answer = request.send().await.expect("the node answers");
     let body: Value = answer.json().await.expect("the answer is JSON");
-    body["keys"][0].as_str().expect("a key is given").to_owned()
+    body["keys"][0]
+        .as_str()
+        .expect("the response holds a key")
+        .to_owned()
 }
 
 async fn send_entry(cluster: &LabCluster, node: usize, key: &str, deadline: u64) -> Response {
@@ -58,9 +63,9 @@
     text.and_then(|text| text.parse().ok()).unwrap_or(0)
 }
 
-/// Gives the results in the reports once there are any.
+/// Returns the requests by result in the reports once there are any.
 async fn counted_results(cluster: &LabCluster) -> Vec<(Box<str>, u64)> {
-    for _ in 0..LOOKS {
+    for _ in 0..MAX_POLLS {
         let report = fetch_report(cluster, "result").await;
         let lines = report.map(|report| report.lines).unwrap_or_default();
         if !lines.is_empty() {
@@ -69,13 +74,13 @@
                 .map(|line| (line.fields[0].clone(), line.requests));
             return results.collect();
         }
-        sleep(LOOK_GAP).await;
+        sleep(POLL_PAUSE).await;
     }
     Vec::new()
 }
 
-/// Guards against a request that is counted otherwise than its caller saw it, or never, where the owner of its key is
-/// silent.
+/// Guards against a request that is counted with another result than its caller saw, or not at all, because the owner
+/// of its key is silent.
 #[test_case(false; "owner_goes_on")]
 #[test_case(true; "owner_dies")]
 #[tokio::test(flavor = "multi_thread")]
@@ -83,7 +88,7 @@
     let mut cluster = start().await;
     let key = take_key(&cluster, OWNER).await;
     cluster.freeze(OWNER, true);
-    let answer = send_entry(&cluster, SENDER, &key, SILENT_MS).await;
+    let answer = send_entry(&cluster, SENDER, &key, SILENT_DEADLINE_MS).await;
     assert_eq!(code_of(&answer), ResultCode::OutcomeUnknown.number());
     if dies {
         cluster.kill(OWNER);
@@ -94,18 +99,18 @@
     assert_eq!(results, [("300 OutcomeUnknown".into(), 1)]);
 }
 
-/// Guards against a request with a key that two nodes or none count.
+/// Guards against a request with a key that is counted by two nodes or by none.
 #[tokio::test(flavor = "multi_thread")]
 async fn request_to_owner_is_counted_once() {
     let cluster = start().await;
     let key = take_key(&cluster, OWNER).await;
-    let answer = send_entry(&cluster, SENDER, &key, ANSWER_MS).await;
+    let answer = send_entry(&cluster, SENDER, &key, ANSWERED_DEADLINE_MS).await;
     assert_eq!(code_of(&answer), ResultCode::Answered.number());
-    let again = send_entry(&cluster, SENDER, &key, ANSWER_MS).await;
+    let again = send_entry(&cluster, SENDER, &key, ANSWERED_DEADLINE_MS).await;
     assert_eq!(code_of(&again), ResultCode::AnsweredEarlier.number());
     let mut results = counted_results(&cluster).await;
     while results.len() < 2 {
-        sleep(LOOK_GAP).await;
+        sleep(POLL_PAUSE).await;
         results = counted_results(&cluster).await;
     }
     let expected = [
--- a/crates/zinniahatch_lab/tests/keyed_deadline.rs
+++ b/crates/zinniahatch_lab/tests/keyed_deadline.rs
@@ -1,4 +1,4 @@
-//! Requests that may run once and wait for a backend server until their deadline.
+//! Requests that may run once and are still queued at their deadline.
 
 use reqwest::Client;
 use serde_json::Value;
@@ -14,11 +14,14 @@
 use zinniahatch_lab::users;
 
 const KEY: &str = "buyer-almaty-example-key";
-const LOOK_GAP: Duration = Duration::from_millis(200);
-/// Requests that fill every slot, and those that wait behind them.
+const POLL_PAUSE: Duration = Duration::from_millis(200);
+/// Number of requests that fill every slot.
 const FILLING: usize = 60;
+/// Number of requests that wait behind them.
 const WAITING: usize = 40;
+/// Deadline of the requests that fill the slots.
 const FILLING_MS: u64 = 8_000;
+/// Deadline of the requests that wait.
 const WAITING_MS: u64 = 700;
 
 async fn start() -> LabCluster {
@@ -35,13 +38,13 @@
         .bearer_auth(KEY);
     let answer = request.send().await.expect("the node answers");
     let body: Value = answer.json().await.expect("the answer is JSON");
-    let keys = body["keys"].as_array().expect("keys are given");
+    let keys = body["keys"].as_array().expect("the response lists keys");
     keys.iter()
         .filter_map(|key| key.as_str().map(str::to_owned))
         .collect()
 }
 
-/// Sends an entry; gives its operation and the number of its result.
+/// Sends an entry; returns its operation and its result code.
 async fn send_entry(
     client: Client,
     base: String,
@@ -62,9 +65,10 @@
     (operation, code.unwrap_or(0))
 }
 
-/// Guards against "unknown" for a request that was never sent to a backend server when its deadline passed.
+/// Guards against reporting "unknown" for a request that was still queued, and never sent to a backend server, when its
+/// deadline passed.
 #[tokio::test(flavor = "multi_thread")]
-async fn request_that_only_waited_is_told_not_run() {
+async fn queued_request_is_reported_as_not_run() {
     let cluster = start().await;
     let base = format!("http://{}", cluster.nodes[0].http);
     let plain = cluster
@@ -88,7 +92,7 @@
     let mut before = 0;
     while before == 0 || before != runs() {
         before = runs();
-        sleep(LOOK_GAP).await;
+        sleep(POLL_PAUSE).await;
     }
     let mut waiting = JoinSet::new();
     for (key, operation) in keys.into_iter().zip(1..) {
@@ -104,7 +108,10 @@
         .iter()
         .filter(|(operation, _)| !ran.contains(operation))
         .collect();
-    assert!(!only_waited.is_empty(), "all of them were sent");
+    assert!(
+        !only_waited.is_empty(),
+        "no request was still queued at its deadline"
+    );
     let untrue: Vec<_> = only_waited
         .iter()
         .filter(|(_, number)| {
--- a/crates/zinniahatch_lab/tests/one_node.rs
+++ b/crates/zinniahatch_lab/tests/one_node.rs
@@ -1,4 +1,4 @@
-//! One entry VM as a real process: keys, roles, and input that is wrong or hostile.
+//! One entry VM as a real process: idempotency keys, operator roles, and invalid or hostile input.
 
 use reqwest::Client;
 use reqwest::Response;
@@ -64,7 +64,7 @@
         .send()
         .await
         .expect("the node answers");
-    let text = response.text().await.expect("the answer is whole");
+    let text = response.text().await.expect("the response is complete");
     let lines = text.lines().filter(|line| line.starts_with(start));
     lines
         .filter_map(|line| line.rsplit(' ').next()?.parse::<f64>().ok())
@@ -72,7 +72,7 @@
 }
 
 #[tokio::test]
-async fn keyed_call_runs_once_and_is_collected() {
+async fn keyed_request_runs_once_and_its_response_is_fetched() {
     let cluster = start().await;
     let first = entry(&cluster, None, "operation=1;").await;
     assert_eq!(
@@ -85,14 +85,17 @@
     let body: Value = first.json().await.expect("the refusal is JSON");
     let key = body["key"]
         .as_str()
-        .expect("the refusal hands a key out")
+        .expect("the refusal holds a key")
         .to_owned();
     let second = entry(&cluster, Some(&key), "operation=1;").await;
     assert_eq!(code(&second), ResultCode::Answered.number());
-    let answer = second.text().await.expect("the answer is whole");
+    let answer = second.text().await.expect("the response is complete");
     let third = entry(&cluster, Some(&key), "operation=1;").await;
     assert_eq!(code(&third), ResultCode::AnsweredEarlier.number());
-    assert_eq!(third.text().await.expect("the answer is whole"), answer);
+    assert_eq!(
+        third.text().await.expect("the response is complete"),
+        answer
+    );
     assert_eq!(
         code(&entry(&cluster, Some(&key), "operation=2;").await),
         ResultCode::KeyReused.number()
@@ -103,7 +106,10 @@
         .send()
         .await
         .expect("the node answers");
-    assert_eq!(collected.text().await.expect("the answer is whole"), answer);
+    assert_eq!(
+        collected.text().await.expect("the response is complete"),
+        answer
+    );
     let other = Client::new()
         .get(format!("{}/v1/answers/{key}", base(&cluster)))
         .bearer_auth("driver-1-example-key")
@@ -113,16 +119,16 @@
     assert_eq!(
         code(&other),
         ResultCode::KeyForeign.number(),
-        "another account's answer stays hidden"
+        "another account must not see the response"
     );
     assert_eq!(cluster.history.with(|data| data.executions.len()), 1);
 }
 
-/// Strangers probe the system. Wrong tokens, forged and foreign keys, forwarded calls without a
-/// proof, oversize and broken bodies, headers without end: each has a clear refusal with its own
-/// code, is counted, and reaches no backend server.
+/// Guards against invalid input that reaches a backend server or goes uncounted: wrong tokens, forged and foreign
+/// keys, forwarded requests without a valid proof, oversize and malformed bodies. Each is refused with its own
+/// result code.
 #[tokio::test]
-async fn wrong_input_is_refused_and_counted() {
+async fn invalid_input_is_refused_and_counted() {
     let cluster = start().await;
     let client = Client::new();
     let url = base(&cluster);
@@ -215,8 +221,8 @@
     assert!(metric(&cluster, "zinnia_results_total{code=\"202\"").await >= 2.0);
 }
 
-/// A caller on a bad line holds a connection for ever. Its body arrives a byte at a time; the
-/// whole body has one time limit, after which the caller is told so.
+/// Guards against a slow caller that holds a connection for ever. The whole body has one time limit,
+/// after which the caller gets a 408.
 #[tokio::test]
 async fn slow_body_is_refused() {
     let cluster = start().await;
@@ -231,15 +237,17 @@
         stream.read_exact(&mut answer).expect("the node answers");
         String::from_utf8_lossy(&answer).into_owned()
     });
-    assert_eq!(status.await.expect("the caller ends"), "HTTP/1.1 408");
+    assert_eq!(
+        status.await.expect("the caller does not panic"),
+        "HTTP/1.1 408"
+    );
 }
 
-/// Slots stay taken although nothing runs any more. A caller asks for a long stream and does not
-/// read it; the stream is not polled, so it never sees that its deadline has passed. A watchdog
-/// takes the slot back.
+/// Guards against a slot that stays occupied by a stream that its caller does not read. Such a stream is not
+/// polled, so that it cannot notice that its deadline has passed; a watchdog releases the slot.
 #[tokio::test]
-async fn unread_stream_gives_its_slot_back() {
-    // Faster than any buffer on the way can take it.
+async fn unread_stream_releases_its_slot() {
+    // The stream is faster than any buffer on the path can absorb.
     let cluster = start_with(EngineSpeed {
         token: Duration::ZERO,
         ..EngineSpeed::default()
@@ -269,7 +277,7 @@
     drop(stream);
 }
 
-/// A stranger sends garbage to the port for nodes. Each frame fails its code before anything is
+/// Guards against garbage on the port for nodes. Each frame fails its authentication code before anything is
 /// decoded, and the node goes on serving.
 #[tokio::test]
 async fn garbage_frames_are_refused() {
@@ -277,19 +285,21 @@
     let address = cluster.nodes[0].peer.to_string();
     tokio::task::spawn_blocking(move || {
         let mut stream = TcpStream::connect(address).expect("the node listens");
-        // The transport's greeting as a sender, then a frame of garbage.
+        // The transport's handshake as a sender, then a frame of garbage.
         stream
             .write_all(&[0, b'S', b'P', 0, 0, 0x50, 0, 0])
-            .expect("the greeting is sent");
+            .expect("the handshake is sent");
         stream
             .write_all(&[0, 0, 0, 0, 0, 0, 0, 64])
             .expect("the length is sent");
         stream.write_all(&[9; 64]).expect("the garbage is sent");
         let mut greeting = [0_u8; 8];
-        stream.read_exact(&mut greeting).expect("the node greets");
+        stream
+            .read_exact(&mut greeting)
+            .expect("the node sends its handshake");
     })
     .await
-    .expect("the stranger ends");
+    .expect("the sender does not panic");
     while metric(&cluster, "zinnia_frames_refused_total").await < 1.0 {
         tokio::task::yield_now().await;
     }
@@ -329,7 +339,7 @@
     assert_eq!(
         shift.post("config", &switch("b", revision)).await.0,
         StatusCode::OK,
-        "the same change again is the same change"
+        "a repeated change is idempotent"
     );
     assert_eq!(
         shift.post("config", &switch("c", revision)).await.0,
@@ -344,7 +354,7 @@
 }
 
 #[tokio::test]
-async fn wrong_part_is_refused_with_its_remedy() {
+async fn invalid_part_is_refused_with_an_explanation() {
     let cluster = start().await;
     let chief = OperatorCalls::new(&cluster, 0, &cluster.plan.chief);
     let shift = OperatorCalls::new(&cluster, 0, &cluster.plan.shift);
@@ -364,7 +374,7 @@
 }
 
 #[tokio::test]
-async fn lead_changes_the_own_team_alone() {
+async fn team_lead_changes_only_its_own_team() {
     let cluster = start().await;
     let lead = OperatorCalls::new(&cluster, 0, "aqsu-team-example-token");
     let account = |change: &str, team: &str| json!({"change": change, "expect_revision": 1, "account": "new", "home": "almaty", "class": "shops", "team": team});
--- a/crates/zinniahatch_lab/tests/promises.rs
+++ b/crates/zinniahatch_lab/tests/promises.rs
@@ -1,8 +1,8 @@
-//! The promises, under failures of real processes.
+//! Invariants under process and network failures, with real processes.
 //!
-//! Each test starts one user's whole system: seven daemons, the stand-ins, load. A test waits for
-//! what it needs to see, and asserts rules and no times. One runs after the other, so that the
-//! machine's size does not decide the verdict.
+//! Each test starts one user's whole system: seven daemons, the test doubles of the platform, and load. The tests
+//! assert rules and no timings, and run one after the other, so that the size of the machine does not decide
+//! their results.
 
 use std::sync::Mutex;
 use std::sync::MutexGuard;
@@ -16,21 +16,21 @@
 
 static ONE_AT_A_TIME: Mutex<()> = Mutex::new(());
 
-fn alone() -> MutexGuard<'static, ()> {
+fn acquire_exclusive() -> MutexGuard<'static, ()> {
     ONE_AT_A_TIME.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Each story ends with the same sight: every caller has the right answer or a true word about
-/// it, and nothing ran twice or outside its region.
+/// In each case, every caller gets the right response or a true statement about its request, and no request
+/// runs twice or outside its region.
 ///
-/// - An entry VM dies with requests in progress; its keys die with it, and nobody runs them again.
-/// - The keeper of a pool dies while the store is down; the next one asks the holders.
-/// - A frozen entry VM wakes after its leases lapsed and must not use them.
-/// - A planned stop meets lost answers: used keys pass to the heir, answers are collected there.
-/// - A region is cut off: its callers are served there, and nothing bound leaves.
-/// - Connections between regions go silent while streams stall: both are resumed anew.
-/// - The store loses answers while an operator switches presets, and streams break.
-/// - An engine dies while another backend server leaves.
+/// - An entry VM is killed with requests in flight; its idempotency keys are lost with it, and no other node runs the
+///   requests again.
+/// - The pool coordinator is killed while the store is down; its successor asks the nodes that hold leases.
+/// - A paused entry VM resumes after its leases expired and must not use them.
+/// - Responses are lost during a planned stop: used keys pass to the successor, where callers fetch their responses.
+/// - A region is partitioned: its callers are served there, and no bound request leaves it.
+/// - The store loses responses while an operator switches presets, and streams break.
+/// - An engine is killed while another backend server leaves.
 #[test_case(&[FaultKind::NodeKilled]; "node killed")]
 #[test_case(&[FaultKind::StoreDown, FaultKind::KeeperKilled]; "store down and keeper killed")]
 #[test_case(&[FaultKind::NodeFrozen]; "node frozen")]
@@ -42,15 +42,16 @@
     check_rules(kinds);
 }
 
-/// Guards against answers and counts that are lost while connections between regions and streams are silent.
+/// Guards against responses and usage counts that are lost while connections between regions and streams are silent;
+/// both must be resumed on new connections.
 #[test]
-fn rules_hold_under_links_and_streams_silent() {
+fn rules_hold_under_silent_links_and_streams() {
     check_rules(&[FaultKind::LinksSilent, FaultKind::StreamsSilent]);
 }
 
 fn check_rules(kinds: &[FaultKind]) {
-    let _alone = alone();
-    let runtime = tokio::runtime::Runtime::new().expect("a runtime can be made");
+    let _exclusive = acquire_exclusive();
+    let runtime = tokio::runtime::Runtime::new().expect("the runtime can be created");
     let run = FaultRun {
         seed: 20_261_202,
         phase: Duration::from_secs(4),
@@ -58,8 +59,8 @@
     };
     println!("seed {}", run.seed);
     let (result, breaks) = runtime.block_on(run_case(&run, kinds));
-    // How late the last work reached a leaving backend server is judged in the experiment; here
-    // a busy machine would decide it.
+    // How late the last request reached a leaving backend server is checked by the experiment; in a test it
+    // would depend on the load of the machine.
     let broken: Vec<_> = breaks
         .iter()
         .filter(|one| one.rule != BrokenRule::LateWork)
