--- a/crates/zinniahatch_lab/src/experiments/shares.rs
+++ b/crates/zinniahatch_lab/src/experiments/shares.rs
@@ -124,7 +124,7 @@
             number: numbers.fetch_add(1, Ordering::Relaxed),
             caller: caller.clone(),
             kind: OperationKind::Query,
-            scheduled_at: sender.history.now(),
+            scheduled: sender.history.now(),
             tokens: TOKENS,
             prompt: "stock check; ".repeat(20),
             first_entry: 0,
--- a/crates/zinniahatch_lab/src/load.rs
+++ b/crates/zinniahatch_lab/src/load.rs
@@ -219,7 +219,7 @@
         random: &mut StdRng,
         plan: &LoadPlan,
         region: usize,
-        scheduled_at: Duration,
+        scheduled: Duration,
     ) -> OperationJob {
         let home = &self.regions[region];
         let own: Vec<&CallerPlan> = self
@@ -249,7 +249,7 @@
             number: self.next_operation.fetch_add(1, Ordering::Relaxed),
             caller,
             kind,
-            scheduled_at,
+            scheduled,
             tokens,
             prompt: prompt_text(home, prefix, size),
             first_entry: random.random_range(0..64),
@@ -405,7 +405,7 @@
     /// Kind of the operation.
     pub kind: OperationKind,
     /// Scheduled send time, from which delays are measured.
-    pub scheduled_at: Duration,
+    pub scheduled: Duration,
     /// Number of tokens requested.
     pub tokens: u64,
     /// Shared prefix of the prompt.
--- a/crates/zinniahatch_lab/src/load/sender.rs
+++ b/crates/zinniahatch_lab/src/load/sender.rs
@@ -141,7 +141,7 @@
             sent_to: job.caller.home.clone(),
             entry: entry.into(),
             collects,
-            meant: job.scheduled_at,
+            meant: job.scheduled,
             ended: Duration::ZERO,
             first_byte: None,
             request: "".into(),
@@ -211,7 +211,7 @@
                 Ok(Some(chunk)) => {
                     answer
                         .first_byte
-                        .get_or_insert(self.history.now().saturating_sub(job.scheduled_at));
+                        .get_or_insert(self.history.now().saturating_sub(job.scheduled));
                     bytes.extend_from_slice(&chunk);
                 }
                 Ok(None) => break,
@@ -247,7 +247,7 @@
         let Ok(bytes) = response.bytes().await else {
             return answer;
         };
-        answer.first_byte = Some(self.history.now().saturating_sub(job.scheduled_at));
+        answer.first_byte = Some(self.history.now().saturating_sub(job.scheduled));
         let body: Value = serde_json::from_slice(&bytes).unwrap_or(Value::Null);
         answer.read_usage(&body);
         let content = body["choices"][0]["message"]["content"]
@@ -264,7 +264,7 @@
         let Ok(text) = response.text().await else {
             return answer;
         };
-        answer.first_byte = Some(self.history.now().saturating_sub(job.scheduled_at));
+        answer.first_byte = Some(self.history.now().saturating_sub(job.scheduled));
         answer.end = Some(SeenEnd::Whole {
             right: text == plain_answer(job.number),
         });
