--- a/crates/zinniahatch_lab/src/experiments/shares.rs
+++ b/crates/zinniahatch_lab/src/experiments/shares.rs
@@ -20,9 +20,9 @@
 use zinniahatch_base::prelude::*;
 
 /// Requests that the flooding account keeps in flight; its region has 56 slots.
-const FLOOD_IN_FLIGHT: usize = 300;
+const FLOOD: usize = 300;
 /// Requests that the other account keeps in flight, more than its share.
-const OTHER_IN_FLIGHT: usize = 80;
+const OTHER: usize = 80;
 const TOKENS: u64 = 60;
 /// Fair share of the other account. The ordinary preset gives its class (drivers) 0.3, and the
 /// flooding account's class (wholesale) 0.35.
@@ -57,10 +57,7 @@
     let mut tasks = JoinSet::new();
     let flood = cluster.plan.callers[0].clone();
     let other = cluster.plan.callers[3].clone();
-    for (caller, count, delay) in [
-        (flood, FLOOD_IN_FLIGHT, 0),
-        (other, OTHER_IN_FLIGHT, seconds / 4),
-    ] {
+    for (caller, count, delay) in [(flood, FLOOD, 0), (other, OTHER, seconds / 4)] {
         for worker in 0..count {
             let (sender, caller, entries, numbers) = (
                 sender.clone(),
--- a/crates/zinniahatch_lab/src/soak/plan.rs
+++ b/crates/zinniahatch_lab/src/soak/plan.rs
@@ -23,7 +23,7 @@
 const RATE_LIMITS: usize = 3;
 /// Announced rate limits, in tenths of a request per second.
 const LIMIT_TENTHS: std::ops::Range<u32> = 2..60;
-/// XORed with the seed, so that limits are drawn independently of the other faults.
+/// Combined with the seed by XOR, so that limits are drawn independently of the other faults.
 const LIMIT_SEED_MASK: u64 = 0x11_3175;
 
 /// Number of notices from replicas: half announce that they are leaving, half ask for backoff.
@@ -32,7 +32,7 @@
 const LEAVING_TIME: Duration = Duration::from_secs(7);
 /// Requested backoff, in tenths of a second.
 const BACKOFF_TENTHS: std::ops::Range<u32> = 5..60;
-/// XORed with the seed, as for limits.
+/// Combined with the seed by XOR, as for limits.
 const NOTICE_SEED_MASK: u64 = 0x0007_1ce5;
 
 /// A fault that a soak injects.
