--- a/crates/zinniahatch_lab/src/soak/injector.rs
+++ b/crates/zinniahatch_lab/src/soak/injector.rs
@@ -111,7 +111,7 @@
                 None => continue,
                 Some(true) if stopping => continue,
                 Some(_) if stopping && site.terminated_before_start(index) => {
-                    log.record_missed_stop()
+                    log.record_missed_stop();
                 }
                 Some(_) => {
                     log.record_violation(format!("{} ended by itself", site.entries[index].name));
@@ -202,7 +202,7 @@
                 site.replicas[index].0.set_rate_limit(Some(rate));
             }
             SoakFault::ReplicaIll(index, behaviour) => {
-                site.replicas[index].0.set_behaviour(behaviour)
+                site.replicas[index].0.set_behaviour(behaviour);
             }
             SoakFault::ReplicaSaysLeaving(index) => site.replicas[index].0.announce_leaving(),
             SoakFault::ReplicaRests(index, tenths) => {
