--- a/crates/zinniahatch_control/src/rounds.rs
+++ b/crates/zinniahatch_control/src/allocation.rs
@@ -1,25 +1,25 @@
-//! One round of a keeper: from what the nodes need to what each may hold.
+//! Slot allocation of a pool coordinator: from the demand of each node to its slot limits.
 
 use crate::ShareDemand;
-use crate::fill_shares;
-use crate::keeper::HolderState;
+use crate::coordinator::HolderState;
+use crate::max_min_shares;
 use zinniahatch_base::prelude::*;
 
-/// Part of the free slots that the keeper holds back for the next that asks.
+/// Divisor of the spare slots that gives the reserve for the next node that needs slots.
 ///
-/// With a quarter held back, a node that runs out gets slots in one exchange; without it, another
-/// node must first give some back.
-const HELD_BACK: u32 = 4;
+/// With a reserve of a quarter, a node that runs out of slots gets more in one exchange. Without
+/// it, another node must first return some.
+const RESERVE_DIVISOR: u32 = 4;
 
-pub(crate) struct RoundInput<'a> {
+pub(crate) struct AllocationInput<'a> {
     pub(crate) now: Instant,
     pub(crate) slots: &'a BTreeMap<ShortTag, u16>,
     pub(crate) pool_holders: &'a BTreeMap<NodeId, HolderState>,
     pub(crate) credits: &'a mut BTreeMap<ShortTag, f64>,
-    pub(crate) last_round: Instant,
+    pub(crate) last_allocation: Instant,
 }
 
-pub(crate) struct RoundOutput {
+pub(crate) struct AllocationOutput {
     pub(crate) contended: bool,
     pub(crate) holders: Vec<HolderGrant>,
 }
@@ -27,8 +27,8 @@
 type HolderGrant = (NodeId, BTreeMap<ShortTag, u16>, Vec<(ShortTag, u16)>);
 type Quotas = BTreeMap<NodeId, Vec<(ShortTag, u16)>>;
 
-/// Runs one round.
-pub(crate) fn run_round(mut input: RoundInput<'_>) -> RoundOutput {
+/// Computes the slot limits and quotas of every lease holder.
+pub(crate) fn allocate(mut input: AllocationInput<'_>) -> AllocationOutput {
     let capacity: u32 = input.slots.values().map(|slots| u32::from(*slots)).sum();
     let needs: BTreeMap<&NodeId, u32> = input
         .pool_holders
@@ -44,7 +44,7 @@
     let mut quotas = Quotas::new();
     let mut targets: BTreeMap<NodeId, u32> = BTreeMap::new();
     if contended {
-        quotas = share_out(capacity, &mut input);
+        quotas = compute_quotas(capacity, &mut input);
         for (name, lines) in &quotas {
             targets.insert(
                 name.clone(),
@@ -54,14 +54,14 @@
     } else {
         input.credits.clear();
         let spare = capacity.saturating_sub(need);
-        let each = (spare - spare / HELD_BACK) / (needs.len().max(1) as u32);
-        for (name, own) in &needs {
-            targets.insert((*name).clone(), own + each);
+        let spare_each = (spare - spare / RESERVE_DIVISOR) / (needs.len().max(1) as u32);
+        for (name, own_need) in &needs {
+            targets.insert((*name).clone(), own_need + spare_each);
         }
     }
     let mut table = LimitTable::new(input.slots, input.pool_holders);
-    table.recall(&targets, &needs, contended);
-    table.hand_out(&targets, &needs);
+    table.reclaim(&targets, &needs, contended);
+    table.distribute(&targets, &needs);
     let holders = table
         .limits
         .into_iter()
@@ -70,11 +70,11 @@
             (name, limits, lines)
         })
         .collect();
-    RoundOutput { contended, holders }
+    AllocationOutput { contended, holders }
 }
 
-/// Shares a contended pool out between tenants, and each tenant's share between its nodes.
-fn share_out(capacity: u32, input: &mut RoundInput<'_>) -> Quotas {
+/// Divides a contended pool among the tenants, and each tenant's share among its nodes.
+fn compute_quotas(capacity: u32, input: &mut AllocationInput<'_>) -> Quotas {
     let mut demands: BTreeMap<ShortTag, ShareDemand> = BTreeMap::new();
     for holder in input.pool_holders.values() {
         for line in &holder.report.tenants {
@@ -90,13 +90,16 @@
         }
     }
     let list: Vec<ShareDemand> = demands.values().copied().collect();
-    let shares = fill_shares(capacity, &list);
+    let shares = max_min_shares(capacity, &list);
     let mut quotas: Quotas = input
         .pool_holders
         .keys()
         .map(|name| (name.clone(), Vec::new()))
         .collect();
-    let elapsed = input.now.duration_since(input.last_round).as_secs_f64();
+    let elapsed = input
+        .now
+        .duration_since(input.last_allocation)
+        .as_secs_f64();
     input
         .credits
         .retain(|tenant, _| shares.contains_key(tenant));
@@ -112,19 +115,20 @@
     quotas
 }
 
-/// One node's part of a tenant's share.
-struct ShareLine<'a> {
+/// One node's quota of a tenant's share.
+struct NodeQuota<'a> {
     name: &'a NodeId,
-    most: u32,
+    demand: u32,
     quota: u32,
     ideal: f64,
 }
 
-/// Splits a tenant's share between the nodes, in proportion to what each runs and has waiting.
+/// Splits a tenant's share among the nodes in proportion to their running and queued requests.
 ///
-/// Quotas move from those of the round before, by one slot a round. A slot that moves lies idle
-/// for the two exchanges that this takes, so it is not moved at every end of a request; and a
-/// request that waits at one node is not overtaken for good by those of another.
+/// Quotas start from those of the previous allocation and move by one slot per allocation. A slot
+/// that moves is idle for the two exchanges that the move takes, so slots do not move whenever a
+/// request finishes. They still move, so that a request queued on one node is not starved by
+/// those of another.
 fn split_share(
     tenant: ShortTag,
     share: u32,
@@ -141,22 +145,22 @@
         else {
             continue;
         };
-        let most = u32::from(line.running) + u32::from(line.waiting);
-        let before = holder
+        let demand = u32::from(line.running) + u32::from(line.waiting);
+        let previous = holder
             .quota_of(tenant)
             .map_or(u32::from(line.running), u32::from);
-        lines.push(ShareLine {
+        lines.push(NodeQuota {
             name,
-            most,
-            quota: before.min(most),
+            demand,
+            quota: previous.min(demand),
             ideal: 0.0,
         });
     }
-    let demand: u32 = lines.iter().map(|line| line.most).sum();
+    let demand: u32 = lines.iter().map(|line| line.demand).sum();
     for line in &mut lines {
-        line.ideal = f64::from(share) * f64::from(line.most) / f64::from(demand.max(1));
+        line.ideal = f64::from(share) * f64::from(line.demand) / f64::from(demand.max(1));
     }
-    level_quotas(share, &mut lines);
+    rebalance_quotas(share, &mut lines);
     for line in lines {
         if let Some(list) = quotas.get_mut(line.name) {
             list.push((tenant, line.quota.min(u32::from(u16::MAX)) as u16));
@@ -164,24 +168,25 @@
     }
 }
 
-/// Brings the sum of the quotas to the share, and one slot from the most to the least served.
-fn level_quotas(share: u32, lines: &mut [ShareLine<'_>]) {
+/// Adjusts the quotas to add up to the share and moves one slot from the node with the largest
+/// surplus to the one with the largest deficit.
+fn rebalance_quotas(share: u32, lines: &mut [NodeQuota<'_>]) {
     let mut sum: u32 = lines.iter().map(|line| line.quota).sum();
     while sum > share {
-        let Some(index) = most_served(lines) else {
+        let Some(index) = largest_surplus(lines) else {
             break;
         };
         lines[index].quota -= 1;
         sum -= 1;
     }
     while sum < share {
-        let Some(index) = least_served(lines) else {
+        let Some(index) = largest_deficit(lines) else {
             break;
         };
         lines[index].quota += 1;
         sum += 1;
     }
-    let (Some(from), Some(to)) = (most_served(lines), least_served(lines)) else {
+    let (Some(from), Some(to)) = (largest_surplus(lines), largest_deficit(lines)) else {
         return;
     };
     if lines[from].surplus() >= 1.0 && lines[to].surplus() <= -1.0 {
@@ -190,23 +195,23 @@
     }
 }
 
-fn most_served(lines: &[ShareLine<'_>]) -> Option<usize> {
+fn largest_surplus(lines: &[NodeQuota<'_>]) -> Option<usize> {
     let served = (0..lines.len()).filter(|index| lines[*index].quota > 0);
     served.max_by(|one, other| lines[*one].surplus().total_cmp(&lines[*other].surplus()))
 }
 
-fn least_served(lines: &[ShareLine<'_>]) -> Option<usize> {
-    let hungry = (0..lines.len()).filter(|index| lines[*index].quota < lines[*index].most);
-    hungry.min_by(|one, other| lines[*one].surplus().total_cmp(&lines[*other].surplus()))
+fn largest_deficit(lines: &[NodeQuota<'_>]) -> Option<usize> {
+    let unsatisfied = (0..lines.len()).filter(|index| lines[*index].quota < lines[*index].demand);
+    unsatisfied.min_by(|one, other| lines[*one].surplus().total_cmp(&lines[*other].surplus()))
 }
 
-impl ShareLine<'_> {
+impl NodeQuota<'_> {
     fn surplus(&self) -> f64 {
         f64::from(self.quota) - self.ideal
     }
 }
 
-/// The limits of every node while a round changes them.
+/// The slot limits of every node during an allocation.
 struct LimitTable<'a> {
     holders: &'a BTreeMap<NodeId, HolderState>,
     limits: BTreeMap<NodeId, BTreeMap<ShortTag, u16>>,
@@ -223,21 +228,21 @@
                     *left = left.saturating_sub(*count);
                 }
             }
-            // What runs occupies its slots whatever the limit says, so the limit starts there. A
-            // backend server that is no longer usable keeps no limit.
-            let mut kept = BTreeMap::new();
+            // Running requests occupy their slots regardless of the limit, so the limit is at least
+            // their number. Backend servers that are no longer usable get no limit.
+            let mut retained = BTreeMap::new();
             let running = holder
                 .report
                 .slots
                 .iter()
                 .map(|line| (&line.replica, &line.running));
             for (replica, count) in holder.limits.iter().chain(running) {
-                if let Some(most) = slots.get(replica).filter(|_| *count > 0) {
-                    let limit: &mut u16 = kept.entry(*replica).or_default();
-                    *limit = (*limit).max(*count).min(*most);
+                if let Some(capacity) = slots.get(replica).filter(|_| *count > 0) {
+                    let limit: &mut u16 = retained.entry(*replica).or_default();
+                    *limit = (*limit).max(*count).min(*capacity);
                 }
             }
-            limits.insert(name.clone(), kept);
+            limits.insert(name.clone(), retained);
         }
         Self {
             holders,
@@ -253,24 +258,24 @@
             .sum()
     }
 
-    /// Lowers limits of nodes above their target, as far as others lack slots.
-    fn recall(
+    /// Lowers the limits of nodes above their target by as much as other nodes lack slots.
+    fn reclaim(
         &mut self,
         targets: &BTreeMap<NodeId, u32>,
         needs: &BTreeMap<&NodeId, u32>,
         contended: bool,
     ) {
-        let mut missing = 0_u32;
+        let mut lacking = 0_u32;
         for (name, target) in targets {
             let goal = if contended {
                 *target
             } else {
                 needs.get(name).copied().unwrap_or(0)
             };
-            missing += goal.saturating_sub(self.held(name));
+            lacking += goal.saturating_sub(self.held(name));
         }
         let free: u32 = self.free.values().map(|count| u32::from(*count)).sum();
-        let mut shortage = missing.saturating_sub(free);
+        let mut shortage = lacking.saturating_sub(free);
         let names: Vec<NodeId> = self.limits.keys().cloned().collect();
         for name in names {
             let target = targets.get(&name).copied().unwrap_or(0);
@@ -282,7 +287,7 @@
         }
     }
 
-    /// Takes one slot from where the node has the most idle ones.
+    /// Takes one slot from the backend server on which the node has the most idle slots.
     fn lower_one(&mut self, name: &NodeId) -> bool {
         let report = &self.holders[name].report;
         let Some(limits) = self.limits.get_mut(name) else {
@@ -311,8 +316,8 @@
         true
     }
 
-    /// Hands free slots to nodes below their target: those with waiting requests first.
-    fn hand_out(&mut self, targets: &BTreeMap<NodeId, u32>, needs: &BTreeMap<&NodeId, u32>) {
+    /// Distributes free slots to nodes below their target: first for their demand, then as spares.
+    fn distribute(&mut self, targets: &BTreeMap<NodeId, u32>, needs: &BTreeMap<&NodeId, u32>) {
         for by_need in [true, false] {
             loop {
                 let mut given = false;
--- a/crates/zinniahatch_control/src/backends.rs
+++ b/crates/zinniahatch_control/src/backends.rs
@@ -1,126 +1,132 @@
-//! What this node knows about each backend server: usable, leaving, or not reached.
+//! Availability of backend servers: usable, leaving, or unreachable.
 
 use zinniahatch_base::prelude::*;
 
-/// Time for which a backend server that could not be reached is left alone.
-const REST_TIME: Duration = Duration::from_secs(2);
-/// Time for which a mark "leaving" holds unless its source repeats it.
-const LEAVING_TIME: Duration = Duration::from_secs(20);
+/// Backoff after a backend server could not be reached.
+const UNREACHED_BACKOFF: Duration = Duration::from_secs(2);
+/// Time after which a "leaving" status expires unless its source repeats it.
+const LEAVING_TTL: Duration = Duration::from_secs(20);
 
-/// What a source says about a backend server.
+/// Status of a backend server according to one source.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum BackendMark {
-    /// It serves.
+pub enum BackendStatus {
+    /// It accepts work.
     Live,
-    /// It is leaving; no new work.
+    /// It is leaving and must get no new work.
     Leaving,
     /// It could not be reached, or it refused work.
     Unreached,
 }
 
-/// Marks by backend server.
+/// Status of the backend servers from all sources.
 ///
-/// Any one source that says "leaving" suffices (VM list, engine, refused call), because new work
-/// on a leaving backend server breaks a promise, and a wrong mark costs a little capacity.
+/// A "leaving" status from any one source (VM list, engine, refused request) is sufficient:
+/// new work on a leaving backend server violates a guarantee, whereas a wrong status only costs
+/// a little capacity.
 #[derive(Debug, Default)]
 pub struct BackendTable {
     leaving: BTreeMap<ShortTag, Instant>,
-    told_leaving: BTreeMap<NodeId, (Instant, BTreeSet<ShortTag>)>,
+    peer_leaving: BTreeMap<NodeId, (Instant, BTreeSet<ShortTag>)>,
     listed_leaving: BTreeSet<ShortTag>,
-    told_unusable: BTreeMap<ServiceId, BTreeSet<ShortTag>>,
-    resting: BTreeMap<ShortTag, Instant>,
+    reported_unusable: BTreeMap<ServiceId, BTreeSet<ShortTag>>,
+    backoff_until: BTreeMap<ShortTag, Instant>,
     slots: BTreeMap<ShortTag, u16>,
 }
 
 impl BackendTable {
-    /// Says whether new work may be given to a backend server.
+    /// Returns whether new work may be sent to a backend server.
     pub fn is_usable(&self, now: Instant, replica: ShortTag) -> bool {
         !self
-            .told_unusable
+            .reported_unusable
             .values()
             .any(|tags| tags.contains(&replica))
-            && self.is_usable_here(now, replica)
+            && self.is_usable_locally(now, replica)
     }
 
-    /// Says the same, leaving out what the keeper told, for the keeper's own use.
-    pub fn is_usable_here(&self, now: Instant, replica: ShortTag) -> bool {
+    /// Returns the same without the coordinator's own report, for use by the coordinator.
+    pub fn is_usable_locally(&self, now: Instant, replica: ShortTag) -> bool {
         let told = |(at, tags): &(Instant, BTreeSet<ShortTag>)| {
-            now.duration_since(*at) < LEAVING_TIME && tags.contains(&replica)
+            now.duration_since(*at) < LEAVING_TTL && tags.contains(&replica)
         };
-        !self.knows_leaving(now, replica)
-            && !self.told_leaving.values().any(told)
-            && self.resting.get(&replica).is_none_or(|until| now >= *until)
+        !self.is_leaving_locally(now, replica)
+            && !self.peer_leaving.values().any(told)
+            && self
+                .backoff_until
+                .get(&replica)
+                .is_none_or(|until| now >= *until)
     }
 
-    /// Gives the backend servers that this node's own sources call leaving, to be told to others.
+    /// Returns the backend servers that this node's own sources report as leaving.
+    ///
+    /// The node announces them to the other members.
     pub fn leaving(&self, now: Instant) -> Vec<ShortTag> {
         let marked = self
             .leaving
             .keys()
-            .filter(|tag| self.knows_leaving(now, **tag));
+            .filter(|tag| self.is_leaving_locally(now, **tag));
         let all: BTreeSet<ShortTag> = marked.chain(&self.listed_leaving).copied().collect();
         all.into_iter().collect()
     }
 
-    /// Gives the slots that the engine itself reports, where it reports any.
+    /// Returns the number of slots that the engine itself reports, if any.
     pub fn reported_slots(&self, replica: ShortTag) -> Option<u16> {
         self.slots.get(&replica).copied()
     }
 
-    /// Takes a mark from a poll or a call.
-    pub fn mark(&mut self, now: Instant, replica: ShortTag, mark: BackendMark) {
-        match mark {
-            BackendMark::Live => {
+    /// Applies a status from a poll or a request.
+    pub fn set_status(&mut self, now: Instant, replica: ShortTag, set_status: BackendStatus) {
+        match set_status {
+            BackendStatus::Live => {
                 self.leaving.remove(&replica);
-                self.resting.remove(&replica);
+                self.backoff_until.remove(&replica);
             }
-            BackendMark::Leaving => {
+            BackendStatus::Leaving => {
                 self.leaving.insert(replica, now);
             }
-            BackendMark::Unreached => {
-                self.resting.insert(replica, now + REST_TIME);
+            BackendStatus::Unreached => {
+                self.backoff_until.insert(replica, now + UNREACHED_BACKOFF);
             }
         }
     }
 
-    /// Takes the slots that an engine reports.
+    /// Stores the number of slots that an engine reports.
     pub fn report_slots(&mut self, replica: ShortTag, slots: u16) {
         self.slots.insert(replica, slots);
     }
 
-    /// Takes the platform's list of leaving VMs.
-    pub fn take_list(&mut self, leaving: BTreeSet<ShortTag>) {
+    /// Replaces the platform's list of leaving VMs.
+    pub fn set_listed_leaving(&mut self, leaving: BTreeSet<ShortTag>) {
         self.listed_leaving = leaving;
     }
 
-    /// Forgets what a pool's keeper said, when another one takes over.
+    /// Clears the unusable backend servers reported by a pool's previous coordinator.
     ///
-    /// Without this, the marks of a keeper that is gone would keep a backend server out for good.
-    pub fn forget_told(&mut self, service: &str) {
-        self.told_unusable.remove(service);
+    /// Otherwise the report of a failed coordinator would exclude a backend server permanently.
+    pub fn clear_reported_unusable(&mut self, service: &str) {
+        self.reported_unusable.remove(service);
     }
 
-    /// Takes what the keeper of a pool says.
-    pub fn take_told(&mut self, service: &ServiceId, unusable: &[ShortTag]) {
-        self.told_unusable
+    /// Stores the unusable backend servers that a pool's coordinator reports.
+    pub fn set_reported_unusable(&mut self, service: &ServiceId, unusable: &[ShortTag]) {
+        self.reported_unusable
             .insert(service.clone(), unusable.iter().copied().collect());
     }
 
-    /// Takes what another member knows to be leaving.
-    pub fn take_leaving(&mut self, now: Instant, node: &NodeId, leaving: &[ShortTag]) {
+    /// Stores the leaving backend servers that another member reports.
+    pub fn set_peer_leaving(&mut self, now: Instant, node: &NodeId, leaving: &[ShortTag]) {
         if leaving.is_empty() {
-            self.told_leaving.remove(node);
+            self.peer_leaving.remove(node);
             return;
         }
         let tags = leaving.iter().copied().collect();
-        self.told_leaving.insert(node.clone(), (now, tags));
+        self.peer_leaving.insert(node.clone(), (now, tags));
     }
 
-    fn knows_leaving(&self, now: Instant, replica: ShortTag) -> bool {
+    fn is_leaving_locally(&self, now: Instant, replica: ShortTag) -> bool {
         let marked = self
             .leaving
             .get(&replica)
-            .is_some_and(|at| now.duration_since(*at) < LEAVING_TIME);
+            .is_some_and(|at| now.duration_since(*at) < LEAVING_TTL);
         marked || self.listed_leaving.contains(&replica)
     }
 }
--- a/crates/zinniahatch_control/src/cache.rs
+++ b/crates/zinniahatch_control/src/cache.rs
@@ -1,81 +1,82 @@
-//! What this node believes about cached prompt prefixes.
+//! Estimates which prompt prefixes are cached by which replicas.
 
 use std::collections::VecDeque;
 use zinniahatch_base::prelude::*;
 use zinniahatch_base::rendezvous_rank;
 
-/// Prefixes remembered; at some 60 bytes each, half a megabyte.
-const KEPT_PREFIXES: usize = 8_192;
-/// Time after which a belief is dropped; engines evict under pressure and say so late.
-const BELIEF_TIME: Duration = Duration::from_secs(300);
-/// Part of a prompt that is hoped to be cached on the replica with the highest rendezvous rank.
+/// Maximum number of prefixes; at about 60 bytes each, half a megabyte.
+const MAX_PREFIXES: usize = 8_192;
+/// Time after which a record expires; engines evict under memory pressure and report it late.
+const RECORD_TTL: Duration = Duration::from_secs(300);
+/// Fraction of a prompt assumed to be cached on the replica with the highest rendezvous rank.
 ///
-/// All nodes compute the same rank without a message, so a prefix meets its cache even where this
-/// node has never seen it; a small part only, since nothing proves it.
-const PRIOR_PART: f64 = 0.25;
+/// All nodes compute the same rank without communication, so requests with a common prefix reach
+/// the same replica even if this node has never seen the prefix. The fraction is small because
+/// nothing confirms the assumption.
+const PRIOR_FRACTION: f64 = 0.25;
 
-/// Beliefs by prefix, from the cached tokens that answers report and from cache events.
+/// Cached tokens by prefix and replica, learned from responses and cache events.
 #[derive(Debug, Default)]
-pub struct CacheBelief {
-    seen: BTreeMap<ShortTag, BTreeMap<ShortTag, (u64, Instant)>>,
-    order: VecDeque<ShortTag>,
+pub struct PrefixCacheTable {
+    records: BTreeMap<ShortTag, BTreeMap<ShortTag, (u64, Instant)>>,
+    insertion_order: VecDeque<ShortTag>,
 }
 
-impl CacheBelief {
-    /// Gives the tokens of a prompt that are expected to be cached on a replica.
-    pub fn expected(
+impl PrefixCacheTable {
+    /// Returns the number of prompt tokens that are expected to be cached on a replica.
+    pub fn expected_tokens(
         &self,
         now: Instant,
         prefix: Option<ShortTag>,
         replica: ShortTag,
-        first: bool,
+        is_top_ranked: bool,
         prompt: u64,
     ) -> f64 {
         let Some(prefix) = prefix else {
             return 0.0;
         };
-        let belief = self
-            .seen
+        let record = self
+            .records
             .get(&prefix)
             .and_then(|replicas| replicas.get(&replica));
-        match belief {
-            Some((tokens, at)) if now.duration_since(*at) < BELIEF_TIME => {
+        match record {
+            Some((tokens, at)) if now.duration_since(*at) < RECORD_TTL => {
                 (*tokens).min(prompt) as f64
             }
-            Some(_) | None if first => prompt as f64 * PRIOR_PART,
+            Some(_) | None if is_top_ranked => prompt as f64 * PRIOR_FRACTION,
             Some(_) | None => 0.0,
         }
     }
 
-    /// Takes the cached tokens that an answer reported, after which the whole prompt is cached.
-    pub fn learn(&mut self, now: Instant, prefix: ShortTag, replica: ShortTag, prompt: u64) {
-        if !self.seen.contains_key(&prefix) {
-            self.order.push_back(prefix);
+    /// Records that a replica has processed a prompt, after which the whole prompt is cached.
+    pub fn record(&mut self, now: Instant, prefix: ShortTag, replica: ShortTag, prompt: u64) {
+        if !self.records.contains_key(&prefix) {
+            self.insertion_order.push_back(prefix);
         }
-        self.seen
+        self.records
             .entry(prefix)
             .or_default()
             .insert(replica, (prompt, now));
-        if self.order.len() <= KEPT_PREFIXES {
+        if self.insertion_order.len() <= MAX_PREFIXES {
             return;
         }
-        if let Some(oldest) = self.order.pop_front() {
-            self.seen.remove(&oldest);
+        if let Some(oldest) = self.insertion_order.pop_front() {
+            self.records.remove(&oldest);
         }
     }
 
-    /// Takes an eviction, or a gap in a replica's events after which nothing about it is sure.
-    pub fn forget(&mut self, replica: ShortTag, prefix: Option<ShortTag>) {
-        for (known, replicas) in &mut self.seen {
-            if prefix.is_none_or(|one| one == *known) {
+    /// Removes one prefix after an eviction, or all prefixes of a replica after a gap in its events.
+    pub fn invalidate(&mut self, replica: ShortTag, prefix: Option<ShortTag>) {
+        for (recorded, replicas) in &mut self.records {
+            if prefix.is_none_or(|wanted| wanted == *recorded) {
                 replicas.remove(&replica);
             }
         }
     }
 }
 
-/// Gives the replica with the highest rendezvous rank for a prefix.
-pub(crate) fn first_replica(
+/// Returns the replica with the highest rendezvous rank for a prefix.
+pub(crate) fn top_ranked_replica(
     prefix: Option<ShortTag>,
     replicas: impl Iterator<Item = ShortTag>,
 ) -> Option<ShortTag> {
--- a/crates/zinniahatch_control/src/keeper.rs
+++ b/crates/zinniahatch_control/src/coordinator.rs
@@ -1,87 +1,88 @@
-//! The keeper of pools: it leases a service's slots to the nodes of the data centre.
+//! Pool coordinator: leases the slots of a service to the nodes of the data centre.
 //!
-//! Each pool, one service in one data centre, is kept by the member with the highest rendezvous
-//! rank. A keeper that takes over grants nothing until every member that can be heard has reported
-//! what it holds.
+//! A pool is one service in one data centre. Its coordinator is the member with the highest
+//! rendezvous rank. A new coordinator sends no grants until every reachable member has reported
+//! the slots it holds.
 
 use crate::BackendTable;
-use crate::limits::GRANT_AGAIN;
-use crate::limits::KEEPER_MARGIN;
-use crate::limits::LEASE_TIME;
+use crate::allocation::AllocationInput;
+use crate::allocation::allocate;
+use crate::limits::GRANT_RESEND_INTERVAL;
+use crate::limits::LEASE_MARGIN;
+use crate::limits::LEASE_TTL;
 use crate::limits::SUSPECT_AFTER;
-use crate::rounds::RoundInput;
-use crate::rounds::run_round;
 use zinniahatch_base::prelude::*;
 use zinniahatch_config::ClusterConfig;
 use zinniahatch_protocol::PoolStatus;
 use zinniahatch_protocol::SlotGrant;
 use zinniahatch_protocol::SlotReport;
 
-/// What the keeper sees of the rest of the node.
-pub struct KeeperView<'a> {
-    /// The time.
+/// Inputs of the coordinator from the rest of the node.
+pub struct CoordinatorView<'a> {
+    /// The current time.
     pub now: Instant,
-    /// Milliseconds since the epoch; the numbers of grants count from here, so that they rise over
-    /// restarts and pauses of a keeper too.
+    /// Milliseconds since the epoch. Grant numbers are at least this, so that they also increase
+    /// across restarts and pauses of a coordinator.
     pub stamp: u64,
     /// This node's data centre.
     pub data_centre: &'a str,
     /// The configuration.
     pub config: &'a ClusterConfig,
-    /// The backend servers.
+    /// Status of the backend servers.
     pub backends: &'a BackendTable,
-    /// The members known, this node and silent ones included, and when each was last heard.
+    /// All known members, including this node and silent ones, and when each was last heard from.
     pub known: &'a BTreeMap<NodeId, Instant>,
-    /// The services whose pools this node keeps.
-    pub kept: &'a BTreeSet<ServiceId>,
+    /// The services whose pools this node coordinates.
+    pub coordinated: &'a BTreeSet<ServiceId>,
 }
 
-/// The pools that this node keeps.
+/// The pools that this node coordinates.
 #[derive(Debug, Default)]
-pub struct PoolKeeper {
+pub struct PoolCoordinator {
     pools: BTreeMap<ServiceId, PoolState>,
 }
 
-/// One kept pool.
+/// State of one coordinated pool.
 #[derive(Debug)]
 pub(crate) struct PoolState {
-    since: Instant,
-    open: bool,
+    created_at: Instant,
+    granting: bool,
     dirty: bool,
     contended: bool,
     pub(crate) holders: BTreeMap<NodeId, HolderState>,
     pub(crate) credits: BTreeMap<ShortTag, f64>,
-    pub(crate) last_round: Instant,
+    pub(crate) last_allocation: Instant,
     slots: BTreeMap<ShortTag, u16>,
     ceilings: BTreeMap<ShortTag, u32>,
     ceiling_until: Option<Instant>,
 }
 
-/// What one node holds of a pool.
+/// The lease of one node on a pool.
 #[derive(Debug)]
 pub(crate) struct HolderState {
     incarnation: Incarnation,
     reported_at: Instant,
     pub(crate) report: SlotReport,
     pub(crate) limits: BTreeMap<ShortTag, u16>,
-    /// Slots that the node may be using; at least its limit, until it has obeyed a lower one.
+    /// Slots that the node may be using: at least its previous limit until it has applied a lower
+    /// one.
     pub(crate) committed: BTreeMap<ShortTag, u16>,
     grant: Option<SlotGrant>,
     number: u64,
-    sent_at: Instant,
+    next_send: Instant,
 }
 
-impl PoolKeeper {
-    /// Gives the states of the kept pools whose holders are known.
-    pub fn statuses(&self, view: &KeeperView<'_>) -> Vec<PoolStatus> {
+impl PoolCoordinator {
+    /// Returns the statuses of the coordinated pools whose lease holders are known.
+    pub fn statuses(&self, view: &CoordinatorView<'_>) -> Vec<PoolStatus> {
         self.pools
             .iter()
-            .filter(|(_, pool)| pool.open)
+            .filter(|(_, pool)| pool.granting)
             .map(|(service, pool)| pool.status(service, view))
             .collect()
     }
 
-    /// Gives how many slots of each backend server of a pool are committed.
+    /// Returns how many slots of each backend server of a pool are committed to lease holders.
     pub fn committed(&self, service: &str) -> BTreeMap<ShortTag, u32> {
         self.pools
             .get(service)
@@ -89,8 +90,8 @@
             .unwrap_or_default()
     }
 
-    /// Takes the report of a holder.
-    pub fn take_report(
+    /// Applies the report of a lease holder.
+    pub fn apply_report(
         &mut self,
         now: Instant,
         sender: &NodeId,
@@ -106,38 +107,39 @@
             .get(sender)
             .is_some_and(|holder| holder.incarnation == incarnation);
         if !known {
-            let holder = HolderState::announce(now, incarnation, report);
+            let holder = HolderState::from_first_report(now, incarnation, report);
             pool.holders.insert(sender.clone(), holder);
             return;
         }
         if let Some(holder) = pool.holders.get_mut(sender) {
-            holder.take(now, report);
+            holder.apply_report(now, report);
         }
     }
 
-    /// Runs over the kept pools and gives the grants to send.
-    pub fn step(&mut self, view: &KeeperView<'_>) -> Vec<(NodeId, SlotGrant)> {
-        self.pools.retain(|service, _| view.kept.contains(service));
+    /// Updates the coordinated pools and returns the grants to send.
+    pub fn step(&mut self, view: &CoordinatorView<'_>) -> Vec<(NodeId, SlotGrant)> {
+        self.pools
+            .retain(|service, _| view.coordinated.contains(service));
         let mut grants = Vec::new();
-        for service in view.kept {
+        for service in view.coordinated {
             let pool = self
                 .pools
                 .entry(service.clone())
                 .or_insert_with(|| PoolState::new(view.now));
-            pool.drop_silent(view);
-            if !pool.open_if_known(view) {
+            pool.expire_silent_holders(view);
+            if !pool.start_granting(view) {
                 continue;
             }
-            let slots = pool.open_slots(service, view);
+            let slots = pool.grantable_slots(service, view);
             if slots != pool.slots {
                 pool.slots = slots;
                 pool.dirty = true;
             }
             if pool.dirty {
                 pool.dirty = false;
-                pool.round(service, view.now, view.stamp);
+                pool.reallocate(service, view.now, view.stamp);
             }
-            pool.collect(view.now, &mut grants);
+            pool.collect_due_grants(view.now, &mut grants);
         }
         grants
     }
@@ -146,20 +148,20 @@
 impl PoolState {
     fn new(now: Instant) -> Self {
         Self {
-            since: now,
-            open: false,
+            created_at: now,
+            granting: false,
             dirty: true,
             contended: false,
             holders: BTreeMap::new(),
             credits: BTreeMap::new(),
-            last_round: now,
+            last_allocation: now,
             slots: BTreeMap::new(),
             ceilings: BTreeMap::new(),
             ceiling_until: None,
         }
     }
 
-    fn status(&self, service: &ServiceId, view: &KeeperView<'_>) -> PoolStatus {
+    fn status(&self, service: &ServiceId, view: &CoordinatorView<'_>) -> PoolStatus {
         let capacity: u32 = self.slots.values().map(|slots| u32::from(*slots)).sum();
         let mut running = 0_u32;
         let mut waiting = 0_u32;
@@ -187,58 +189,58 @@
         }
     }
 
-    /// Drops the leases of holders that have been silent for longer than a lease.
+    /// Removes lease holders that have been silent for longer than a lease.
     ///
-    /// Such a holder has stopped using its slots, since it counts the lease from the sending of
-    /// its last echoed heartbeat, before the time from which the keeper counts.
-    fn drop_silent(&mut self, view: &KeeperView<'_>) {
+    /// Such a holder has stopped using its slots: its lease runs from when it sent its last echoed
+    /// heartbeat, which is before the coordinator received that heartbeat.
+    fn expire_silent_holders(&mut self, view: &CoordinatorView<'_>) {
         let before = self.holders.len();
         self.holders.retain(|name, holder| {
-            let heard = view
+            let last_heard = view
                 .known
                 .get(name)
                 .copied()
                 .unwrap_or(holder.reported_at)
                 .max(holder.reported_at);
-            view.now.duration_since(heard) <= LEASE_TIME + KEEPER_MARGIN
+            view.now.duration_since(last_heard) <= LEASE_TTL + LEASE_MARGIN
         });
         self.dirty |= before != self.holders.len();
     }
 
-    /// Opens the pool once every member that can be heard has reported.
+    /// Starts granting once every reachable member has reported; returns whether it has started.
     ///
-    /// What a silent member holds is not known: it may be dead, or cut off and still using its
-    /// slots. All that the others have not reported counts as held by it until its lease has
-    /// lapsed. So the others go on with what they hold, and nothing is given out twice.
-    fn open_if_known(&mut self, view: &KeeperView<'_>) -> bool {
-        if self.open {
+    /// The slots of a silent member are unknown: it may have failed, or be partitioned and still
+    /// use its slots. All slots that the other members have not reported count as held by it until
+    /// its lease has expired. So the others keep their slots and no slot is leased twice.
+    fn start_granting(&mut self, view: &CoordinatorView<'_>) -> bool {
+        if self.granting {
             return true;
         }
-        let missing: Vec<Instant> = view
+        let unreported: Vec<Instant> = view
             .known
             .iter()
             .filter(|(name, _)| !self.holders.contains_key(*name))
-            .map(|(_, heard)| *heard)
+            .map(|(_, last_heard)| *last_heard)
             .collect();
-        let awaited = missing
+        let awaited = unreported
             .iter()
-            .any(|heard| view.now.duration_since(*heard) <= SUSPECT_AFTER);
-        if awaited && view.now.duration_since(self.since) <= LEASE_TIME + KEEPER_MARGIN {
+            .any(|last_heard| view.now.duration_since(*last_heard) <= SUSPECT_AFTER);
+        if awaited && view.now.duration_since(self.created_at) <= LEASE_TTL + LEASE_MARGIN {
             return false;
         }
-        self.open = true;
-        if let Some(latest) = missing.iter().max() {
+        self.granting = true;
+        if let Some(latest_heard) = unreported.iter().max() {
             self.ceilings = committed_sums(&self.holders);
-            self.ceiling_until = Some(*latest + LEASE_TIME + KEEPER_MARGIN);
+            self.ceiling_until = Some(*latest_heard + LEASE_TTL + LEASE_MARGIN);
         }
         true
     }
 
-    /// Gives the slots that may be given out now.
-    fn open_slots(
+    /// Returns the slots that may be granted now.
+    fn grantable_slots(
         &mut self,
         service: &ServiceId,
-        view: &KeeperView<'_>,
+        view: &CoordinatorView<'_>,
     ) -> BTreeMap<ShortTag, u16> {
         let mut slots = usable_slots(service, view);
         if self.ceiling_until.is_none_or(|until| view.now >= until) {
@@ -252,42 +254,43 @@
         slots
     }
 
-    fn round(&mut self, service: &ServiceId, now: Instant, stamp: u64) {
-        let output = run_round(RoundInput {
+    fn reallocate(&mut self, service: &ServiceId, now: Instant, stamp: u64) {
+        let output = allocate(AllocationInput {
             now,
             slots: &self.slots,
             pool_holders: &self.holders,
             credits: &mut self.credits,
-            last_round: self.last_round,
+            last_allocation: self.last_allocation,
         });
-        self.last_round = now;
+        self.last_allocation = now;
         self.contended = output.contended;
         for (name, limits, quotas) in output.holders {
             let Some(holder) = self.holders.get_mut(&name) else {
                 continue;
             };
-            holder.set(service, (now, stamp), limits, output.contended, quotas);
+            holder.set_grant(service, (now, stamp), limits, output.contended, quotas);
         }
     }
 
-    fn collect(&mut self, now: Instant, grants: &mut Vec<(NodeId, SlotGrant)>) {
+    fn collect_due_grants(&mut self, now: Instant, grants: &mut Vec<(NodeId, SlotGrant)>) {
         for (name, holder) in &mut self.holders {
             let Some(grant) = &holder.grant else {
                 continue;
             };
-            let obeyed = holder.report.applied >= grant.number;
-            if obeyed || now < holder.sent_at {
+            let applied = holder.report.applied >= grant.number;
+            if applied || now < holder.next_send {
                 continue;
             }
-            holder.sent_at = now + GRANT_AGAIN;
+            holder.next_send = now + GRANT_RESEND_INTERVAL;
             grants.push((name.clone(), grant.clone()));
         }
     }
 }
 
 impl HolderState {
-    /// Takes the first report of a holder: what it holds from the keeper before is committed.
-    fn announce(now: Instant, incarnation: Incarnation, report: SlotReport) -> Self {
+    /// Creates the state from a holder's first report; slots granted by the previous coordinator
+    /// count as committed.
+    fn from_first_report(now: Instant, incarnation: Incarnation, report: SlotReport) -> Self {
         let mut limits = BTreeMap::new();
         let mut committed = BTreeMap::new();
         for line in &report.slots {
@@ -302,7 +305,7 @@
             committed,
             grant: None,
             number: 0,
-            sent_at: now,
+            next_send: now,
         }
     }
 
@@ -322,14 +325,14 @@
             .sum()
     }
 
-    /// Gives the quota that the node has for a tenant, if it has one.
+    /// Returns the node's quota for a tenant, if any.
     pub(crate) fn quota_of(&self, tenant: ShortTag) -> Option<u16> {
         let grant = self.grant.as_ref().filter(|grant| grant.contended)?;
         let line = grant.quotas.iter().find(|(known, _)| *known == tenant);
         line.map(|(_, quota)| *quota)
     }
 
-    fn take(&mut self, now: Instant, report: SlotReport) {
+    fn apply_report(&mut self, now: Instant, report: SlotReport) {
         self.reported_at = now;
         if report.applied >= self.number {
             self.committed.clone_from(&self.limits);
@@ -339,7 +342,7 @@
             }
             self.committed.retain(|_, count| *count > 0);
         } else {
-            // A grant of the time before this keeper's pause may have reached the holder late.
+            // A grant sent before a pause of this coordinator may have reached the holder late.
             for line in &report.slots {
                 let count = self.committed.entry(line.replica).or_default();
                 *count = (*count).max(line.limit).max(line.running);
@@ -348,7 +351,7 @@
         self.report = report;
     }
 
-    fn set(
+    fn set_grant(
         &mut self,
         service: &ServiceId,
         (now, stamp): (Instant, u64),
@@ -364,10 +367,10 @@
         if same {
             return;
         }
-        // A holder ignores numbers that do not rise, and its report of an old number must not be
-        // read as obedience to a new grant.
+        // A holder ignores numbers that do not increase, and its report of an old number must not
+        // be taken as confirmation of a new grant.
         self.number = (self.number + 1).max(stamp);
-        self.sent_at = now;
+        self.next_send = now;
         for (replica, limit) in &limits {
             let count = self.committed.entry(*replica).or_default();
             *count = (*count).max(*limit);
@@ -396,11 +399,11 @@
     sums
 }
 
-fn usable_slots(service: &ServiceId, view: &KeeperView<'_>) -> BTreeMap<ShortTag, u16> {
+fn usable_slots(service: &ServiceId, view: &CoordinatorView<'_>) -> BTreeMap<ShortTag, u16> {
     let mut slots = BTreeMap::new();
     for (name, backend) in view.config.backends_in(service, view.data_centre) {
         let tag = tag_of(name);
-        if !view.backends.is_usable_here(view.now, tag) {
+        if !view.backends.is_usable_locally(view.now, tag) {
             continue;
         }
         let reported = view.backends.reported_slots(tag).unwrap_or(backend.slots);
--- a/crates/zinniahatch_control/src/keys.rs
+++ b/crates/zinniahatch_control/src/keys.rs
@@ -1,65 +1,65 @@
-//! Keys of requests that may not be repeated: each runs at most once, at the node that made it.
+//! Idempotency keys: each key's request runs at most once, on the node that issued the key.
 
 use thiserror::Error;
 use zinniahatch_base::prelude::*;
 
-/// Prefix and version of a key's text.
+/// Prefix and format version of a key's text.
 const KEY_PREFIX: &str = "zk1";
-/// Digits of the authentication code in a key.
-const CODE_DIGITS: usize = 24;
+/// Hex digits of the message authentication code (MAC) in a key.
+const MAC_DIGITS: usize = 24;
 
-/// A key as its text says, before it is checked.
+/// A parsed key whose MAC has not been verified.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MintedKey {
-    /// The node that made it.
+    /// The node that issued it.
     pub node: NodeId,
-    /// The incarnation that made it.
+    /// The incarnation that issued it.
     pub incarnation: Incarnation,
-    /// Counts the keys of the incarnation.
+    /// Sequence number of the key within the incarnation.
     pub number: u64,
-    /// Seconds from the incarnation's start to the making.
-    pub made: u64,
-    code: Box<str>,
+    /// Seconds from the start of the incarnation to the issue of the key.
+    pub minted_s: u64,
+    mac: Box<str>,
 }
 
-/// Why a key was refused; the request did not run.
+/// Why a key was refused; its request did not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum KeyRefusal {
-    /// The text is no key, the code does not fit, or it belongs to another account.
-    #[error("the key was not made here for this account")]
+    /// The MAC does not match, or the key belongs to another account or issuer.
+    #[error("the key was not issued here for this account")]
     Foreign,
-    /// Another request used it.
-    #[error("another request used the key")]
+    /// A different request has used it.
+    #[error("a different request has used the key")]
     Reused,
-    /// It was answered as not run.
-    #[error("the key was answered as not run")]
-    Buried,
+    /// A request with it was already reported to its caller as not run.
+    #[error("the key's request was already reported as not run")]
+    NotRun,
 }
 
-/// What a claim of a key gives.
+/// Result of claiming a key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum KeyClaim<A> {
-    /// The key is fresh and now belongs to this request, which may be sent once.
+    /// The key was unused and now belongs to this request, which may be sent once.
     Fresh,
-    /// The request under the key is running.
+    /// The request with this key is running.
     Running,
-    /// The request ran; this is its kept answer.
+    /// The request has run; this is its stored response.
     Answered(A),
-    /// The book has passed to an heir; nothing ran here, and the heir may run it.
+    /// The table was handed over to a successor; nothing ran here, and the successor may run it.
     Closed,
-    /// The request may have run, and its answer is not known.
+    /// The request may have run, and its response is not known.
     Lost,
     /// The key was refused.
     Refused(KeyRefusal),
 }
 
-/// One used key as it passes to an heir: number, digest of its request, answer, whether buried.
-pub type KeyLine<A> = (u64, PartHash, Option<A>, bool);
+/// A used key in a handover: number, digest of its request, response, whether reported as not run.
+pub type KeyEntry<A> = (u64, PartHash, Option<A>, bool);
 
 #[derive(Clone, Debug)]
 struct UsedKey<A> {
     digest: PartHash,
-    used: Instant,
+    used_at: Instant,
     state: UsedState<A>,
 }
 
@@ -68,27 +68,28 @@
     Running,
     Answered(A),
     Lost,
-    Buried,
+    NotRun,
 }
 
-/// The keys of one incarnation: made here, or taken over from a node that left.
+/// The idempotency keys of one incarnation: issued here, or taken over from a node that left.
 ///
-/// Only the book of the incarnation that made a key may start its request. The book lives in the
-/// memory of one process, so there is no second view that could start it again; when the process
-/// dies, the book is gone, and no other process can open one for the same incarnation.
-pub struct KeyBook<A> {
+/// Only the table of the incarnation that issued a key may start its request. The table exists
+/// only in the memory of one process, so no second copy could start the request again. If the
+/// process crashes, the table is lost, and no other process can create one for the same
+/// incarnation.
+pub struct KeyTable<A> {
     node: NodeId,
     incarnation: Incarnation,
     secret: [u8; 32],
     started: Instant,
-    made: u64,
-    valid: Duration,
+    minted: u64,
+    validity: Duration,
     used: BTreeMap<u64, UsedKey<A>>,
     closed: bool,
 }
 
 impl MintedKey {
-    /// Reads a key's text, without checking its code.
+    /// Parses a key's text without verifying its MAC.
     pub fn parse(text: &str) -> Option<Self> {
         let mut fields = text.split('.');
         if fields.next()? != KEY_PREFIX {
@@ -98,57 +99,57 @@
             node: fields.next()?.into(),
             incarnation: u64::from_str_radix(fields.next()?, 16).ok()?,
             number: fields.next()?.parse().ok()?,
-            made: fields.next()?.parse().ok()?,
-            code: fields.next()?.into(),
+            minted_s: fields.next()?.parse().ok()?,
+            mac: fields.next()?.into(),
         };
         fields.next().is_none().then_some(key)
     }
 }
 
-impl<A: Clone> KeyBook<A> {
-    /// Opens the book of this incarnation; keys are valid for the given time.
+impl<A: Clone> KeyTable<A> {
+    /// Creates the table of this incarnation; keys are valid for the given time.
     pub fn new(
         node: &str,
         incarnation: Incarnation,
         secret: [u8; 32],
         now: Instant,
-        valid: Duration,
+        validity: Duration,
     ) -> Self {
         Self {
             node: node.into(),
             incarnation,
             secret,
             started: now,
-            made: 0,
-            valid,
+            minted: 0,
+            validity,
             used: BTreeMap::new(),
             closed: false,
         }
     }
 
-    /// Gives how many used keys are remembered.
+    /// Returns the number of stored used keys.
     pub fn len(&self) -> usize {
         self.used.len()
     }
 
-    /// Says whether no used key is remembered.
+    /// Returns whether no used key is stored.
     pub fn is_empty(&self) -> bool {
         self.used.is_empty()
     }
 
-    /// Makes a key for an account.
+    /// Issues a key for an account.
     pub fn mint(&mut self, now: Instant, account: &str) -> Box<str> {
-        self.made += 1;
+        self.minted += 1;
         let made = now.duration_since(self.started).as_secs();
-        let code = self.code(account, self.made, made);
+        let code = self.mac(account, self.minted, made);
         format!(
             "{KEY_PREFIX}.{}.{:x}.{}.{made}.{code}",
-            self.node, self.incarnation, self.made
+            self.node, self.incarnation, self.minted
         )
         .into()
     }
 
-    /// Claims a key for a request with this digest.
+    /// Claims a key for the request with this digest.
     pub fn claim(
         &mut self,
         now: Instant,
@@ -156,7 +157,7 @@
         account: &str,
         digest: &str,
     ) -> KeyClaim<A> {
-        if !self.fits(key, account) {
+        if !self.is_authentic(key, account) {
             return KeyClaim::Refused(KeyRefusal::Foreign);
         }
         if let Some(used) = self.used.get(&key.number) {
@@ -165,10 +166,10 @@
         let age = now
             .duration_since(self.started)
             .as_secs()
-            .saturating_sub(key.made);
-        // Past its validity a used key may have been forgotten, so a fresh one cannot be told
-        // from a used one.
-        if age >= self.valid.as_secs() {
+            .saturating_sub(key.minted_s);
+        // A used key may have been evicted after its validity, so an expired key that is not in the
+        // table may have been used.
+        if age >= self.validity.as_secs() {
             return KeyClaim::Lost;
         }
         if self.closed {
@@ -178,16 +179,16 @@
             key.number,
             UsedKey {
                 digest: digest.into(),
-                used: now,
+                used_at: now,
                 state: UsedState::Running,
             },
         );
         KeyClaim::Fresh
     }
 
-    /// Gives the kept answer of a key without claiming it.
+    /// Returns the stored response of a key without claiming the key.
     pub fn collect(&self, key: &MintedKey, account: &str) -> KeyClaim<A> {
-        if !self.fits(key, account) {
+        if !self.is_authentic(key, account) {
             return KeyClaim::Refused(KeyRefusal::Foreign);
         }
         match self.used.get(&key.number) {
@@ -196,20 +197,20 @@
         }
     }
 
-    /// Notes the answer of a claimed key.
-    pub fn answer(&mut self, number: u64, answer: A) {
-        self.set(number, UsedState::Answered(answer));
+    /// Stores the response for a claimed key.
+    pub fn record_response(&mut self, number: u64, response: A) {
+        self.set(number, UsedState::Answered(response));
     }
 
-    /// Forgets the oldest kept answers until their sizes fit the limit; the keys stay used.
-    pub fn fit_answers(&mut self, limit: usize, size: impl Fn(&A) -> usize) {
+    /// Evicts the oldest responses until the rest fit the limit; their keys stay used.
+    pub fn trim_responses(&mut self, limit: usize, size: impl Fn(&A) -> usize) {
         let mut total = 0;
         let mut order: Vec<(Instant, u64, usize)> = Vec::new();
         for (number, used) in &self.used {
-            if let UsedState::Answered(answer) = &used.state {
-                let bytes = size(answer);
+            if let UsedState::Answered(response) = &used.state {
+                let bytes = size(response);
                 total += bytes;
-                order.push((used.used, *number, bytes));
+                order.push((used.used_at, *number, bytes));
             }
         }
         order.sort_unstable();
@@ -218,76 +219,79 @@
                 return;
             }
             total -= bytes;
-            self.lose(number);
+            self.mark_lost(number);
         }
     }
 
-    /// Notes that a claimed key's request may have run, with its answer lost.
-    pub fn lose(&mut self, number: u64) {
+    /// Marks a claimed key's request as possibly run, with its response lost.
+    pub fn mark_lost(&mut self, number: u64) {
         self.set(number, UsedState::Lost);
     }
 
-    /// Buries a claimed key whose request was never sent, before its caller is told "not run".
-    pub fn bury(&mut self, number: u64) {
-        self.set(number, UsedState::Buried);
+    /// Marks a claimed key's request as never sent, before its caller is told "not run".
+    pub fn mark_not_run(&mut self, number: u64) {
+        self.set(number, UsedState::NotRun);
     }
 
-    /// Forgets used keys past the validity of any key that could name them, and old answers.
-    pub fn sweep(&mut self, now: Instant, keep: Duration) {
-        let keep = keep.max(self.valid * 2);
+    /// Evicts used keys and their responses after `retention`, or twice the validity of a key if longer.
+    ///
+    /// Keys of running requests stay.
+    pub fn sweep(&mut self, now: Instant, retention: Duration) {
+        let retention = retention.max(self.validity * 2);
         self.used.retain(|_, used| {
-            matches!(used.state, UsedState::Running) || now.duration_since(used.used) < keep
+            matches!(used.state, UsedState::Running) || now.duration_since(used.used_at) < retention
         });
     }
 
-    /// Closes the book and gives what its heir needs; nothing starts here any more.
+    /// Closes the table and returns its secret, age and used keys for a successor.
     ///
-    /// A request still running is handed on as lost: its answer was not seen in time.
-    pub fn close(&mut self, now: Instant) -> ([u8; 32], u64, Vec<KeyLine<A>>) {
+    /// No request starts here afterwards. A request that is still running is handed over as lost,
+    /// because its response did not arrive in time.
+    pub fn close(&mut self, now: Instant) -> ([u8; 32], u64, Vec<KeyEntry<A>>) {
         self.closed = true;
         let age = now.duration_since(self.started).as_secs();
-        let lines = self
+        let entries = self
             .used
             .iter()
             .map(|(number, used)| match &used.state {
-                UsedState::Answered(answer) => {
-                    (*number, used.digest.clone(), Some(answer.clone()), false)
+                UsedState::Answered(response) => {
+                    (*number, used.digest.clone(), Some(response.clone()), false)
                 }
-                UsedState::Buried => (*number, used.digest.clone(), None, true),
+                UsedState::NotRun => (*number, used.digest.clone(), None, true),
                 UsedState::Running | UsedState::Lost => (*number, used.digest.clone(), None, false),
             })
             .collect();
-        (self.secret, age, lines)
+        (self.secret, age, entries)
     }
 
-    /// Opens the book of an incarnation that closed it and left.
+    /// Restores the table of an incarnation that closed it and left.
     pub fn inherit(
         node: &str,
         incarnation: Incarnation,
         secret: [u8; 32],
         age: u64,
         now: Instant,
-        valid: Duration,
-        lines: Vec<KeyLine<A>>,
+        validity: Duration,
+        entries: Vec<KeyEntry<A>>,
     ) -> Self {
         let started = now.checked_sub(Duration::from_secs(age)).unwrap_or(now);
-        let mut book = Self::new(node, incarnation, secret, started, valid);
-        for (number, digest, answer, buried) in lines {
-            let state = match answer {
-                Some(answer) => UsedState::Answered(answer),
-                None if buried => UsedState::Buried,
+        let mut table = Self::new(node, incarnation, secret, started, validity);
+        for (number, digest, response, not_run) in entries {
+            let state = match response {
+                Some(response) => UsedState::Answered(response),
+                None if not_run => UsedState::NotRun,
                 None => UsedState::Lost,
             };
-            book.used.insert(
+            table.used.insert(
                 number,
                 UsedKey {
                     digest,
-                    used: now,
+                    used_at: now,
                     state,
                 },
             );
         }
-        book
+        table
     }
 
     fn set(&mut self, number: u64, state: UsedState<A>) {
@@ -296,17 +300,17 @@
         }
     }
 
-    fn fits(&self, key: &MintedKey, account: &str) -> bool {
+    fn is_authentic(&self, key: &MintedKey, account: &str) -> bool {
         key.node == self.node
             && key.incarnation == self.incarnation
-            && key.code.len() == CODE_DIGITS
-            && same_text(&self.code(account, key.number, key.made), &key.code)
+            && key.mac.len() == MAC_DIGITS
+            && macs_equal(&self.mac(account, key.number, key.minted_s), &key.mac)
     }
 
-    fn code(&self, account: &str, number: u64, made: u64) -> Box<str> {
+    fn mac(&self, account: &str, number: u64, made: u64) -> Box<str> {
         let text = format!("{account}\n{number}\n{made}");
         let hash = blake3::keyed_hash(&self.secret, text.as_bytes());
-        Box::from(&hash.to_hex().as_str()[..CODE_DIGITS])
+        Box::from(&hash.to_hex().as_str()[..MAC_DIGITS])
     }
 }
 
@@ -317,14 +321,14 @@
         }
         match &self.state {
             UsedState::Running => KeyClaim::Running,
-            UsedState::Answered(answer) => KeyClaim::Answered(answer.clone()),
+            UsedState::Answered(response) => KeyClaim::Answered(response.clone()),
             UsedState::Lost => KeyClaim::Lost,
-            UsedState::Buried => KeyClaim::Refused(KeyRefusal::Buried),
+            UsedState::NotRun => KeyClaim::Refused(KeyRefusal::NotRun),
         }
     }
 }
 
-/// Compares two codes by their hashes, so that the time taken tells nothing about the code.
-fn same_text(one: &str, other: &str) -> bool {
+/// Compares two MACs by their hashes, so that the timing reveals nothing about the MAC.
+fn macs_equal(one: &str, other: &str) -> bool {
     blake3::hash(one.as_bytes()) == blake3::hash(other.as_bytes())
 }
--- a/crates/zinniahatch_control/src/lib.rs
+++ b/crates/zinniahatch_control/src/lib.rs
@@ -1,57 +1,57 @@
-//! The decisions of a node: tables of state and the systems that run over them each tick.
+//! Control logic of a node as a deterministic state machine without I/O.
 //!
-//! Nothing here does I/O or reads a clock. The daemon gives the time and the frames that came in,
-//! and sends what a tick gives back, so that a run can be fuzzed and replayed exactly.
+//! Nothing here does I/O or reads a clock. The daemon passes in the time and the received frames
+//! and sends the frames that a tick returns, so runs can be fuzzed and replayed exactly.
 
+mod allocation;
 mod backends;
 mod cache;
-mod held_pool;
-mod holder;
-mod keeper;
+mod config_syncer;
+mod coordinator;
 mod keys;
-mod ledger;
+mod lease_table;
 mod limits;
 mod members;
 mod node;
 mod orders;
 mod placement;
+mod pool_lease;
 mod remotes;
-mod rounds;
 mod shares;
 
-pub use backends::BackendMark;
+pub use backends::BackendStatus;
 pub use backends::BackendTable;
-pub use cache::CacheBelief;
-pub use held_pool::HeldSlot;
-pub use holder::SlotHolder;
-pub use keeper::KeeperView;
-pub use keeper::PoolKeeper;
-pub use keys::KeyBook;
+pub use cache::PrefixCacheTable;
+pub use config_syncer::ConfigSyncer;
+pub use config_syncer::SyncStep;
+pub use coordinator::CoordinatorView;
+pub use coordinator::PoolCoordinator;
 pub use keys::KeyClaim;
-pub use keys::KeyLine;
+pub use keys::KeyEntry;
 pub use keys::KeyRefusal;
+pub use keys::KeyTable;
 pub use keys::MintedKey;
-pub use ledger::ConfigLedger;
-pub use ledger::LedgerStep;
-pub use limits::FORGET_AFTER;
-pub use limits::HEARTBEAT_EVERY;
-pub use limits::KEEPER_MARGIN;
-pub use limits::LEASE_TIME;
+pub use lease_table::LeaseTable;
+pub use limits::HEARTBEAT_INTERVAL;
+pub use limits::LEASE_MARGIN;
+pub use limits::LEASE_TTL;
+pub use limits::MEMBER_TTL;
 pub use limits::SUSPECT_AFTER;
+pub use members::FailurePolicy;
 pub use members::MemberEntry;
 pub use members::MemberTable;
-pub use members::VerdictPolicy;
 pub use node::ControlNode;
-pub use node::FrameParcel;
 pub use node::NodeIdentity;
+pub use node::OutboundFrame;
 pub use node::TickOutput;
-pub use orders::OrderGate;
-pub use placement::AskScope;
-pub use placement::PlaceAsk;
-pub use placement::PlaceTicket;
+pub use orders::OrderLease;
 pub use placement::Placement;
+pub use placement::PlacementQuery;
+pub use placement::PlacementScope;
 pub use placement::RoutePolicy;
-pub use remotes::RemoteCentre;
+pub use placement::SlotPermit;
+pub use pool_lease::LeasedSlots;
+pub use remotes::RemoteDataCentre;
 pub use remotes::RemoteTable;
 pub use shares::ShareDemand;
-pub use shares::fill_shares;
+pub use shares::max_min_shares;
--- a/crates/zinniahatch_control/src/members.rs
+++ b/crates/zinniahatch_control/src/members.rs
@@ -1,25 +1,27 @@
-//! The members of a data centre: who lives, who is suspected, who leaves.
+//! Membership of a data centre: failure detection and leaving members.
 
-use crate::limits::FORGET_AFTER;
-use crate::limits::REDIAL_AFTER;
+use crate::limits::MEMBER_TTL;
+use crate::limits::REDIAL_TIMEOUT;
+use crate::limits::REFUTE_TIME;
 use crate::limits::SUSPECT_AFTER;
-use crate::limits::VOUCH_TIME;
 use std::collections::VecDeque;
 use zinniahatch_base::prelude::*;
 use zinniahatch_base::rendezvous_rank;
-use zinniahatch_protocol::HeartbeatNote;
+use zinniahatch_protocol::Heartbeat;
 use zinniahatch_protocol::NodeFrame;
 
-/// Sent heartbeats whose sending time is remembered; enough for the longest lease.
-const KEPT_SENDS: usize = 16;
+/// Sent heartbeats whose send time is stored; enough to cover a lease.
+const MAX_SENT_HEARTBEATS: usize = 16;
 
-/// How a member is judged to have failed.
+/// How a node decides that a member has failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum VerdictPolicy {
-    /// A node's own suspicion is the verdict.
+pub enum FailurePolicy {
+    /// The node's own suspicion suffices.
     OwnSuspicion,
-    /// The verdict also needs half of the other members to suspect the same member, or, after the
-    /// time in which they could have vouched for it, half of them not to have done so.
+    /// The node's own suspicion and confirmation by the other members are required.
+    ///
+    /// At least half of the reachable members must suspect the same member, or, after the time in
+    /// which they could have refuted the suspicion, at least half of them must not have done so.
     MajorityReports,
 }
 
@@ -32,36 +34,36 @@
     pub http: Box<str>,
     /// Its incarnation.
     pub incarnation: Incarnation,
-    /// When it was last heard.
+    /// When its last heartbeat arrived.
     pub last_heard: Instant,
-    /// Whether it said that it is leaving.
+    /// Whether it announced that it is leaving.
     pub leaving: bool,
-    /// Whether it serves.
+    /// Whether it serves requests.
     pub ready: bool,
-    /// Whom it suspects.
+    /// The members that it suspects.
     pub suspects: BTreeSet<NodeId>,
-    /// Whom it hears although others suspect them.
-    pub vouches: BTreeSet<NodeId>,
-    /// Incarnations whose keys and answers it took over.
-    pub heir_of: Vec<(NodeId, Incarnation)>,
+    /// The members that others suspect but whose heartbeats reach it.
+    pub refuted: BTreeSet<NodeId>,
+    /// Incarnations whose idempotency keys and responses it took over.
+    pub successor_of: Vec<(NodeId, Incarnation)>,
     number: u64,
     sent: VecDeque<(u64, Instant)>,
-    heard_number: u64,
+    received_number: u64,
     acked_at: Option<Instant>,
-    redialled: Instant,
+    redialed_at: Instant,
 }
 
 /// All other members of the data centre.
 #[derive(Debug)]
 pub struct MemberTable {
     me: NodeId,
-    policy: VerdictPolicy,
+    policy: FailurePolicy,
     entries: BTreeMap<NodeId, MemberEntry>,
 }
 
 impl MemberTable {
-    /// Makes an empty table.
-    pub fn new(me: &str, policy: VerdictPolicy) -> Self {
+    /// Creates an empty table.
+    pub fn new(me: &str, policy: FailurePolicy) -> Self {
         Self {
             me: me.into(),
             policy,
@@ -69,12 +71,12 @@
         }
     }
 
-    /// Gives every known member.
+    /// Returns every known member.
     pub fn entries(&self) -> &BTreeMap<NodeId, MemberEntry> {
         &self.entries
     }
 
-    /// Says whether a member is judged to live.
+    /// Returns whether a member is considered alive.
     pub fn is_live(&self, now: Instant, node: &str) -> bool {
         if node == &*self.me {
             return true;
@@ -86,31 +88,33 @@
             return true;
         }
         match self.policy {
-            VerdictPolicy::OwnSuspicion => false,
-            VerdictPolicy::MajorityReports => !self.majority_suspects(now, node),
+            FailurePolicy::OwnSuspicion => false,
+            FailurePolicy::MajorityReports => !self.majority_suspects(now, node),
         }
     }
 
-    /// Gives the members that serve and are not leaving, this node too unless it stands aside.
-    pub fn owners(&self, now: Instant, aside: bool) -> Vec<NodeId> {
-        let mut owners: Vec<NodeId> = self
+    /// Returns the live members that serve and are not leaving.
+    ///
+    /// They include this node, unless it is excluded and other members are eligible.
+    pub fn eligible_members(&self, now: Instant, exclude_self: bool) -> Vec<NodeId> {
+        let mut eligible_members: Vec<NodeId> = self
             .entries
             .iter()
             .filter(|(name, entry)| entry.ready && !entry.leaving && self.is_live(now, name))
             .map(|(name, _)| name.clone())
             .collect();
-        if !aside || owners.is_empty() {
-            owners.push(self.me.clone());
+        if !exclude_self || eligible_members.is_empty() {
+            eligible_members.push(self.me.clone());
         }
-        owners
+        eligible_members
     }
 
-    /// Gives when the newest heartbeat that the member echoed was sent.
+    /// Returns the send time of the newest heartbeat that the member echoed.
     pub fn acked_at(&self, node: &str) -> Option<Instant> {
         self.entries.get(node).and_then(|entry| entry.acked_at)
     }
 
-    /// Gives the members that this node has not heard from in time.
+    /// Returns the members whose heartbeats have timed out.
     pub fn suspects(&self, now: Instant) -> Vec<NodeId> {
         self.entries
             .iter()
@@ -119,8 +123,8 @@
             .collect()
     }
 
-    /// Gives the members that others suspect and this node hears.
-    pub fn vouches(&self, now: Instant) -> Vec<NodeId> {
+    /// Returns the members that others suspect but whose heartbeats reach this node.
+    pub fn refuted(&self, now: Instant) -> Vec<NodeId> {
         let suspected: BTreeSet<&NodeId> = self
             .entries
             .values()
@@ -137,41 +141,41 @@
             .collect()
     }
 
-    /// Gives who holds the keys of an incarnation: its node, or the one that took them over.
-    pub fn key_holder(
+    /// Returns the owner of an incarnation's keys: its node, or the successor that took them over.
+    pub fn key_owner(
         &self,
         node: &str,
         incarnation: Incarnation,
     ) -> Option<(&NodeId, &MemberEntry)> {
-        // The heir first: the entry of the node that left stands here for a while.
-        let heir = self.entries.iter().find(|(_, entry)| {
+        // The successor takes precedence: the entry of the node that left remains for a while.
+        let successor = self.entries.iter().find(|(_, entry)| {
             entry
-                .heir_of
+                .successor_of
                 .iter()
                 .any(|(left, number)| &**left == node && *number == incarnation)
         });
-        heir.or_else(|| {
+        successor.or_else(|| {
             self.entries
                 .get_key_value(node)
                 .filter(|(_, entry)| entry.incarnation == incarnation)
         })
     }
 
-    /// Takes what a heartbeat says; gives whether the member is new or restarted.
-    pub fn hear(
+    /// Applies a heartbeat and returns whether the member is new or restarted.
+    pub fn apply_heartbeat(
         &mut self,
         now: Instant,
         frame: &NodeFrame,
-        note: &HeartbeatNote,
+        heartbeat: &Heartbeat,
         my_incarnation: Incarnation,
     ) -> bool {
-        let fresh = self
+        let is_new = self
             .entries
             .get(&frame.sender)
             .is_none_or(|entry| entry.incarnation != frame.incarnation);
-        if fresh {
-            // The numbers of heartbeats to this name go on: a restarted member that was sent some
-            // before it was heard would take lower ones for overtaken frames.
+        if is_new {
+            // The sequence of heartbeats to this name continues: a restarted member may have received
+            // some before its first heartbeat arrived here, and would drop lower numbers as reordered.
             let number = self
                 .entries
                 .get(&frame.sender)
@@ -180,73 +184,73 @@
                 .insert(frame.sender.clone(), new_entry(now, frame, number));
         }
         let Some(entry) = self.entries.get_mut(&frame.sender) else {
-            return fresh;
+            return is_new;
         };
-        // A frame that overtook a newer one must not undo it.
-        if note.number < entry.heard_number {
-            return fresh;
+        // A reordered older heartbeat must not overwrite a newer one.
+        if heartbeat.number < entry.received_number {
+            return is_new;
         }
         entry.last_heard = now;
-        entry.heard_number = note.number;
+        entry.received_number = heartbeat.number;
         entry.peer.clone_from(&frame.peer);
-        entry.http.clone_from(&note.http);
-        entry.leaving = note.leaving;
-        entry.ready = note.ready;
-        entry.suspects = note.suspects.iter().cloned().collect();
-        entry.vouches = note.vouches.iter().cloned().collect();
-        entry.heir_of.clone_from(&note.heir_of);
-        let (incarnation, number) = note.echo;
+        entry.http.clone_from(&heartbeat.http);
+        entry.leaving = heartbeat.leaving;
+        entry.ready = heartbeat.ready;
+        entry.suspects = heartbeat.suspects.iter().cloned().collect();
+        entry.refuted = heartbeat.refuted.iter().cloned().collect();
+        entry.successor_of.clone_from(&heartbeat.successor_of);
+        let (incarnation, number) = heartbeat.echo;
         if incarnation == my_incarnation {
-            entry.take_echo(number);
+            entry.apply_echo(number);
         }
-        fresh
+        is_new
     }
 
-    /// Gives the number and the echo for the next heartbeat to a member.
+    /// Returns the sequence number and the echo for the next heartbeat to a member.
     pub fn next_heartbeat(&mut self, now: Instant, node: &str) -> (u64, (Incarnation, u64)) {
         let Some(entry) = self.entries.get_mut(node) else {
             return (0, (0, 0));
         };
         entry.number += 1;
         entry.sent.push_back((entry.number, now));
-        if entry.sent.len() > KEPT_SENDS {
+        if entry.sent.len() > MAX_SENT_HEARTBEATS {
             entry.sent.pop_front();
         }
-        (entry.number, (entry.incarnation, entry.heard_number))
+        (entry.number, (entry.incarnation, entry.received_number))
     }
 
-    /// Forgets members that have been silent for long, and gives the addresses to redial.
+    /// Removes members after a long silence and returns the addresses to redial.
     ///
-    /// A connection that a middlebox has forgotten looks open and carries nothing. Silence above
-    /// the transport is the only sign, so silence alone decides.
+    /// A connection whose state a middlebox has dropped still looks open but carries nothing. The
+    /// only symptom is missing echoes above the transport, so they alone trigger a redial.
     pub fn sweep(&mut self, now: Instant) -> Vec<Box<str>> {
         self.entries
-            .retain(|_, entry| now.duration_since(entry.last_heard) < FORGET_AFTER);
+            .retain(|_, entry| now.duration_since(entry.last_heard) < MEMBER_TTL);
         let mut redials = Vec::new();
         for entry in self.entries.values_mut() {
-            let one_way = entry
+            let echo_overdue = entry
                 .acked_at
-                .is_none_or(|at| now.duration_since(at) > REDIAL_AFTER);
-            if !one_way || now.duration_since(entry.redialled) < REDIAL_AFTER {
+                .is_none_or(|at| now.duration_since(at) > REDIAL_TIMEOUT);
+            if !echo_overdue || now.duration_since(entry.redialed_at) < REDIAL_TIMEOUT {
                 continue;
             }
-            entry.redialled = now;
+            entry.redialed_at = now;
             redials.push(entry.peer.clone());
         }
         redials
     }
 
-    /// Counts every member as heard now, after a pause in which nobody could be heard.
-    pub(crate) fn excuse_silence(&mut self, now: Instant) {
+    /// Resets the silence of every member after a pause, in which no heartbeat could be received.
+    pub(crate) fn reset_silence(&mut self, now: Instant) {
         for entry in self.entries.values_mut() {
             entry.last_heard = now;
         }
     }
 
-    /// Judges a silent member by the reports of those that can be heard.
+    /// Returns whether the reports of the reachable members confirm that a silent member failed.
     ///
-    /// A reporter may not know the member at all, having started after its death; so silence of
-    /// the reporters counts too, once they had time to vouch.
+    /// A reporter that started after the failure does not know the member and cannot suspect it.
+    /// So a missing refutation also counts, once the reporters had time to send one.
     fn majority_suspects(&self, now: Instant, node: &str) -> bool {
         let reporters: Vec<&MemberEntry> = self
             .entries
@@ -261,17 +265,17 @@
                 .count()
         };
         let suspecting = count(|entry| &entry.suspects);
-        let vouching = count(|entry| &entry.vouches);
+        let refuting = count(|entry| &entry.refuted);
         let had_time = self
             .entries
             .get(node)
-            .is_some_and(|entry| now.duration_since(entry.last_heard) > SUSPECT_AFTER + VOUCH_TIME);
-        suspecting * 2 >= reporters.len() || (had_time && vouching * 2 <= reporters.len())
+            .is_some_and(|peer| now.duration_since(peer.last_heard) > SUSPECT_AFTER + REFUTE_TIME);
+        suspecting * 2 >= reporters.len() || (had_time && refuting * 2 <= reporters.len())
     }
 }
 
 impl MemberEntry {
-    fn take_echo(&mut self, number: u64) {
+    fn apply_echo(&mut self, number: u64) {
         while let Some((sent, at)) = self.sent.front().copied() {
             if sent > number {
                 break;
@@ -295,19 +299,22 @@
         leaving: false,
         ready: false,
         suspects: BTreeSet::new(),
-        vouches: BTreeSet::new(),
-        heir_of: Vec::new(),
+        refuted: BTreeSet::new(),
+        successor_of: Vec::new(),
         number,
         sent: VecDeque::new(),
-        heard_number: 0,
+        received_number: 0,
         acked_at: None,
-        redialled: now,
+        redialed_at: now,
     }
 }
 
-/// Gives the owner of an object among the owners.
-pub(crate) fn owner_of<'a>(object: &str, owners: &'a [NodeId]) -> Option<&'a NodeId> {
-    owners
+/// Returns the eligible member with the highest rendezvous rank for an object.
+pub(crate) fn rendezvous_owner<'a>(
+    object: &str,
+    eligible_members: &'a [NodeId],
+) -> Option<&'a NodeId> {
+    eligible_members
         .iter()
         .max_by_key(|name| rendezvous_rank(object, name))
 }
--- a/crates/zinniahatch_control/src/node.rs
+++ b/crates/zinniahatch_control/src/node.rs
@@ -1,49 +1,49 @@
-//! One node's tables, and the tick that runs the systems over them.
+//! The control state of one node, and the tick that advances it.
 
 use crate::BackendTable;
-use crate::CacheBelief;
-use crate::ConfigLedger;
+use crate::ConfigSyncer;
+use crate::FailurePolicy;
+use crate::LeaseTable;
 use crate::MemberTable;
 use crate::Placement;
-use crate::PoolKeeper;
+use crate::PoolCoordinator;
+use crate::PrefixCacheTable;
 use crate::RemoteTable;
 use crate::RoutePolicy;
-use crate::SlotHolder;
-use crate::VerdictPolicy;
-use crate::limits::CONTACT_EVERY;
-use crate::limits::CONTACT_WINDOW;
-use crate::limits::HEARTBEAT_EVERY;
-use crate::limits::RETELL_EVERY;
-use crate::limits::SUMMARY_EVERY;
-use crate::limits::SUMMARY_LINK;
-use crate::members::owner_of;
+use crate::limits::CONTACT_INTERVAL;
+use crate::limits::DISCOVERY_TIME;
+use crate::limits::HEARTBEAT_INTERVAL;
+use crate::limits::REFRESH_INTERVAL;
+use crate::limits::SUMMARY_INTERVAL;
+use crate::limits::SUMMARY_INTERVAL_PER_LINK;
+use crate::members::rendezvous_owner;
 use std::sync::Arc;
 use zinniahatch_base::prelude::*;
 use zinniahatch_base::rendezvous_rank;
 use zinniahatch_config::ClusterConfig;
 use zinniahatch_config::ConfigHead;
-use zinniahatch_protocol::CentreSummary;
-use zinniahatch_protocol::CountsNote;
+use zinniahatch_protocol::DataCentreSummary;
 use zinniahatch_protocol::EntryAddress;
-use zinniahatch_protocol::HeartbeatNote;
+use zinniahatch_protocol::Heartbeat;
 use zinniahatch_protocol::NodeFrame;
 use zinniahatch_protocol::NodeMessage;
 use zinniahatch_protocol::PoolStatus;
+use zinniahatch_protocol::SealedCounts;
 
-mod pooling;
+mod pools;
 mod receiving;
 mod routing;
-mod telling;
+mod sending;
 
-/// Longest time that a node waits before it pulls a revision that it has heard of.
-const LONGEST_PATIENCE: Duration = Duration::from_millis(800);
-/// Nodes of a data centre that watch the store's head.
-const WATCHERS: usize = 2;
+/// Maximum delay before a node pulls a revision that it has learned of.
+const MAX_PULL_DELAY: Duration = Duration::from_millis(800);
+/// Number of nodes per data centre that watch the configuration head in the store.
+const STORE_WATCHERS: usize = 2;
 
-/// Who this node is.
+/// Identity and addresses of this node.
 #[derive(Clone, Debug)]
 pub struct NodeIdentity {
-    /// Its name.
+    /// The name of the node.
     pub node: NodeId,
     /// Its data centre.
     pub data_centre: DataCentreId,
@@ -55,87 +55,87 @@
     pub peer: Box<str>,
     /// Its address for callers.
     pub http: Box<str>,
-    /// Milliseconds since the epoch when it started; stamps of summaries count from here.
+    /// Start time in milliseconds since the epoch; timestamps of summaries and grants start here.
     pub epoch: u64,
 }
 
-/// A frame and the address it goes to.
+/// A frame and its destination.
 #[derive(Clone, Debug)]
-pub struct FrameParcel {
-    /// The address for control messages.
+pub struct OutboundFrame {
+    /// The destination's address for control messages.
     pub to: Box<str>,
     /// The frame.
     pub frame: NodeFrame,
 }
 
-/// What a tick gives back.
+/// Output of a tick.
 #[derive(Debug, Default)]
 pub struct TickOutput {
     /// Frames to send.
-    pub parcels: Vec<FrameParcel>,
-    /// Addresses to which a new connection shall be opened.
+    pub frames: Vec<OutboundFrame>,
+    /// Addresses to which the transport opens a new connection.
     pub redials: Vec<Box<str>>,
-    /// Changes of state worth a log line.
+    /// State changes to log.
     pub changes: Vec<String>,
-    /// Counts received from members: sender, its incarnation, the counts.
-    pub counts: Vec<(NodeId, Incarnation, CountsNote)>,
-    /// Members judged failed that had not said that they leave.
-    pub deaths: Vec<(NodeId, Incarnation)>,
-    /// Members that are heard again after they were judged failed, or for the first time.
-    pub returns: Vec<(NodeId, Incarnation)>,
-    /// This node's counts that are in the store: shard, incarnation, numbers.
+    /// Counts received from members: sender, incarnation of the sender, counts.
+    pub counts: Vec<(NodeId, Incarnation, SealedCounts)>,
+    /// Members that failed without having announced that they leave.
+    pub failed: Vec<(NodeId, Incarnation)>,
+    /// Members that became alive: new ones, and ones that had been considered failed.
+    pub recovered: Vec<(NodeId, Incarnation)>,
+    /// Batches of this node's counts that are in the store: shard, incarnation, batch numbers.
     pub merged: Vec<(u16, Incarnation, Vec<u64>)>,
 }
 
-/// The keepers of all pools, and what they were computed from.
+/// The coordinators of all pools, and the inputs they were computed from.
 #[derive(Debug, Default)]
-struct RankedKeepers {
-    owners: Vec<NodeId>,
+struct CoordinatorCache {
+    eligible_members: Vec<NodeId>,
     revision: Revision,
-    keepers: BTreeMap<ServiceId, NodeId>,
+    coordinators: BTreeMap<ServiceId, NodeId>,
 }
 
-/// All tables of one node.
+/// The control state of one node.
 pub struct ControlNode {
     identity: NodeIdentity,
-    pub(crate) ledger: ConfigLedger,
+    pub(crate) syncer: ConfigSyncer,
     pub(crate) members: MemberTable,
-    pub(crate) holder: SlotHolder,
-    pub(crate) keeper: PoolKeeper,
+    pub(crate) leases: LeaseTable,
+    pub(crate) coordinator: PoolCoordinator,
     pub(crate) remotes: RemoteTable,
     pub(crate) backends: BackendTable,
-    pub(crate) belief: CacheBelief,
+    pub(crate) prefix_caches: PrefixCacheTable,
     policy: RoutePolicy,
     random: u64,
     started: Instant,
     leaving: bool,
     ready: bool,
     contacts: BTreeMap<Box<str>, Option<Instant>>,
-    foreign: BTreeMap<Box<str>, Revision>,
-    heir_of: Vec<(NodeId, Incarnation)>,
+    remote_revisions: BTreeMap<Box<str>, Revision>,
+    successor_of: Vec<(NodeId, Incarnation)>,
     pools: BTreeMap<ServiceId, PoolStatus>,
-    told: BTreeMap<ServiceId, (PoolStatus, Instant)>,
-    decisions: Vec<(u64, Placement)>,
+    announced_pools: BTreeMap<ServiceId, (PoolStatus, Instant)>,
+    placements: Vec<(u64, Placement)>,
     outbox: BTreeMap<Box<str>, Vec<NodeMessage>>,
     output: TickOutput,
-    next_beat: Instant,
+    next_heartbeat_at: Instant,
     next_summary: Instant,
     next_entries: Instant,
-    lapses: u64,
+    expired_leases: u64,
     last_live: BTreeSet<NodeId>,
     first_tick: Option<Instant>,
     last_tick: Option<Instant>,
-    ranked: RankedKeepers,
-    told_members: BTreeMap<NodeId, Instant>,
+    coordinator_cache: CoordinatorCache,
+    reported_members: BTreeMap<NodeId, Instant>,
 }
 
 impl ControlNode {
-    /// Makes the tables of a node that has just started.
+    /// Creates the state of a node that has just started.
     pub fn new(
         identity: NodeIdentity,
         seeds: &[Box<str>],
         now: Instant,
-        verdict: VerdictPolicy,
+        verdict: FailurePolicy,
         policy: RoutePolicy,
     ) -> Self {
         let contacts = seeds
@@ -143,154 +143,162 @@
             .filter(|seed| ***seed != *identity.peer)
             .map(|seed| (seed.clone(), None))
             .collect();
-        let mut ledger = ConfigLedger::default();
-        ledger.set_patience(
-            LONGEST_PATIENCE.mul_f64((identity.incarnation % 1_024) as f64 / 1_024.0),
+        let mut syncer = ConfigSyncer::default();
+        syncer.set_pull_delay(
+            MAX_PULL_DELAY.mul_f64((identity.incarnation % 1_024) as f64 / 1_024.0),
         );
         Self {
             members: MemberTable::new(&identity.node, verdict),
             random: identity.incarnation | 1,
             identity,
-            ledger,
-            holder: SlotHolder::default(),
-            keeper: PoolKeeper::default(),
+            syncer,
+            leases: LeaseTable::default(),
+            coordinator: PoolCoordinator::default(),
             remotes: RemoteTable::default(),
             backends: BackendTable::default(),
-            belief: CacheBelief::default(),
+            prefix_caches: PrefixCacheTable::default(),
             policy,
             started: now,
             leaving: false,
             ready: false,
             contacts,
-            foreign: BTreeMap::new(),
-            heir_of: Vec::new(),
+            remote_revisions: BTreeMap::new(),
+            successor_of: Vec::new(),
             pools: BTreeMap::new(),
-            told: BTreeMap::new(),
-            decisions: Vec::new(),
+            announced_pools: BTreeMap::new(),
+            placements: Vec::new(),
             outbox: BTreeMap::new(),
             output: TickOutput::default(),
-            next_beat: now,
+            next_heartbeat_at: now,
             next_summary: now,
             next_entries: now,
-            lapses: 0,
+            expired_leases: 0,
             last_live: BTreeSet::new(),
             first_tick: None,
             last_tick: None,
-            ranked: RankedKeepers::default(),
-            told_members: BTreeMap::new(),
+            coordinator_cache: CoordinatorCache::default(),
+            reported_members: BTreeMap::new(),
         }
     }
 
-    /// Gives who this node is.
+    /// Returns the identity of this node.
     pub fn identity(&self) -> &NodeIdentity {
         &self.identity
     }
 
-    /// Gives the configuration in force here.
+    /// Returns the configuration in force.
     pub fn config(&self) -> Arc<ClusterConfig> {
-        Arc::clone(self.ledger.config())
+        Arc::clone(self.syncer.config())
     }
 
-    /// Gives the ledger of the configuration.
-    pub fn ledger(&self) -> &ConfigLedger {
-        &self.ledger
+    /// Returns the configuration state.
+    pub fn syncer(&self) -> &ConfigSyncer {
+        &self.syncer
     }
 
-    /// Gives the members of the data centre.
+    /// Returns the members of the data centre.
     pub fn members(&self) -> &MemberTable {
         &self.members
     }
 
-    /// Gives the slots held here.
-    pub fn holder(&self) -> &SlotHolder {
-        &self.holder
+    /// Returns the slot leases of this node.
+    pub fn leases(&self) -> &LeaseTable {
+        &self.leases
     }
 
-    /// Gives the pools kept here.
-    pub fn keeper(&self) -> &PoolKeeper {
-        &self.keeper
+    /// Returns the coordinator of the pools that this node coordinates.
+    pub fn coordinator(&self) -> &PoolCoordinator {
+        &self.coordinator
     }
 
-    /// Gives the other data centres.
+    /// Returns the other data centres.
     pub fn remotes(&self) -> &RemoteTable {
         &self.remotes
     }
 
-    /// Gives the other data centres, for notes from the directory.
+    /// Returns the other data centres, to store addresses from the directory.
     pub fn remotes_mut(&mut self) -> &mut RemoteTable {
         &mut self.remotes
     }
 
-    /// Gives the backend servers, for marks from polls and calls.
+    /// Returns the backend servers, to apply statuses from polls and requests.
     pub fn backends_mut(&mut self) -> &mut BackendTable {
         &mut self.backends
     }
 
-    /// Gives the beliefs about caches, for what answers report.
-    pub fn belief_mut(&mut self) -> &mut CacheBelief {
-        &mut self.belief
+    /// Returns the prefix cache records, to record what responses report.
+    pub fn prefix_caches_mut(&mut self) -> &mut PrefixCacheTable {
+        &mut self.prefix_caches
     }
 
-    /// Gives the states of this data centre's pools as last told.
+    /// Returns the last known statuses of this data centre's pools.
     pub fn pools(&self) -> &BTreeMap<ServiceId, PoolStatus> {
         &self.pools
     }
 
-    /// Says whether this node is leaving.
+    /// Returns whether this node is leaving.
     pub fn is_leaving(&self) -> bool {
         self.leaving
     }
 
-    /// Says whether this node serves.
+    /// Returns whether this node serves requests.
     pub fn is_ready(&self) -> bool {
         self.ready
     }
 
-    /// Gives how often a lease lapsed here.
-    pub fn lapses(&self) -> u64 {
-        self.lapses
+    /// Returns how many leases of this node have expired.
+    pub fn expired_leases(&self) -> u64 {
+        self.expired_leases
     }
 
-    /// Says whether this node is one of those that do a duty for the data centre.
-    pub fn has_duty(&self, now: Instant, duty: &str, count: usize) -> bool {
-        let mut owners = self.members.owners(now, self.leaving || !self.ready);
-        owners.sort_by_key(|name| std::cmp::Reverse(rendezvous_rank(duty, name)));
-        owners
+    /// Returns whether this node is one of the `count` nodes that hold a role in the data centre.
+    pub fn holds_role(&self, now: Instant, role: &str, count: usize) -> bool {
+        let mut eligible_members = self
+            .members
+            .eligible_members(now, self.leaving || !self.ready);
+        eligible_members.sort_by_key(|name| std::cmp::Reverse(rendezvous_rank(role, name)));
+        eligible_members
             .iter()
             .take(count)
             .any(|name| *name == self.identity.node)
     }
 
-    /// Says whether this node watches the store's head.
+    /// Returns whether this node watches the configuration head in the store.
     pub fn is_watcher(&self, now: Instant) -> bool {
-        self.has_duty(now, "watch", WATCHERS)
+        self.holds_role(now, "watch", STORE_WATCHERS)
     }
 
-    /// Says whether this node keeps a service's pool.
-    pub fn keeps(&self, now: Instant, service: &str) -> bool {
-        let owners = self.members.owners(now, self.leaving || !self.ready);
-        owner_of(service, &owners).is_some_and(|name| *name == self.identity.node)
+    /// Returns whether this node coordinates a service's pool.
+    pub fn coordinates(&self, now: Instant, service: &str) -> bool {
+        let eligible_members = self
+            .members
+            .eligible_members(now, self.leaving || !self.ready);
+        rendezvous_owner(service, &eligible_members).is_some_and(|name| *name == self.identity.node)
     }
 
-    /// Gives the node that does a duty for the data centre.
-    pub fn duty_owner(&self, now: Instant, duty: &str) -> Option<NodeId> {
-        let owners = self.members.owners(now, self.leaving || !self.ready);
-        owner_of(duty, &owners).cloned()
+    /// Returns the node that holds a role in the data centre.
+    pub fn role_holder(&self, now: Instant, role: &str) -> Option<NodeId> {
+        let eligible_members = self
+            .members
+            .eligible_members(now, self.leaving || !self.ready);
+        rendezvous_owner(role, &eligible_members).cloned()
     }
 
-    /// Gives the node that does a duty about a member, which is never that member itself.
-    pub fn duty_owner_about(&self, now: Instant, duty: &str, member: &str) -> Option<NodeId> {
-        let mut owners = self.members.owners(now, self.leaving || !self.ready);
-        owners.retain(|name| &**name != member);
-        owner_of(duty, &owners).cloned()
+    /// Returns the node that holds a role concerning a member, which is never that member itself.
+    pub fn role_holder_except(&self, now: Instant, role: &str, member: &str) -> Option<NodeId> {
+        let mut eligible_members = self
+            .members
+            .eligible_members(now, self.leaving || !self.ready);
+        eligible_members.retain(|name| &**name != member);
+        rendezvous_owner(role, &eligible_members).cloned()
     }
 
-    /// Queues a message for a member, or hands it over directly where it is this node.
+    /// Queues a message for a member, or processes it directly if the member is this node.
     pub fn send_to(&mut self, now: Instant, node: &NodeId, message: NodeMessage) {
         self.deliver(now, node, message);
     }
 
-    /// Gives the entry VMs of this data centre that take requests, this one included.
+    /// Returns the entry VMs of this data centre that accept requests, including this one.
     pub fn entries(&self, now: Instant) -> Vec<EntryAddress> {
         let mut entries = Vec::new();
         if !self.leaving {
@@ -309,36 +317,36 @@
         entries
     }
 
-    /// Gives the newest revision that any peer has shown.
+    /// Returns the newest configuration revision seen here or on nodes of other data centres.
     pub fn newest_seen(&self) -> Revision {
-        let foreign = self.foreign.values().copied().max().unwrap_or(0);
-        foreign.max(self.ledger.revision())
+        let remote_revisions = self.remote_revisions.values().copied().max().unwrap_or(0);
+        remote_revisions.max(self.syncer.revision())
     }
 
-    /// Says whether the seeds of this data centre had time to answer.
-    pub fn contacts_done(&self, now: Instant) -> bool {
-        // Counted from the first tick: a process paused at its start has contacted nobody.
+    /// Returns whether all contacts have replied or had time to do so.
+    pub fn discovery_done(&self, now: Instant) -> bool {
+        // Counts from the first tick: a process paused during its start has contacted no node yet.
         let waited = self
             .first_tick
-            .is_some_and(|at| now.duration_since(at) > CONTACT_WINDOW);
+            .is_some_and(|at| now.duration_since(at) > DISCOVERY_TIME);
         self.contacts.is_empty() || waited
     }
 
-    /// Takes requests from now on.
+    /// Marks this node as ready to serve requests.
     pub fn set_ready(&mut self) {
         self.ready = true;
     }
 
-    /// Announces that this node leaves, in the very next tick.
+    /// Marks this node as leaving and announces it in the next tick.
     pub fn set_leaving(&mut self, now: Instant) {
         self.leaving = true;
-        self.next_beat = now;
+        self.next_heartbeat_at = now;
     }
 
-    /// Notes that this node took over another's keys.
-    pub fn add_heir(&mut self, now: Instant, node: NodeId, incarnation: Incarnation) {
-        self.heir_of.push((node, incarnation));
-        self.next_beat = now;
+    /// Records that this node took over the idempotency keys of another, and announces it.
+    pub fn add_succession(&mut self, now: Instant, node: NodeId, incarnation: Incarnation) {
+        self.successor_of.push((node, incarnation));
+        self.next_heartbeat_at = now;
     }
 
     /// Adds the address of a node to contact.
@@ -354,54 +362,54 @@
         }
     }
 
-    /// Takes a head and parts from the store.
-    pub fn take_store(&mut self, head: ConfigHead, texts: Vec<Box<str>>) -> Vec<PartHash> {
-        let step = self.ledger.take_head(head);
-        self.note_step(&step);
-        let step = self.ledger.take_parts(texts);
-        self.note_step(&step);
-        self.ledger.missing()
+    /// Applies a head and parts from the store and returns the digests of missing parts.
+    pub fn apply_stored_config(&mut self, head: ConfigHead, texts: Vec<Box<str>>) -> Vec<PartHash> {
+        let step = self.syncer.apply_head(head);
+        self.log_step(&step);
+        let step = self.syncer.apply_parts(texts);
+        self.log_step(&step);
+        self.syncer.missing()
     }
 
-    /// Queues a message for the node at an address; it goes out with the next tick.
+    /// Queues a message for the node at an address; the next tick sends it.
     pub fn send(&mut self, to: &str, message: NodeMessage) {
         self.outbox.entry(to.into()).or_default().push(message);
     }
 
-    /// Runs the systems over the tables.
+    /// Advances the state and returns the frames to send.
     pub fn tick(&mut self, now: Instant) -> TickOutput {
-        self.note_pause(now);
+        self.detect_pause(now);
         let redials = self.members.sweep(now);
         self.output.redials.extend(redials);
-        self.note_live(now);
-        let lapsed = {
-            let lease = |keeper: &str| self.lease_until(now, keeper);
-            let leases: BTreeMap<NodeId, Option<Instant>> = self
-                .holder
-                .keepers()
-                .map(|keeper| (keeper.clone(), lease(keeper)))
+        self.track_liveness(now);
+        let expired = {
+            let lease = |coordinator: &str| self.lease_expiry(now, coordinator);
+            let expiries: BTreeMap<NodeId, Option<Instant>> = self
+                .leases
+                .coordinators()
+                .map(|coordinator| (coordinator.clone(), lease(coordinator)))
                 .collect();
-            self.holder
-                .renew(now, |keeper| leases.get(keeper).copied().flatten())
+            self.leases
+                .renew(now, |node| expiries.get(node).copied().flatten())
         };
-        self.lapses += u64::from(lapsed);
-        let keepers = self.keepers(now);
-        if self.contacts_done(now) {
-            for service in self.holder.follow(now, &keepers) {
-                self.backends.forget_told(&service);
+        self.expired_leases += u64::from(expired);
+        let coordinators = self.coordinators(now);
+        if self.discovery_done(now) {
+            for service in self.leases.update_coordinators(now, &coordinators) {
+                self.backends.clear_reported_unusable(&service);
             }
         }
-        // Before the reports: a slot that is used again at once is not reported as free.
-        self.run_waiting(now);
-        self.run_pools(now, &keepers);
-        self.run_waiting(now);
-        self.tell(now);
-        self.pack()
+        // Runs before the reports, so that a slot that is reused at once is not reported as free.
+        self.process_queues(now);
+        self.run_pools(now, &coordinators);
+        self.process_queues(now);
+        self.send_updates(now);
+        self.build_output()
     }
 
-    /// Gives what was decided about waiting requests since the last call.
-    pub fn take_decisions(&mut self) -> Vec<(u64, Placement)> {
-        std::mem::take(&mut self.decisions)
+    /// Returns the placements of queued requests since the last call.
+    pub fn take_placements(&mut self) -> Vec<(u64, Placement)> {
+        std::mem::take(&mut self.placements)
     }
 
     fn own_address(&self) -> EntryAddress {
@@ -412,33 +420,35 @@
         }
     }
 
-    fn note_live(&mut self, now: Instant) {
-        let live: BTreeSet<NodeId> = self
+    fn track_liveness(&mut self, now: Instant) {
+        let alive: BTreeSet<NodeId> = self
             .members
             .entries()
             .keys()
             .filter(|name| self.members.is_live(now, name))
             .cloned()
             .collect();
-        for name in live.difference(&self.last_live) {
-            self.output.changes.push(format!("member {name} lives"));
+        for name in alive.difference(&self.last_live) {
+            self.output.changes.push(format!("member {name} is alive"));
             if let Some(entry) = self.members.entries().get(name) {
-                self.output.returns.push((name.clone(), entry.incarnation));
+                self.output
+                    .recovered
+                    .push((name.clone(), entry.incarnation));
             }
         }
-        for name in self.last_live.difference(&live) {
+        for name in self.last_live.difference(&alive) {
             self.output
                 .changes
-                .push(format!("member {name} is judged failed"));
+                .push(format!("member {name} has failed"));
             if let Some(entry) = self
                 .members
                 .entries()
                 .get(name)
                 .filter(|entry| !entry.leaving)
             {
-                self.output.deaths.push((name.clone(), entry.incarnation));
+                self.output.failed.push((name.clone(), entry.incarnation));
             }
         }
-        self.last_live = live;
+        self.last_live = alive;
     }
 }
--- a/crates/zinniahatch_control/src/node/receiving.rs
+++ b/crates/zinniahatch_control/src/node/receiving.rs
@@ -1,22 +1,22 @@
-//! What came in from other nodes.
+//! Processing of frames from other nodes.
 
 use super::ControlNode;
 use super::NodeFrame;
 use super::NodeMessage;
-use crate::BackendMark;
-use crate::LedgerStep;
-use crate::limits::KEEPER_MARGIN;
-use crate::limits::LEASE_TIME;
+use crate::BackendStatus;
+use crate::SyncStep;
+use crate::limits::LEASE_MARGIN;
+use crate::limits::LEASE_TTL;
 use zinniahatch_base::prelude::*;
 use zinniahatch_config::ConfigHead;
-use zinniahatch_protocol::CentreSummary;
+use zinniahatch_protocol::DataCentreSummary;
 use zinniahatch_protocol::EntryAddress;
-use zinniahatch_protocol::HeartbeatNote;
+use zinniahatch_protocol::Heartbeat;
 
 impl ControlNode {
-    /// Takes a frame that came in; gives whether a tick is wanted at once.
+    /// Processes a received frame and returns whether a tick should run at once.
     ///
-    /// Heartbeats and summaries wait for the next tick: at design size thirty come in a second.
+    /// Heartbeats and summaries wait for the next tick: at design size thirty arrive per second.
     pub fn receive(&mut self, now: Instant, frame: NodeFrame) -> bool {
         if frame.sender == self.identity.node {
             return false;
@@ -28,12 +28,12 @@
             )
         });
         self.contacts.remove(&frame.peer);
-        let home = frame.data_centre == self.identity.data_centre;
-        if !home {
-            self.foreign
+        let local = frame.data_centre == self.identity.data_centre;
+        if !local {
+            self.remote_revisions
                 .insert(frame.data_centre.clone(), frame.revision);
         }
-        if self.ledger.wants_pull(now, &frame.sender, frame.revision) {
+        if self.syncer.should_pull(now, &frame.sender, frame.revision) {
             self.send(&frame.peer, NodeMessage::HeadPull);
         }
         let NodeFrame {
@@ -44,7 +44,7 @@
             revision,
             messages,
         } = frame;
-        let about = NodeFrame {
+        let header = NodeFrame {
             sender,
             incarnation,
             data_centre,
@@ -53,60 +53,61 @@
             messages: Vec::new(),
         };
         for message in messages {
-            self.take_message(now, &about, home, message);
+            self.on_message(now, &header, local, message);
         }
-        urgent || self.ledger.is_behind() || self.next_beat <= now
+        urgent || self.syncer.is_behind() || self.next_heartbeat_at <= now
     }
 
-    pub(super) fn take_message(
+    pub(super) fn on_message(
         &mut self,
         now: Instant,
-        about: &NodeFrame,
-        home: bool,
+        header: &NodeFrame,
+        local: bool,
         message: NodeMessage,
     ) {
         match message {
-            NodeMessage::Heartbeat(note) => self.take_heartbeat(now, about, home, &note),
+            NodeMessage::Heartbeat(heartbeat) => self.on_heartbeat(now, header, local, &heartbeat),
             NodeMessage::HeadPull => {
-                if let Some(offer) = self.ledger.offer_head(encode_head) {
-                    self.send(&about.peer, offer);
+                if let Some(offer) = self.syncer.offer_head(encode_head) {
+                    self.send(&header.peer, offer);
                 }
             }
             NodeMessage::HeadOffer(text) => {
                 let Ok(head) = serde_json::from_str::<ConfigHead>(&text) else {
                     return;
                 };
-                let step = self.ledger.take_head(head);
-                self.take_step(&about.peer, step);
+                let step = self.syncer.apply_head(head);
+                self.handle_step(&header.peer, step);
             }
             NodeMessage::PartPull(hashes) => {
-                let offer = self.ledger.offer_parts(&hashes);
-                self.send(&about.peer, offer);
+                let offer = self.syncer.offer_parts(&hashes);
+                self.send(&header.peer, offer);
             }
             NodeMessage::PartOffer(texts) => {
                 if texts.is_empty() {
                     return;
                 }
-                let step = self.ledger.take_parts(texts);
-                self.take_step(&about.peer, step);
+                let step = self.syncer.apply_parts(texts);
+                self.handle_step(&header.peer, step);
             }
             NodeMessage::Report(report) => {
                 for replica in &report.refused {
-                    self.backends.mark(now, *replica, BackendMark::Unreached);
+                    self.backends
+                        .set_status(now, *replica, BackendStatus::Unreached);
                 }
-                self.keeper
-                    .take_report(now, &about.sender, about.incarnation, report);
+                self.coordinator
+                    .apply_report(now, &header.sender, header.incarnation, report);
             }
             NodeMessage::Grant(grant) => {
-                let until = self.lease_until(now, &about.sender);
-                self.holder.take_grant(&about.sender, &grant, until);
+                let until = self.lease_expiry(now, &header.sender);
+                self.leases.apply_grant(&header.sender, &grant, until);
             }
-            NodeMessage::Summary(summary) => self.take_summary(now, &summary, !home),
-            NodeMessage::Members(list) => self.take_members(now, &list),
-            NodeMessage::Counts(note) => {
+            NodeMessage::Summary(summary) => self.on_summary(now, &summary, !local),
+            NodeMessage::Members(list) => self.on_member_list(now, &list),
+            NodeMessage::Counts(counts) => {
                 self.output
                     .counts
-                    .push((about.sender.clone(), about.incarnation, note));
+                    .push((header.sender.clone(), header.incarnation, counts));
             }
             NodeMessage::CountsMerged(shard, incarnation, numbers) => {
                 self.output.merged.push((shard, incarnation, numbers));
@@ -114,59 +115,62 @@
         }
     }
 
-    pub(super) fn take_heartbeat(
+    pub(super) fn on_heartbeat(
         &mut self,
         now: Instant,
-        about: &NodeFrame,
-        home: bool,
-        note: &HeartbeatNote,
+        header: &NodeFrame,
+        local: bool,
+        heartbeat: &Heartbeat,
     ) {
-        if !home {
-            // A seed of another data centre: its address is kept until a summary comes.
+        if !local {
+            // A seed of another data centre: its address is used until a summary arrives.
             let entry = EntryAddress {
-                node: about.sender.clone(),
-                http: note.http.clone(),
-                peer: about.peer.clone(),
+                node: header.sender.clone(),
+                http: heartbeat.http.clone(),
+                peer: header.peer.clone(),
             };
             self.remotes
-                .take_directory(now, &about.data_centre, vec![entry]);
+                .set_directory_entries(now, &header.data_centre, vec![entry]);
             return;
         }
-        // A process that was replaced before its silence was judged died all the same.
+        // A process that was replaced before its silence was detected has failed as well.
         let before = self
             .members
             .entries()
-            .get(&about.sender)
+            .get(&header.sender)
             .map(|entry| (entry.incarnation, entry.leaving));
         if let Some((incarnation, false)) = before
-            && incarnation != about.incarnation
-            && self.last_live.contains(&about.sender)
+            && incarnation != header.incarnation
+            && self.last_live.contains(&header.sender)
         {
-            self.output.deaths.push((about.sender.clone(), incarnation));
+            self.output
+                .failed
+                .push((header.sender.clone(), incarnation));
         }
         let fresh = self
             .members
-            .hear(now, about, note, self.identity.incarnation);
+            .apply_heartbeat(now, header, heartbeat, self.identity.incarnation);
         self.backends
-            .take_leaving(now, &about.sender, &note.leaving_backends);
-        for status in &note.pools {
-            if self.holder.keeper(&status.service) != Some(&about.sender) {
+            .set_peer_leaving(now, &header.sender, &heartbeat.leaving_backends);
+        for status in &heartbeat.pools {
+            if self.leases.coordinator(&status.service) != Some(&header.sender) {
                 continue;
             }
-            self.backends.take_told(&status.service, &status.unusable);
+            self.backends
+                .set_reported_unusable(&status.service, &status.unusable);
             self.pools.insert(status.service.clone(), status.clone());
         }
         if !fresh {
             return;
         }
-        // Answer a new member at once, and tell it whom it may not know.
-        self.next_beat = now;
-        self.told.clear();
+        // Reply to a new member at once, and send it the members that it may not know.
+        self.next_heartbeat_at = now;
+        self.announced_pools.clear();
         let list = self
             .members
             .entries()
             .iter()
-            .filter(|(_, entry)| now.duration_since(entry.last_heard) <= LEASE_TIME + KEEPER_MARGIN)
+            .filter(|(_, entry)| now.duration_since(entry.last_heard) <= LEASE_TTL + LEASE_MARGIN)
             .map(|(name, entry)| {
                 (
                     name.clone(),
@@ -175,44 +179,48 @@
                 )
             })
             .collect();
-        self.send(&about.peer, NodeMessage::Members(list));
+        self.send(&header.peer, NodeMessage::Members(list));
     }
 
-    pub(super) fn take_summary(&mut self, now: Instant, summary: &CentreSummary, direct: bool) {
+    pub(super) fn on_summary(&mut self, now: Instant, summary: &DataCentreSummary, direct: bool) {
         if summary.data_centre != self.identity.data_centre {
-            self.remotes.take(now, summary, direct);
+            self.remotes.apply_summary(now, summary, direct);
         }
     }
 
-    /// Takes the names of members; one that this node has not heard may still hold slots.
-    pub(super) fn take_members(&mut self, now: Instant, list: &[(NodeId, DataCentreId, Box<str>)]) {
+    /// Applies a list of members; one that this node has not heard from may still hold slots.
+    pub(super) fn on_member_list(
+        &mut self,
+        now: Instant,
+        list: &[(NodeId, DataCentreId, Box<str>)],
+    ) {
         for (name, data_centre, peer) in list {
             if *data_centre != self.identity.data_centre || *name == self.identity.node {
                 continue;
             }
             self.add_contact(peer);
-            self.told_members.insert(name.clone(), now);
+            self.reported_members.insert(name.clone(), now);
         }
     }
 
-    pub(super) fn take_step(&mut self, peer: &str, step: LedgerStep) {
-        self.note_step(&step);
-        if let LedgerStep::Reply(message) = step {
+    pub(super) fn handle_step(&mut self, peer: &str, step: SyncStep) {
+        self.log_step(&step);
+        if let SyncStep::Reply(message) = step {
             self.send(peer, message);
         }
     }
 
-    pub(super) fn note_step(&mut self, step: &LedgerStep) {
+    pub(super) fn log_step(&mut self, step: &SyncStep) {
         match step {
-            LedgerStep::Adopted(revision) => self
+            SyncStep::Adopted(revision) => self
                 .output
                 .changes
-                .push(format!("revision {revision} is in force here")),
-            LedgerStep::Refused(error) => self
+                .push(format!("configuration revision {revision} is in force")),
+            SyncStep::Refused(error) => self
                 .output
                 .changes
-                .push(format!("a newer revision was refused: {error}")),
-            LedgerStep::Nothing | LedgerStep::Reply(_) => {}
+                .push(format!("rejected a newer configuration revision: {error}")),
+            SyncStep::Nothing | SyncStep::Reply(_) => {}
         }
     }
 }
--- a/crates/zinniahatch_control/src/node/routing.rs
+++ b/crates/zinniahatch_control/src/node/routing.rs
@@ -1,71 +1,71 @@
-//! Choosing where a request runs.
+//! Placement of requests: local slot, other data centre, queue or refusal.
 
 use super::ControlNode;
-use crate::AskScope;
-use crate::PlaceAsk;
-use crate::PlaceTicket;
 use crate::Placement;
+use crate::PlacementQuery;
+use crate::PlacementScope;
 use crate::RoutePolicy;
-use crate::holder::HolderView;
-use crate::holder::SlotChoice;
-use crate::holder::place_score;
+use crate::SlotPermit;
+use crate::lease_table::LeaseView;
+use crate::lease_table::SlotChoice;
+use crate::lease_table::placement_score;
 use zinniahatch_base::prelude::*;
 use zinniahatch_base::rendezvous_rank;
 
-/// Least time after which a refused caller is told to come back.
-const LEAST_RETRY: Duration = Duration::from_millis(500);
-/// Longest such time.
-const MOST_RETRY: Duration = Duration::from_secs(30);
-/// Entry VMs of a data centre that are named for one forward.
-const NAMED_ENTRIES: usize = 3;
+/// Minimum retry time sent to refused callers.
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(500);
+/// Maximum retry time sent to refused callers.
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(30);
+/// Maximum number of candidate entry VMs for forwarding a request.
+const MAX_FORWARD_ENTRIES: usize = 3;
 
-/// A data centre that could take a request, and what that would cost.
-struct AwayChoice {
+/// A candidate data centre for a request, with its score and load.
+struct RemoteChoice {
     data_centre: DataCentreId,
     score: f64,
     load: f64,
 }
 
 impl ControlNode {
-    /// Chooses a place for a request that just came.
-    pub fn place(&mut self, now: Instant, ask: &PlaceAsk) -> Placement {
-        if ask.guest && !self.guest_room(ask) {
-            return Placement::Refuse(ResultCode::QueueFull, LEAST_RETRY);
+    /// Decides the placement of a new request.
+    pub fn place(&mut self, now: Instant, query: &PlacementQuery) -> Placement {
+        if query.guest && !self.has_guest_capacity(query) {
+            return Placement::Refuse(ResultCode::QueueFull, MIN_RETRY_AFTER);
         }
-        let may_start = self.holder.may_start(ask);
+        let may_start = self.leases.may_start(query);
         let local = if may_start {
-            self.choose_local(now, ask)
+            self.choose_local(now, query)
         } else {
             None
         };
-        let away = self.choose_away(now, ask);
-        let wait = self.expected_wait(&ask.service);
-        match self.pick(now, ask, local, away, wait) {
+        let remote = self.choose_remote(now, query);
+        let wait = self.expected_wait(&query.service);
+        match self.choose_placement(now, query, local, remote, wait) {
             Some(placement) => placement,
-            None => self.wait_or_refuse(now, ask, wait),
+            None => self.wait_or_refuse(now, query, wait),
         }
     }
 
-    /// Gives a slot back; `refused` says that the backend server took no work.
+    /// Releases a slot; `refused` tells that the backend server did not accept the request.
     ///
-    /// Gives whether a tick is wanted at once, because someone waits for the slot.
-    pub fn finish(&mut self, now: Instant, ticket: &PlaceTicket, refused: bool) -> bool {
-        self.holder.finish(now, ticket, refused)
+    /// Returns whether a tick should run at once, for example because requests are queued.
+    pub fn finish(&mut self, now: Instant, permit: &SlotPermit, refused: bool) -> bool {
+        self.leases.finish(now, permit, refused)
     }
 
-    /// Takes a waiting request back, for a caller that went away.
+    /// Removes a queued request whose caller has disconnected.
     pub fn withdraw(&mut self, service: &str, number: u64) -> bool {
-        self.holder.withdraw(service, number).is_some()
+        self.leases.withdraw(service, number).is_some()
     }
 
-    /// Notes that a forwarded request was refused there.
-    pub fn note_away_refused(&mut self, now: Instant, data_centre: &str, service: &ServiceId) {
-        self.remotes.note_refused(now, data_centre, service);
+    /// Records that another data centre refused a forwarded request.
+    pub fn record_remote_refusal(&mut self, now: Instant, data_centre: &str, service: &ServiceId) {
+        self.remotes.record_refusal(now, data_centre, service);
     }
 
-    /// Gives the wait that a new request of a service must expect.
+    /// Returns the expected queueing time of a new request of a service.
     pub fn expected_wait(&self, service: &str) -> Duration {
-        let config = self.ledger.config();
+        let config = self.syncer.config();
         let typical = config
             .services
             .get(service)
@@ -73,106 +73,115 @@
         let Some(pool) = self.pools.get(service) else {
             return Duration::ZERO;
         };
-        let hold = match (pool.hold_ms, self.holder.hold_seconds(service)) {
-            (0, own) => own.unwrap_or(typical),
-            (told, _) => f64::from(told) / 1_000.0,
+        let hold = match (pool.hold_ms, self.leases.hold_seconds(service)) {
+            (0, measured) => measured.unwrap_or(typical),
+            (published, _) => f64::from(published) / 1_000.0,
         };
-        // The told count includes this node's own queue as of the last report.
-        let ahead = pool.waiting.max(self.holder.ahead(service));
-        if pool.free > ahead {
+        // The published count includes this node's own queue as of its last report.
+        let queued_ahead = pool.waiting.max(self.leases.queued_ahead(service));
+        if pool.free > queued_ahead {
             return Duration::ZERO;
         }
         let rate = f64::from(pool.capacity.max(1)) / hold.max(1e-3);
-        Duration::from_secs_f64((f64::from(ahead + 1 - pool.free.min(ahead)) / rate).min(3_600.0))
+        Duration::from_secs_f64(
+            (f64::from(queued_ahead + 1 - pool.free.min(queued_ahead)) / rate).min(3_600.0),
+        )
     }
 
-    /// Runs over the queues: starts, sends away, refuses.
-    pub(super) fn run_waiting(&mut self, now: Instant) {
-        for service in self.holder.waiting_services() {
-            self.start_waiting(now, &service);
-            self.review_waiting(now, &service);
-            self.holder.note_idle(&service);
+    /// Processes the queues: starts, forwards or refuses queued requests.
+    pub(super) fn process_queues(&mut self, now: Instant) {
+        for service in self.leases.waiting_services() {
+            self.start_queued(now, &service);
+            self.review_queued(now, &service);
+            self.leases.report_if_idle(&service);
         }
     }
 
-    fn start_waiting(&mut self, now: Instant, service: &str) {
-        for ask in self.holder.waiting_order(service) {
-            if now >= ask.deadline {
+    fn start_queued(&mut self, now: Instant, service: &str) {
+        for query in self.leases.scheduling_order(service) {
+            if now >= query.deadline {
                 continue;
             }
-            let Some(choice) = self.choose_local(now, &ask) else {
+            let Some(choice) = self.choose_local(now, &query) else {
                 continue;
             };
-            self.holder.withdraw(service, ask.number);
-            let ticket = self.holder.start(now, &ask, choice.replica);
-            self.decisions.push((ask.number, Placement::Run(ticket)));
+            self.leases.withdraw(service, query.number);
+            let permit = self.leases.start(now, &query, choice.replica);
+            self.placements.push((query.number, Placement::Run(permit)));
         }
     }
 
-    /// Refuses at once what cannot be served in time, and sends away what is better served there.
-    fn review_waiting(&mut self, now: Instant, service: &str) {
-        let asks: Vec<PlaceAsk> = self.holder.waiters(service).to_vec();
-        let leftover = asks.len();
+    /// Refuses queued requests that cannot be served in time and forwards those that are better
+    /// served in another data centre.
+    fn review_queued(&mut self, now: Instant, service: &str) {
+        let queries: Vec<PlacementQuery> = self.leases.queue(service).to_vec();
+        let leftover = queries.len();
         let wait = self.expected_wait(service);
-        for (index, ask) in asks.into_iter().enumerate() {
+        for (index, query) in queries.into_iter().enumerate() {
             let share = wait.mul_f64((index + 1) as f64 / leftover as f64);
-            let placement = if now >= ask.deadline {
+            let placement = if now >= query.deadline {
                 Placement::Refuse(ResultCode::DeadlinePassed, retry_after(wait))
-            } else if now + share > ask.deadline {
+            } else if now + share > query.deadline {
                 Placement::Refuse(ResultCode::WaitTooLong, retry_after(wait))
             } else {
-                let away = self.choose_away(now, &ask);
-                let Some(Placement::Away(centre, entries)) =
-                    self.pick(now, &ask, None, away, share)
+                let remote = self.choose_remote(now, &query);
+                let Some(Placement::Remote(data_centre, entries)) =
+                    self.choose_placement(now, &query, None, remote, share)
                 else {
                     continue;
                 };
-                Placement::Away(centre, entries)
+                Placement::Remote(data_centre, entries)
             };
-            self.holder.withdraw(service, ask.number);
-            self.decisions.push((ask.number, placement));
+            self.leases.withdraw(service, query.number);
+            self.placements.push((query.number, placement));
         }
     }
 
-    fn pick(
+    fn choose_placement(
         &mut self,
         now: Instant,
-        ask: &PlaceAsk,
+        query: &PlacementQuery,
         local: Option<SlotChoice>,
-        away: Option<AwayChoice>,
+        remote: Option<RemoteChoice>,
         wait: Duration,
     ) -> Option<Placement> {
-        let away_wins = match (&local, &away) {
+        let remote_wins = match (&local, &remote) {
             (_, None) => false,
-            (Some(here), Some(there)) => self.prefers_away(ask, here.score, there),
-            (None, Some(there)) => self.prefers_away_to_wait(ask, wait, there),
+            (Some(here), Some(there)) => self.prefers_remote(query, here.score, there),
+            (None, Some(there)) => self.prefers_remote_to_wait(query, wait, there),
         };
-        if away_wins {
-            let there = away?;
-            self.remotes.note_sent(&there.data_centre, &ask.service);
-            let entries = self.named_entries(&there.data_centre, ask);
-            return Some(Placement::Away(there.data_centre, entries));
+        if remote_wins {
+            let there = remote?;
+            self.remotes.record_sent(&there.data_centre, &query.service);
+            let entries = self.forward_entries(&there.data_centre, query);
+            return Some(Placement::Remote(there.data_centre, entries));
         }
         let here = local?;
-        let ticket = self.holder.start(now, ask, here.replica);
-        Some(Placement::Run(ticket))
+        let permit = self.leases.start(now, query, here.replica);
+        Some(Placement::Run(permit))
     }
 
-    fn prefers_away(&mut self, ask: &PlaceAsk, here: f64, there: &AwayChoice) -> bool {
+    fn prefers_remote(&mut self, query: &PlacementQuery, here: f64, there: &RemoteChoice) -> bool {
         match self.policy {
             RoutePolicy::Score => there.score < here,
             RoutePolicy::AlwaysHome => false,
-            RoutePolicy::LeastLoaded => there.load < self.home_load(&ask.service),
+            RoutePolicy::LeastLoaded => there.load < self.local_load(&query.service),
             RoutePolicy::RandomTwo => {
-                self.draw(2) == 1 && there.load < self.home_load(&ask.service)
+                self.draw(2) == 1 && there.load < self.local_load(&query.service)
             }
         }
     }
 
-    fn prefers_away_to_wait(&mut self, ask: &PlaceAsk, wait: Duration, there: &AwayChoice) -> bool {
+    fn prefers_remote_to_wait(
+        &mut self,
+        query: &PlacementQuery,
+        wait: Duration,
+        there: &RemoteChoice,
+    ) -> bool {
         match self.policy {
             RoutePolicy::Score => {
-                let here = place_score(self.ledger.config(), ask, 0.0, wait.as_secs_f64(), false);
+                let here =
+                    placement_score(self.syncer.config(), query, 0.0, wait.as_secs_f64(), false);
                 there.score < here
             }
             RoutePolicy::AlwaysHome => false,
@@ -180,61 +189,66 @@
         }
     }
 
-    fn wait_or_refuse(&mut self, now: Instant, ask: &PlaceAsk, wait: Duration) -> Placement {
+    fn wait_or_refuse(
+        &mut self,
+        now: Instant,
+        query: &PlacementQuery,
+        wait: Duration,
+    ) -> Placement {
         let config = self.config();
         let preset = config.preset();
-        if ask.guest {
-            return Placement::Refuse(ResultCode::QueueFull, LEAST_RETRY);
+        if query.guest {
+            return Placement::Refuse(ResultCode::QueueFull, MIN_RETRY_AFTER);
         }
         if config
-            .backends_in(&ask.service, &self.identity.data_centre)
+            .backends_in(&query.service, &self.identity.data_centre)
             .next()
             .is_none()
         {
-            return Placement::Refuse(ResultCode::NoBackend, MOST_RETRY);
+            return Placement::Refuse(ResultCode::NoBackend, MAX_RETRY_AFTER);
         }
-        if self.holder.waiting(&ask.service) >= preset.queue_limit {
+        if self.leases.waiting(&query.service) >= preset.queue_limit {
             return Placement::Refuse(ResultCode::QueueFull, retry_after(wait));
         }
-        if now + wait > ask.deadline || wait > preset.wait_limit {
+        if now + wait > query.deadline || wait > preset.wait_limit {
             return Placement::Refuse(ResultCode::WaitTooLong, retry_after(wait));
         }
-        let weight = preset.weight(&ask.class, ask.work);
-        let mut queued = ask.clone();
+        let weight = preset.weight(&query.class, query.work);
+        let mut queued = query.clone();
         queued.deadline = queued.deadline.min(now + preset.wait_limit);
-        self.holder.enqueue(now, queued, weight);
+        self.leases.enqueue(now, queued, weight);
         Placement::Wait
     }
 
-    fn choose_local(&self, now: Instant, ask: &PlaceAsk) -> Option<SlotChoice> {
-        let view = HolderView {
+    fn choose_local(&self, now: Instant, query: &PlacementQuery) -> Option<SlotChoice> {
+        let view = LeaseView {
             now,
             data_centre: &self.identity.data_centre,
-            config: self.ledger.config(),
+            config: self.syncer.config(),
             backends: &self.backends,
-            belief: &self.belief,
+            prefix_caches: &self.prefix_caches,
         };
-        self.holder.choose(ask, &view)
+        self.leases.choose(query, &view)
     }
 
-    /// Gives the best other data centre with free slots that the request may go to.
-    fn choose_away(&mut self, now: Instant, ask: &PlaceAsk) -> Option<AwayChoice> {
+    /// Returns the best other data centre with free slots that the request may use.
+    fn choose_remote(&mut self, now: Instant, query: &PlacementQuery) -> Option<RemoteChoice> {
         let config = self.config();
         let mut choices = Vec::new();
-        for (name, centre) in self.remotes.centres() {
+        for (name, data_centre) in self.remotes.data_centres() {
             let Some(region) = config.topology.region_of(name) else {
                 continue;
             };
             let same = *region == self.identity.region;
-            let allowed = match ask.scope {
-                AskScope::Here => false,
-                AskScope::Region => same,
-                AskScope::Anywhere => same || config.preset().away,
+            let allowed = match query.scope {
+                PlacementScope::Local => false,
+                PlacementScope::Region => same,
+                PlacementScope::Anywhere => same || config.preset().away,
             };
-            let free = self.remotes.free(now, name, &ask.service);
+            let free = self.remotes.free(now, name, &query.service);
             if !allowed
-                || ask.avoid_centres.contains(name)
-                || centre.entries.is_empty()
+                || query.avoid_centres.contains(name)
+                || data_centre.entries.is_empty()
                 || free < 1.0
             {
                 continue;
@@ -243,13 +257,13 @@
                 .topology
                 .delay(&self.identity.region, region)
                 .as_secs_f64();
-            let score = place_score(&config, ask, 0.0, 2.0 * delay, !same);
-            let capacity = centre
+            let score = placement_score(&config, query, 0.0, 2.0 * delay, !same);
+            let capacity = data_centre
                 .pools
-                .get(&ask.service)
+                .get(&query.service)
                 .map_or(1, |pool| pool.capacity.max(1));
             let load = 1.0 - free / f64::from(capacity);
-            choices.push(AwayChoice {
+            choices.push(RemoteChoice {
                 data_centre: name.clone(),
                 score,
                 load,
@@ -273,37 +287,38 @@
         }
     }
 
-    fn home_load(&self, service: &str) -> f64 {
+    fn local_load(&self, service: &str) -> f64 {
         self.pools.get(service).map_or(1.0, |pool| {
             1.0 - f64::from(pool.free) / f64::from(pool.capacity.max(1))
         })
     }
 
-    fn guest_room(&self, ask: &PlaceAsk) -> bool {
-        let config = self.ledger.config();
+    fn has_guest_capacity(&self, query: &PlacementQuery) -> bool {
+        let config = self.syncer.config();
         let share = config
             .preset()
             .guest_shares
             .get(&self.identity.region)
             .copied()
             .unwrap_or(1.0);
-        self.holder.guest_room(&ask.service, share)
+        self.leases.has_guest_capacity(&query.service, share)
     }
 
-    /// Names entry VMs of a data centre, each request starting with another one.
-    fn named_entries(
+    /// Returns candidate entry VMs of a data centre in an order that differs between requests.
+    fn forward_entries(
         &self,
         data_centre: &str,
-        ask: &PlaceAsk,
+        query: &PlacementQuery,
     ) -> Vec<zinniahatch_protocol::EntryAddress> {
         let mut entries = self.remotes.entries(data_centre).to_vec();
-        let object = ask.number.to_string();
+        let object = query.number.to_string();
         entries.sort_by_key(|entry| rendezvous_rank(&object, &entry.node));
-        entries.truncate(NAMED_ENTRIES);
+        entries.truncate(MAX_FORWARD_ENTRIES);
         entries
     }
 
-    /// Draws below a bound from this node's own sequence, so that a replay draws the same.
+    /// Returns a pseudo-random number below a bound from this node's own xorshift sequence, so that a
+    /// replay yields the same numbers.
     fn draw(&mut self, bound: usize) -> usize {
         self.random ^= self.random << 13;
         self.random ^= self.random >> 7;
@@ -313,5 +328,5 @@
 }
 
 fn retry_after(wait: Duration) -> Duration {
-    wait.clamp(LEAST_RETRY, MOST_RETRY)
+    wait.clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER)
 }
--- a/crates/zinniahatch_control/src/orders.rs
+++ b/crates/zinniahatch_control/src/orders.rs
@@ -1,70 +1,70 @@
-//! When orders may be given to engines: one giver a data centre, under a store lease.
+//! Lease for engine orders: at most one node per data centre sends orders to engines.
 
 use zinniahatch_base::prelude::*;
 
-/// How long before the lease could have lapsed the giver stops.
-const STOP_EARLY: Duration = Duration::from_secs(2);
-/// How long a new giver waits before it orders an engine that ignores fencing numbers.
+/// Time before the earliest expiry of the lease at which the lease holder stops sending orders.
+const EXPIRY_MARGIN: Duration = Duration::from_secs(2);
+/// Delay before a new lease holder sends orders to an engine that ignores fencing tokens.
 ///
-/// The giver before it stopped [`STOP_EARLY`] before its lease lapsed, and an order that it had
-/// already sent arrives within an order's timeout, which is shorter than this.
-const TAKE_OVER_WAIT: Duration = Duration::from_secs(3);
+/// The previous holder stopped [`EXPIRY_MARGIN`] before its lease expired, and an order that it
+/// had already sent arrives within the order timeout, which is shorter than this delay.
+const TAKEOVER_DELAY: Duration = Duration::from_secs(3);
 
-/// The lease under which orders are given.
+/// The store lease that permits a node to send orders to engines.
 #[derive(Clone, Debug, Default)]
-pub struct OrderGate {
+pub struct OrderLease {
     held: Option<HeldLease>,
 }
 
 #[derive(Clone, Debug)]
 struct HeldLease {
-    fence: u64,
-    since: Instant,
+    fencing_token: u64,
+    acquired_at: Instant,
     renewed: Instant,
     ttl: Duration,
 }
 
-impl OrderGate {
-    /// Notes a lease; the times are those at which the request was sent, not answered.
-    pub fn acquired(&mut self, sent: Instant, fence: u64, ttl: Duration) {
+impl OrderLease {
+    /// Records an acquired lease; `sent` is when the request was sent, not when it was answered.
+    pub fn acquired(&mut self, sent: Instant, fencing_token: u64, ttl: Duration) {
         self.held = Some(HeldLease {
-            fence,
-            since: sent,
+            fencing_token,
+            acquired_at: sent,
             renewed: sent,
             ttl,
         });
     }
 
-    /// Notes a renewal that was sent at this time and confirmed.
+    /// Records a confirmed renewal by the time at which it was sent.
     pub fn renewed(&mut self, sent: Instant) {
         if let Some(lease) = &mut self.held {
             lease.renewed = lease.renewed.max(sent);
         }
     }
 
-    /// Notes that the lease is lost or given up.
+    /// Records that the lease was lost or released.
     pub fn lost(&mut self) {
         self.held = None;
     }
 
-    /// Says whether a lease is held, whatever its age.
+    /// Returns whether a lease is held, regardless of its age.
     pub fn is_held(&self) -> bool {
         self.held.is_some()
     }
 
-    /// Gives the fencing number if an order may be sent now.
+    /// Returns the fencing token if an order may be sent now.
     ///
-    /// A giver that was paused finds on waking that too much time has passed since its last
-    /// renewal and stops by itself. For engines that ignore fencing numbers the time is the only
-    /// guard, so a new giver also waits until the one before it has stopped.
+    /// A lease holder that was paused finds on resuming that too much time has passed since its
+    /// last renewal, and stops. For engines that ignore fencing tokens this is the only protection,
+    /// so a new holder also waits until the previous one has stopped.
     pub fn permit(&self, now: Instant, engine_checks: bool) -> Option<u64> {
         let lease = self.held.as_ref()?;
-        if now.duration_since(lease.renewed) + STOP_EARLY >= lease.ttl {
+        if now.duration_since(lease.renewed) + EXPIRY_MARGIN >= lease.ttl {
             return None;
         }
-        if !engine_checks && now.duration_since(lease.since) < TAKE_OVER_WAIT {
+        if !engine_checks && now.duration_since(lease.acquired_at) < TAKEOVER_DELAY {
             return None;
         }
-        Some(lease.fence)
+        Some(lease.fencing_token)
     }
 }
--- a/crates/zinniahatch_control/src/placement.rs
+++ b/crates/zinniahatch_control/src/placement.rs
@@ -1,4 +1,4 @@
-//! What is asked of the routing tables, and what they answer.
+//! Inputs and results of placement decisions.
 
 use zinniahatch_base::prelude::*;
 use zinniahatch_config::WorkKind;
@@ -6,81 +6,81 @@
 
 /// Where a request may run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum AskScope {
-    /// In this data centre alone; a forwarded request has this scope, so it cannot go on.
-    Here,
+pub enum PlacementScope {
+    /// Only in this data centre; forwarded requests have this scope, so they are not forwarded again.
+    Local,
     /// In any data centre of this region.
     Region,
-    /// Anywhere the preset allows.
+    /// In any data centre that the preset allows.
     Anywhere,
 }
 
-/// How a place is chosen; all but the first are baselines for experiments.
+/// Placement policy; all but the first are baselines for experiments.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RoutePolicy {
-    /// By the score.
+    /// The lowest score.
     Score,
-    /// At home, whatever the wait.
+    /// Always the local data centre, regardless of the wait.
     AlwaysHome,
-    /// Where the largest part of the capacity is free.
+    /// The data centre with the largest fraction of free capacity.
     LeastLoaded,
-    /// The better of two places drawn at random.
+    /// The less loaded of two randomly drawn data centres.
     RandomTwo,
 }
 
-/// One request that needs a slot.
+/// A request that needs a slot.
 #[derive(Clone, Debug)]
-pub struct PlaceAsk {
-    /// Names the request in this node.
+pub struct PlacementQuery {
+    /// Identifies the request on this node.
     pub number: u64,
     /// The service.
     pub service: ServiceId,
-    /// The account.
+    /// The client account.
     pub account: AccountId,
     /// The account's class.
     pub class: Box<str>,
-    /// How urgent it is.
+    /// The kind of work, which determines the priority.
     pub work: WorkKind,
-    /// When its answer must be complete.
+    /// When the response must be complete.
     pub deadline: Instant,
-    /// The prompt's prefix, for cache affinity.
+    /// Tag of the prompt's prefix, for cache affinity.
     pub prefix: Option<ShortTag>,
-    /// Estimated prompt tokens.
+    /// Estimated number of prompt tokens.
     pub prompt: u64,
-    /// Where it may run.
-    pub scope: AskScope,
-    /// Whether another region's node sent it.
+    /// Where the request may run.
+    pub scope: PlacementScope,
+    /// Whether the request was forwarded from another region.
     pub guest: bool,
-    /// Backend servers that already failed it.
+    /// Backend servers that already failed to serve it.
     pub avoid: BTreeSet<ShortTag>,
     /// Data centres that already refused it.
     pub avoid_centres: BTreeSet<DataCentreId>,
 }
 
-/// The right to run one request on one slot; must be given back exactly once.
+/// Permit to run one request on one slot; must be released exactly once.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct PlaceTicket {
+pub struct SlotPermit {
     /// The service.
     pub service: ServiceId,
     /// The backend server.
     pub replica: ReplicaId,
-    /// The tenant that runs on it.
+    /// The tenant of the request.
     pub tenant: ShortTag,
-    /// When it was given.
-    pub since: Instant,
-    /// Whether a guest runs on it.
+    /// When the permit was issued.
+    pub issued_at: Instant,
+    /// Whether the request was forwarded from another region.
     pub guest: bool,
 }
 
-/// Where a request goes.
+/// Result of a placement decision.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Placement {
-    /// It runs on this slot.
-    Run(PlaceTicket),
-    /// It goes to one of these nodes of another data centre.
-    Away(DataCentreId, Vec<EntryAddress>),
-    /// It waits; the answer comes from [`crate::ControlNode::take_decisions`].
+    /// Run it on this slot.
+    Run(SlotPermit),
+    /// Forward it to one of these nodes of another data centre.
+    Remote(DataCentreId, Vec<EntryAddress>),
+    /// It is queued; [`crate::ControlNode::take_placements`] returns its placement later.
     Wait,
-    /// It is refused; the caller may come back after this time.
+    /// Refuse it; the caller may retry after this time.
     Refuse(ResultCode, Duration),
 }
--- a/crates/zinniahatch_control/src/held_pool.rs
+++ b/crates/zinniahatch_control/src/pool_lease.rs
@@ -1,59 +1,59 @@
-//! What a node holds of one pool: its slots, its quotas, and the requests that wait.
+//! The leased slots, quotas and queued requests of one pool on this node.
 
-use crate::PlaceAsk;
+use crate::PlacementQuery;
 use zinniahatch_base::prelude::*;
-use zinniahatch_protocol::SlotLine;
+use zinniahatch_protocol::ReplicaSlots;
 use zinniahatch_protocol::SlotReport;
-use zinniahatch_protocol::TenantLine;
+use zinniahatch_protocol::TenantLoad;
 
-/// Weights travel in thousandths.
+/// Scale of weights in messages, which carry thousandths.
 const WEIGHT_SCALE: f64 = 1_000.0;
 
-/// One backend server's slots at this node.
+/// Slots of one backend server that are leased to this node.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct HeldSlot {
+pub struct LeasedSlots {
     /// Slots that this node may use.
     pub limit: u16,
-    /// Requests that it runs there.
+    /// Requests that this node runs there.
     pub running: u16,
 }
 
-/// What this node holds of one pool.
+/// This node's lease on the slots of one pool.
 #[derive(Debug)]
-pub(crate) struct HeldPool {
-    pub(crate) keeper: NodeId,
+pub(crate) struct PoolLease {
+    pub(crate) coordinator: NodeId,
     pub(crate) applied: u64,
-    pub(crate) slots: BTreeMap<ShortTag, HeldSlot>,
+    pub(crate) slots: BTreeMap<ShortTag, LeasedSlots>,
     pub(crate) contended: bool,
     pub(crate) quotas: BTreeMap<ShortTag, u16>,
     pub(crate) running: BTreeMap<ShortTag, u16>,
     pub(crate) weights: BTreeMap<ShortTag, f64>,
-    pub(crate) waiters: Vec<PlaceAsk>,
+    pub(crate) queue: Vec<PlacementQuery>,
     pub(crate) hold: Option<f64>,
     pub(crate) refused: BTreeSet<ShortTag>,
     pub(crate) urgent: bool,
-    pub(crate) reported: Option<Instant>,
+    pub(crate) reported_at: Option<Instant>,
     pub(crate) guests: u32,
-    pub(crate) lease_until: Instant,
+    pub(crate) lease_expiry: Instant,
 }
 
-impl HeldPool {
-    pub(crate) fn new(now: Instant, keeper: &NodeId) -> Self {
+impl PoolLease {
+    pub(crate) fn new(now: Instant, coordinator: &NodeId) -> Self {
         Self {
-            keeper: keeper.clone(),
+            coordinator: coordinator.clone(),
             applied: 0,
             slots: BTreeMap::new(),
             contended: false,
             quotas: BTreeMap::new(),
             running: BTreeMap::new(),
             weights: BTreeMap::new(),
-            waiters: Vec::new(),
+            queue: Vec::new(),
             hold: None,
             refused: BTreeSet::new(),
             urgent: true,
-            reported: None,
+            reported_at: None,
             guests: 0,
-            lease_until: now,
+            lease_expiry: now,
         }
     }
 
@@ -62,11 +62,11 @@
             slot.limit = 0;
         }
         self.applied = 0;
-        self.reported = None;
+        self.reported_at = None;
         self.urgent = true;
     }
 
-    pub(crate) fn running_sum(&self) -> u32 {
+    pub(crate) fn running_total(&self) -> u32 {
         self.slots
             .values()
             .map(|slot| u32::from(slot.running))
@@ -84,14 +84,14 @@
         let slots = self
             .slots
             .iter()
-            .map(|(replica, slot)| SlotLine {
+            .map(|(replica, slot)| ReplicaSlots {
                 replica: *replica,
                 limit: slot.limit,
                 running: slot.running,
             })
             .collect();
-        let tenants = if self.contended || !self.waiters.is_empty() {
-            self.tenant_lines()
+        let tenants = if self.contended || !self.queue.is_empty() {
+            self.tenant_loads()
         } else {
             Vec::new()
         };
@@ -105,15 +105,15 @@
         }
     }
 
-    fn tenant_lines(&self) -> Vec<TenantLine> {
-        let mut lines: BTreeMap<ShortTag, TenantLine> = BTreeMap::new();
+    fn tenant_loads(&self) -> Vec<TenantLoad> {
+        let mut loads: BTreeMap<ShortTag, TenantLoad> = BTreeMap::new();
         let weight = |tenant: ShortTag| {
             (self.weights.get(&tenant).copied().unwrap_or(1.0) * WEIGHT_SCALE) as u32
         };
         for (tenant, running) in &self.running {
-            lines.insert(
+            loads.insert(
                 *tenant,
-                TenantLine {
+                TenantLoad {
                     tenant: *tenant,
                     weight: weight(*tenant),
                     running: *running,
@@ -121,21 +121,21 @@
                 },
             );
         }
-        for ask in &self.waiters {
-            let tenant = tenant_of(ask);
-            let line = lines.entry(tenant).or_insert(TenantLine {
+        for query in &self.queue {
+            let tenant = tenant_of(query);
+            let load = loads.entry(tenant).or_insert(TenantLoad {
                 tenant,
                 weight: weight(tenant),
                 running: 0,
                 waiting: 0,
             });
-            line.waiting = line.waiting.saturating_add(1);
+            load.waiting = load.waiting.saturating_add(1);
         }
-        lines.into_values().collect()
+        loads.into_values().collect()
     }
 }
 
-/// Gives the tenant of a request: its account and its kind of work.
-pub(crate) fn tenant_of(ask: &PlaceAsk) -> ShortTag {
-    tag_of(&format!("{}/{}", ask.account, ask.work.as_str()))
+/// Returns the tenant of a request: its account and its kind of work.
+pub(crate) fn tenant_of(query: &PlacementQuery) -> ShortTag {
+    tag_of(&format!("{}/{}", query.account, query.work.as_str()))
 }
--- a/crates/zinniahatch_control/src/shares.rs
+++ b/crates/zinniahatch_control/src/shares.rs
@@ -2,28 +2,30 @@
 
 use zinniahatch_base::prelude::*;
 
-/// What one tenant asks of a pool.
+/// The demand of one tenant on a pool.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ShareDemand {
     /// The tenant.
     pub tenant: ShortTag,
     /// Its weight.
     pub weight: f64,
-    /// Requests running and waiting.
+    /// Running and queued requests.
     pub demand: u32,
-    /// Requests running.
+    /// Running requests.
     pub running: u32,
-    /// How long the tenant has gone without the fraction of a slot due to it; a larger one goes first.
+    /// Accumulated fraction of a slot that was due to the tenant but not given, in slot seconds.
+    ///
+    /// Tenants with more credit get a remaining slot first.
     pub credit: f64,
 }
 
-/// Gives each tenant its share of the capacity, in whole slots, and the fraction it still has due.
+/// Returns each tenant's weighted max-min share in whole slots, and the fraction still due to it.
 ///
-/// No tenant gets more than it asks for, what one leaves goes to the others by weight, and the
-/// shares add up to the capacity or to all demands, whichever is less. Fractions of a slot go to
-/// the tenant that already runs on it, else to the one with the most credit, so that a hundred
-/// tenants on twelve slots take turns.
-pub fn fill_shares(capacity: u32, demands: &[ShareDemand]) -> BTreeMap<ShortTag, (u32, f64)> {
+/// No tenant gets more than its demand, unused shares go to the other tenants by weight, and the
+/// shares add up to the capacity or the total demand, whichever is less. Slots that remain after
+/// rounding down go first to tenants that already run more requests than their whole slots, then
+/// to those with the most credit, so that a hundred tenants on twelve slots take turns.
+pub fn max_min_shares(capacity: u32, demands: &[ShareDemand]) -> BTreeMap<ShortTag, (u32, f64)> {
     let mut order: Vec<&ShareDemand> = demands.iter().filter(|demand| demand.demand > 0).collect();
     order.sort_by(|one, other| {
         (f64::from(one.demand) / one.weight).total_cmp(&(f64::from(other.demand) / other.weight))
@@ -36,7 +38,7 @@
         let fair = (capacity_left * demand.weight / weight_left).min(f64::from(demand.demand));
         weight_left -= demand.weight;
         capacity_left -= fair;
-        // The epsilon keeps a share of 2.9999999 from being read as 2.
+        // The epsilon prevents a share of 2.9999999 from being rounded down to 2.
         let whole = ((fair + 1e-9).floor() as u32).min(spare);
         spare -= whole;
         shares.insert(demand.tenant, (whole, (fair - f64::from(whole)).max(0.0)));
--- a/crates/zinniahatch_control/tests/fake/mod.rs
+++ b/crates/zinniahatch_control/tests/fake/mod.rs
@@ -1,4 +1,4 @@
-//! A data centre of pure nodes with a fake network between them, for the tests of this crate.
+//! Simulated data centre of `ControlNode`s with a fake network, for the tests of this crate.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -9,42 +9,42 @@
 use zinniahatch_config::ConfigHead;
 use zinniahatch_config::PartTexts;
 use zinniahatch_config::WorkKind;
-use zinniahatch_control::AskScope;
 use zinniahatch_control::ControlNode;
-use zinniahatch_control::FrameParcel;
+use zinniahatch_control::FailurePolicy;
 use zinniahatch_control::NodeIdentity;
-use zinniahatch_control::PlaceAsk;
-use zinniahatch_control::PlaceTicket;
+use zinniahatch_control::OutboundFrame;
 use zinniahatch_control::Placement;
+use zinniahatch_control::PlacementQuery;
+use zinniahatch_control::PlacementScope;
 use zinniahatch_control::RoutePolicy;
-use zinniahatch_control::VerdictPolicy;
+use zinniahatch_control::SlotPermit;
 
-/// Time of one step.
+/// Simulated time per step.
 pub(crate) const STEP: Duration = Duration::from_millis(50);
 
-/// One request of the fake callers.
+/// A request of a simulated caller.
 pub(crate) struct FakeRequest {
     pub(crate) node: usize,
-    pub(crate) ticket: Option<PlaceTicket>,
+    pub(crate) permit: Option<SlotPermit>,
     pub(crate) outcome: Option<Placement>,
 }
 
-/// Nodes, and the frames on their way.
+/// Nodes of one data centre and the frames in flight between them.
 pub(crate) struct FakeNet {
     pub(crate) now: Instant,
     pub(crate) nodes: Vec<Option<ControlNode>>,
     pub(crate) cut: BTreeSet<(usize, usize)>,
     pub(crate) requests: BTreeMap<u64, FakeRequest>,
     pub(crate) config: (ConfigHead, PartTexts),
-    pub(crate) deaths: Vec<(Box<str>, u64)>,
-    frames: Vec<(usize, FrameParcel)>,
+    pub(crate) failed: Vec<(Box<str>, u64)>,
+    frames: Vec<(usize, OutboundFrame)>,
     born: Instant,
     incarnation: u64,
     next: u64,
 }
 
 impl FakeNet {
-    /// Makes a data centre whose nodes hold the configuration and know each other as seeds.
+    /// Creates a data centre whose nodes have the configuration and are each other's seeds.
     pub(crate) fn new(count: usize, replicas: usize, slots: u16) -> Self {
         let mut net = Self {
             now: Instant::now() + STEP,
@@ -52,7 +52,7 @@
             cut: BTreeSet::new(),
             requests: BTreeMap::new(),
             config: config(replicas, slots),
-            deaths: Vec::new(),
+            failed: Vec::new(),
             frames: Vec::new(),
             born: Instant::now(),
             incarnation: 0,
@@ -65,7 +65,7 @@
         net
     }
 
-    /// Starts a node afresh.
+    /// Starts or restarts a node with a new incarnation.
     pub(crate) fn start(&mut self, index: usize, count: usize) {
         self.incarnation += 1;
         let identity = NodeIdentity {
@@ -82,30 +82,29 @@
             identity,
             &seeds,
             self.now,
-            VerdictPolicy::MajorityReports,
+            FailurePolicy::MajorityReports,
             RoutePolicy::Score,
         );
         let (head, texts) = self.config.clone();
-        node.take_store(head, texts.into_values().collect());
+        node.apply_stored_config(head, texts.into_values().collect());
         node.set_ready();
         self.nodes[index] = Some(node);
     }
 
-    /// Kills a node; its requests end with it.
+    /// Kills a node together with its requests.
     pub(crate) fn kill(&mut self, index: usize) {
         self.nodes[index] = None;
         self.requests.retain(|_, request| request.node != index);
     }
 
-    /// Lets time pass while a node is frozen: it does nothing, and its requests go on at their
-    /// backend servers.
+    /// Advances time while a node is frozen; its requests keep running on their backend servers.
     pub(crate) fn run_frozen(&mut self, index: usize, time: Duration) {
         let node = self.nodes[index].take();
         self.run(time);
         self.nodes[index] = node;
     }
 
-    /// Lets time pass.
+    /// Advances time.
     pub(crate) fn run(&mut self, time: Duration) {
         let until = self.now + time;
         while self.now < until {
@@ -113,7 +112,7 @@
         }
     }
 
-    /// Runs one tick of every node and delivers what the one before sent.
+    /// Delivers the frames of the previous step and runs one tick of every node.
     pub(crate) fn step(&mut self) {
         self.now += STEP;
         for (from, parcel) in std::mem::take(&mut self.frames) {
@@ -132,10 +131,10 @@
                 continue;
             };
             let output = node.tick(self.now);
-            self.deaths.extend(output.deaths);
+            self.failed.extend(output.failed);
             self.frames
-                .extend(output.parcels.into_iter().map(|parcel| (index, parcel)));
-            for (number, placement) in node.take_decisions() {
+                .extend(output.frames.into_iter().map(|parcel| (index, parcel)));
+            for (number, placement) in node.take_placements() {
                 if let Some(request) = self.requests.get_mut(&number) {
                     request.settle(placement);
                 }
@@ -143,14 +142,19 @@
         }
     }
 
-    /// Asks a node for a slot; gives the request's number.
-    pub(crate) fn ask(&mut self, index: usize, account: &str, deadline: Duration) -> Option<u64> {
+    /// Sends a request to a node and returns the request's number.
+    pub(crate) fn submit(
+        &mut self,
+        index: usize,
+        account: &str,
+        deadline: Duration,
+    ) -> Option<u64> {
         self.next += 1;
-        let ask = ask(self.next, account, self.now + deadline);
-        let placement = self.nodes[index].as_mut()?.place(self.now, &ask);
+        let query = query(self.next, account, self.now + deadline);
+        let placement = self.nodes[index].as_mut()?.place(self.now, &query);
         let mut request = FakeRequest {
             node: index,
-            ticket: None,
+            permit: None,
             outcome: None,
         };
         if placement != Placement::Wait {
@@ -160,39 +164,39 @@
         Some(self.next)
     }
 
-    /// Ends a running request.
+    /// Finishes a running request.
     pub(crate) fn finish(&mut self, number: u64) {
         let Some(request) = self.requests.remove(&number) else {
             return;
         };
-        if let (Some(ticket), Some(node)) = (request.ticket, &mut self.nodes[request.node]) {
-            node.finish(self.now, &ticket, false);
+        if let (Some(permit), Some(node)) = (request.permit, &mut self.nodes[request.node]) {
+            node.finish(self.now, &permit, false);
         }
     }
 
-    /// Gives the numbers of requests that run.
+    /// Returns the numbers of the running requests.
     pub(crate) fn running(&self) -> Vec<u64> {
         self.requests
             .iter()
-            .filter(|(_, request)| request.ticket.is_some())
+            .filter(|(_, request)| request.permit.is_some())
             .map(|(number, _)| *number)
             .collect()
     }
 
-    /// Gives how many requests run on each backend server.
+    /// Returns the number of running requests on each backend server.
     pub(crate) fn load(&self) -> BTreeMap<Box<str>, u32> {
         let mut load = BTreeMap::new();
-        for ticket in self
+        for permit in self
             .requests
             .values()
-            .filter_map(|request| request.ticket.as_ref())
+            .filter_map(|request| request.permit.as_ref())
         {
-            *load.entry(ticket.replica.clone()).or_default() += 1;
+            *load.entry(permit.replica.clone()).or_default() += 1;
         }
         load
     }
 
-    /// Gives how many requests wait.
+    /// Returns the number of queued requests.
     pub(crate) fn waiting(&self) -> usize {
         self.requests
             .values()
@@ -203,21 +207,21 @@
 
 impl FakeRequest {
     fn settle(&mut self, placement: Placement) {
-        if let Placement::Run(ticket) = &placement {
-            self.ticket = Some(ticket.clone());
+        if let Placement::Run(permit) = &placement {
+            self.permit = Some(permit.clone());
         }
         self.outcome = Some(placement);
     }
 }
 
-/// Gives a node's name, which is its address too.
+/// Returns a node's name, which is also its address.
 pub(crate) fn name(index: usize) -> String {
     format!("node-{index}")
 }
 
-/// Gives a request for the one service.
-pub(crate) fn ask(number: u64, account: &str, deadline: Instant) -> PlaceAsk {
-    PlaceAsk {
+/// Returns a request for the only service.
+pub(crate) fn query(number: u64, account: &str, deadline: Instant) -> PlacementQuery {
+    PlacementQuery {
         number,
         service: "llm".into(),
         account: account.into(),
@@ -226,14 +230,14 @@
         deadline,
         prefix: Some(tag_of(account)),
         prompt: 100,
-        scope: AskScope::Anywhere,
+        scope: PlacementScope::Anywhere,
         guest: false,
         avoid: BTreeSet::new(),
         avoid_centres: BTreeSet::new(),
     }
 }
 
-/// Gives a configuration of one service in one data centre.
+/// Returns a configuration with one service in one data centre.
 pub(crate) fn config(replicas: usize, slots: u16) -> (ConfigHead, PartTexts) {
     let mut backends = String::new();
     for index in 0..replicas {
--- a/crates/zinniahatch_control/tests/keys.rs
+++ b/crates/zinniahatch_control/tests/keys.rs
@@ -1,23 +1,23 @@
-//! Keys of requests that may not be repeated, against a simple oracle.
+//! Idempotency keys, with a fuzz test against a simple model.
 
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 use std::time::Duration;
 use std::time::Instant;
 use test_case::test_case;
-use zinniahatch_control::KeyBook;
 use zinniahatch_control::KeyClaim;
 use zinniahatch_control::KeyRefusal;
+use zinniahatch_control::KeyTable;
 use zinniahatch_control::MintedKey;
 
 const VALID: Duration = Duration::from_secs(100);
 
-fn book(now: Instant) -> KeyBook<u32> {
-    KeyBook::new("n1", 7, [3; 32], now, VALID)
+fn table(now: Instant) -> KeyTable<u32> {
+    KeyTable::new("n1", 7, [3; 32], now, VALID)
 }
 
 fn parse(text: &str) -> MintedKey {
-    MintedKey::parse(text).expect("the book makes keys that can be read")
+    MintedKey::parse(text).expect("issued keys can be parsed")
 }
 
 #[test_case("zk1.n1.7.1.0"; "no code")]
@@ -32,26 +32,26 @@
 #[test]
 fn claim_once_runs_once() {
     let now = Instant::now();
-    let mut book = book(now);
-    let key = parse(&book.mint(now, "a"));
-    assert_eq!(book.claim(now, &key, "a", "d"), KeyClaim::Fresh);
-    assert_eq!(book.claim(now, &key, "a", "d"), KeyClaim::Running);
-    book.answer(key.number, 42);
-    assert_eq!(book.claim(now, &key, "a", "d"), KeyClaim::Answered(42));
+    let mut table = table(now);
+    let key = parse(&table.mint(now, "a"));
+    assert_eq!(table.claim(now, &key, "a", "d"), KeyClaim::Fresh);
+    assert_eq!(table.claim(now, &key, "a", "d"), KeyClaim::Running);
+    table.record_response(key.number, 42);
+    assert_eq!(table.claim(now, &key, "a", "d"), KeyClaim::Answered(42));
 }
 
 #[test]
 fn claim_other_account_or_body_is_refused() {
     let now = Instant::now();
-    let mut book = book(now);
-    let key = parse(&book.mint(now, "a"));
+    let mut table = table(now);
+    let key = parse(&table.mint(now, "a"));
     assert_eq!(
-        book.claim(now, &key, "b", "d"),
+        table.claim(now, &key, "b", "d"),
         KeyClaim::Refused(KeyRefusal::Foreign)
     );
-    assert_eq!(book.claim(now, &key, "a", "d"), KeyClaim::Fresh);
+    assert_eq!(table.claim(now, &key, "a", "d"), KeyClaim::Fresh);
     assert_eq!(
-        book.claim(now, &key, "a", "e"),
+        table.claim(now, &key, "a", "e"),
         KeyClaim::Refused(KeyRefusal::Reused)
     );
 }
@@ -59,63 +59,63 @@
 #[test]
 fn claim_forged_code_is_refused() {
     let now = Instant::now();
-    let mut book = book(now);
-    let text = book.mint(now, "a");
+    let mut table = table(now);
+    let text = table.mint(now, "a");
     let forged = text.replace(".1.0.", ".2.0.");
     assert_eq!(
-        book.claim(now, &parse(&forged), "a", "d"),
+        table.claim(now, &parse(&forged), "a", "d"),
         KeyClaim::Refused(KeyRefusal::Foreign)
     );
 }
 
-/// A reorder runs a second time hours later. Its key was used, forgotten to bound the memory,
-/// and then sent again. Past its validity a key never starts anything.
+/// Guards against a request running twice hours apart: its key was used, evicted to bound memory
+/// and then sent again. A key never starts a request after its validity.
 #[test]
 fn claim_past_validity_never_starts() {
     let now = Instant::now();
-    let mut book = book(now);
-    let key = parse(&book.mint(now, "a"));
-    assert_eq!(book.claim(now, &key, "a", "d"), KeyClaim::Fresh);
-    book.answer(key.number, 1);
+    let mut table = table(now);
+    let key = parse(&table.mint(now, "a"));
+    assert_eq!(table.claim(now, &key, "a", "d"), KeyClaim::Fresh);
+    table.record_response(key.number, 1);
     let late = now + VALID * 3;
-    book.sweep(late, Duration::ZERO);
-    assert!(book.is_empty());
-    assert_eq!(book.claim(late, &key, "a", "d"), KeyClaim::Lost);
+    table.sweep(late, Duration::ZERO);
+    assert!(table.is_empty());
+    assert_eq!(table.claim(late, &key, "a", "d"), KeyClaim::Lost);
 }
 
-/// A caller is told "not run", sends the same key again, and both it and a late copy run. The
-/// key is buried before the caller hears it, and nothing digs it up.
+/// Guards against a retry and a late copy of a request both running after the caller was told
+/// "not run". The key is marked before the caller is told, and stays so.
 #[test]
-fn claim_buried_stays_buried() {
+fn claim_not_run_stays_not_run() {
     let now = Instant::now();
-    let mut book = book(now);
-    let key = parse(&book.mint(now, "a"));
-    assert_eq!(book.claim(now, &key, "a", "d"), KeyClaim::Fresh);
-    book.bury(key.number);
+    let mut table = table(now);
+    let key = parse(&table.mint(now, "a"));
+    assert_eq!(table.claim(now, &key, "a", "d"), KeyClaim::Fresh);
+    table.mark_not_run(key.number);
     assert_eq!(
-        book.claim(now, &key, "a", "d"),
-        KeyClaim::Refused(KeyRefusal::Buried)
+        table.claim(now, &key, "a", "d"),
+        KeyClaim::Refused(KeyRefusal::NotRun)
     );
 }
 
-/// A node's memory grows with every kept answer. The oldest answers are forgotten beyond a limit,
-/// but their keys stay used: forgetting an answer must not let its request run again.
+/// Guards against a request running again because its response was evicted. Beyond a memory limit
+/// the oldest responses are evicted, but their keys stay used.
 #[test]
-fn fit_answers_keeps_keys_used() {
+fn trim_responses_keeps_keys_used() {
     let mut now = Instant::now();
-    let mut book = book(now);
+    let mut table = table(now);
     let mut keys = Vec::new();
     for _ in 0..4 {
-        let key = parse(&book.mint(now, "a"));
-        assert_eq!(book.claim(now, &key, "a", "d"), KeyClaim::Fresh);
-        book.answer(key.number, 10);
+        let key = parse(&table.mint(now, "a"));
+        assert_eq!(table.claim(now, &key, "a", "d"), KeyClaim::Fresh);
+        table.record_response(key.number, 10);
         keys.push(key);
         now += Duration::from_secs(1);
     }
-    book.fit_answers(20, |size| *size as usize);
+    table.trim_responses(20, |size| *size as usize);
     let claims: Vec<_> = keys
         .iter()
-        .map(|key| book.claim(now, key, "a", "d"))
+        .map(|key| table.claim(now, key, "a", "d"))
         .collect();
     assert_eq!(
         claims,
@@ -132,9 +132,9 @@
 enum KeyStep {
     Mint,
     Claim(usize, u8),
-    Answer(usize),
-    Lose(usize),
-    Bury(usize),
+    RecordResponse(usize),
+    MarkLost(usize),
+    MarkNotRun(usize),
     HandOver,
     Sweep,
     Wait(u8),
@@ -144,18 +144,18 @@
     prop_oneof![
         4 => Just(KeyStep::Mint),
         8 => (0..8_usize, 0..2_u8).prop_map(|(key, digest)| KeyStep::Claim(key, digest)),
-        2 => (0..8_usize).prop_map(KeyStep::Answer),
-        1 => (0..8_usize).prop_map(KeyStep::Lose),
-        1 => (0..8_usize).prop_map(KeyStep::Bury),
+        2 => (0..8_usize).prop_map(KeyStep::RecordResponse),
+        1 => (0..8_usize).prop_map(KeyStep::MarkLost),
+        1 => (0..8_usize).prop_map(KeyStep::MarkNotRun),
         1 => Just(KeyStep::HandOver),
         1 => Just(KeyStep::Sweep),
         2 => (0..60_u8).prop_map(KeyStep::Wait),
     ]
 }
 
-/// What the oracle knows of a key.
+/// State of a key in the model.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum OracleKey {
+enum KeyState {
     Running(u8),
     Ended(u8),
 }
@@ -168,19 +168,19 @@
         ..ProptestConfig::default()
     })]
 
-    /// Over hand-overs, sweeps and time, a key starts at most one request, in whichever book, and
-    /// a second request under it is never started or answered with the first one's answer.
+    /// Across handovers, evictions and time, a key starts at most one request in any table, and a
+    /// different request with the same key never starts or gets the response of the first one.
     #[test]
     fn claim_fuzz(steps in proptest::collection::vec(key_step(), 1..80)) {
         let mut now = Instant::now();
-        let mut books = vec![book(now)];
+        let mut tables = vec![table(now)];
         let mut keys: Vec<MintedKey> = Vec::new();
-        let mut oracle: BTreeMap<u64, OracleKey> = BTreeMap::new();
+        let mut model: BTreeMap<u64, KeyState> = BTreeMap::new();
         for step in steps {
-            let last = books.len() - 1;
+            let last = tables.len() - 1;
             match step {
                 KeyStep::Mint => {
-                    let text = books[0].mint(now, "a");
+                    let text = tables[0].mint(now, "a");
                     if last == 0 {
                         keys.push(parse(&text));
                     }
@@ -189,52 +189,52 @@
                     let Some(key) = keys.get(index).cloned() else {
                         continue;
                     };
-                    // A call may reach any book that ever held the key.
-                    for book in &mut books {
-                        let claim = book.claim(now, &key, "a", &digest.to_string());
-                        let known = oracle.get(&key.number).copied();
-                        match (claim, known) {
+                    // A request may reach any table that ever held the key.
+                    for table in &mut tables {
+                        let claim = table.claim(now, &key, "a", &digest.to_string());
+                        let state = model.get(&key.number).copied();
+                        match (claim, state) {
                             (KeyClaim::Fresh, None) => {
-                                oracle.insert(key.number, OracleKey::Running(digest));
+                                model.insert(key.number, KeyState::Running(digest));
                             }
                             (KeyClaim::Fresh, Some(_)) => prop_assert!(false, "key {} started twice", key.number),
-                            (KeyClaim::Answered(answer), Some(OracleKey::Ended(first))) => {
-                                prop_assert_eq!((u64::from(answer), first), (key.number, digest));
+                            (KeyClaim::Answered(response), Some(KeyState::Ended(recorded))) => {
+                                prop_assert_eq!((u64::from(response), recorded), (key.number, digest));
                             }
-                            (KeyClaim::Answered(_), known) => prop_assert!(false, "an answer of {:?}", known),
+                            (KeyClaim::Answered(_), state) => prop_assert!(false, "unexpected response in state {:?}", state),
                             (KeyClaim::Running | KeyClaim::Closed | KeyClaim::Lost | KeyClaim::Refused(_), _) => {}
                         }
                     }
                 }
-                KeyStep::Answer(index) => {
+                KeyStep::RecordResponse(index) => {
                     if let Some(key) = keys.get(index)
-                        && let Some(OracleKey::Running(digest)) = oracle.get(&key.number).copied()
+                        && let Some(KeyState::Running(digest)) = model.get(&key.number).copied()
                     {
-                        books[last].answer(key.number, u32::try_from(key.number).unwrap_or(0));
-                        oracle.insert(key.number, OracleKey::Ended(digest));
+                        tables[last].record_response(key.number, u32::try_from(key.number).unwrap_or(0));
+                        model.insert(key.number, KeyState::Ended(digest));
                     }
                 }
-                KeyStep::Lose(index) => {
+                KeyStep::MarkLost(index) => {
                     if let Some(key) = keys.get(index)
-                        && let Some(OracleKey::Running(_)) = oracle.get(&key.number)
+                        && let Some(KeyState::Running(_)) = model.get(&key.number)
                     {
-                        books[last].lose(key.number);
+                        tables[last].mark_lost(key.number);
                     }
                 }
-                KeyStep::Bury(index) => {
+                KeyStep::MarkNotRun(index) => {
                     if let Some(key) = keys.get(index)
-                        && let Some(OracleKey::Running(_)) = oracle.get(&key.number)
+                        && let Some(KeyState::Running(_)) = model.get(&key.number)
                     {
-                        books[last].bury(key.number);
+                        tables[last].mark_not_run(key.number);
                     }
                 }
                 KeyStep::HandOver => {
-                    let (secret, age, lines) = books[last].close(now);
-                    books.push(KeyBook::inherit("n1", 7, secret, age, now, VALID, lines));
+                    let (secret, age, entries) = tables[last].close(now);
+                    tables.push(KeyTable::inherit("n1", 7, secret, age, now, VALID, entries));
                 }
                 KeyStep::Sweep => {
-                    for book in &mut books {
-                        book.sweep(now, Duration::ZERO);
+                    for table in &mut tables {
+                        table.sweep(now, Duration::ZERO);
                     }
                 }
                 KeyStep::Wait(seconds) => now += Duration::from_secs(u64::from(seconds)),
--- a/crates/zinniahatch_control/tests/shares.rs
+++ b/crates/zinniahatch_control/tests/shares.rs
@@ -3,7 +3,7 @@
 use proptest::prelude::*;
 use test_case::test_case;
 use zinniahatch_control::ShareDemand;
-use zinniahatch_control::fill_shares;
+use zinniahatch_control::max_min_shares;
 
 fn demand(tenant: u32, weight: f64, demand: u32) -> ShareDemand {
     ShareDemand {
@@ -16,7 +16,7 @@
 }
 
 fn shares(capacity: u32, demands: &[ShareDemand]) -> Vec<u32> {
-    let shares = fill_shares(capacity, demands);
+    let shares = max_min_shares(capacity, demands);
     demands
         .iter()
         .map(|demand| shares.get(&demand.tenant).map_or(0, |share| share.0))
@@ -28,7 +28,7 @@
 #[test_case(12, &[(1.0, 2), (1.0, 20)], &[2, 10]; "what one leaves goes to the other")]
 #[test_case(12, &[(1.0, 2), (1.0, 3)], &[2, 3]; "no more than asked")]
 #[test_case(0, &[(1.0, 2)], &[0]; "nothing to share")]
-fn fill_shares_gives(capacity: u32, demands: &[(f64, u32)], expected: &[u32]) {
+fn max_min_shares_gives(capacity: u32, demands: &[(f64, u32)], expected: &[u32]) {
     let list: Vec<ShareDemand> = demands
         .iter()
         .zip(1..)
@@ -37,15 +37,15 @@
     assert_eq!(shares(capacity, &list), expected);
 }
 
-/// A tenant with little weight never runs while others wait. Its share is a fraction of a slot,
-/// and fractions went to the same tenants each time. Credit grows with the waiting, so each
+/// Guards against starvation of tenants whose share is a fraction of a slot, when the remaining
+/// slots always go to the same tenants. Credit accumulates while a tenant gets nothing, so each
 /// tenant gets its turn.
 #[test]
-fn fill_shares_by_credit_takes_turns() {
+fn max_min_shares_by_credit_takes_turns() {
     let mut list: Vec<ShareDemand> = (1..=10).map(|tenant| demand(tenant, 1.0, 5)).collect();
     let mut served = std::collections::BTreeSet::new();
     for _ in 0..10 {
-        let shares = fill_shares(3, &list);
+        let shares = max_min_shares(3, &list);
         for entry in &mut list {
             let (count, due) = shares[&entry.tenant];
             entry.credit = if count > 0 { 0.0 } else { entry.credit + due };
@@ -64,10 +64,10 @@
         ..ProptestConfig::default()
     })]
 
-    /// The shares use the whole capacity, give nobody more than asked, and leave nobody more than
-    /// one slot below a fair part that another exceeds.
+    /// The shares use the whole capacity and exceed no tenant's demand, and no tenant is more than
+    /// one slot below its fair share while another is above its own.
     #[test]
-    fn fill_shares_is_fair(capacity in 0..200_u32, demands in proptest::collection::vec((1..10_u32, 0..60_u32), 1..20)) {
+    fn max_min_shares_is_fair(capacity in 0..200_u32, demands in proptest::collection::vec((1..10_u32, 0..60_u32), 1..20)) {
         let list: Vec<ShareDemand> = demands.iter().zip(1..).map(|((weight, count), tenant)| demand(tenant, f64::from(*weight), *count)).collect();
         let given = shares(capacity, &list);
         let asked: u32 = demands.iter().map(|(_, count)| count).sum();
--- a/crates/zinniahatch_control/tests/slots_fuzz.rs
+++ b/crates/zinniahatch_control/tests/slots_fuzz.rs
@@ -1,4 +1,4 @@
-//! Fuzzing of slot leases against a simple oracle: what runs where, and what may wait.
+//! Fuzz test of slot leases against a simple model: which requests may run and which may queue.
 
 #[allow(dead_code, reason = "each test file uses a part of the fake")]
 mod fake;
@@ -13,19 +13,21 @@
 const NODES: usize = 3;
 const REPLICAS: usize = 3;
 const SLOTS: u16 = 4;
-/// Longest freeze, in steps of 50 ms. With a heartbeat's second before it, it is shorter than the 7 s
-/// for which a keeper counts the slots of a silent holder, beyond which its requests may meet those
-/// of others.
+/// Longest freeze, in steps of 50 ms.
+///
+/// Including up to one second since the last heartbeat, it is shorter than the 7 s for which a
+/// coordinator counts the slots of a silent holder. After that, requests of the holder and of
+/// others may run on the same slots.
 const FROZEN_STEPS: u8 = 110;
-/// Time awake after a freeze, in which heartbeats are exchanged.
+/// Running time after a freeze, in which heartbeats are exchanged.
 const AWAKE: Duration = Duration::from_secs(2);
 const LONG: Duration = Duration::from_secs(600);
-/// Time in which every lease of a dead keeper or holder has lapsed and been given anew.
+/// Time in which every lease of a failed coordinator or holder expires and is granted again.
 const SETTLE: Duration = Duration::from_secs(20);
 
 #[derive(Clone, Debug)]
 enum SlotStep {
-    Ask(usize, u8),
+    Submit(usize, u8),
     Finish(usize),
     Kill(usize),
     Start(usize),
@@ -35,14 +37,14 @@
     Wait(u16),
 }
 
-/// The oracle: which nodes live, and whether anything disturbed the keepers lately.
+/// The reference model: which nodes are dead, and whether any link was ever cut.
 #[derive(Clone, Debug, Default)]
-struct SlotOracle {
+struct SlotModel {
     dead: [bool; NODES],
     was_cut: bool,
 }
 
-impl ReferenceStateMachine for SlotOracle {
+impl ReferenceStateMachine for SlotModel {
     type State = Self;
     type Transition = SlotStep;
 
@@ -53,12 +55,12 @@
     fn transitions(state: &Self::State) -> BoxedStrategy<Self::Transition> {
         let dead: Vec<usize> = (0..NODES).filter(|index| state.dead[*index]).collect();
         let live: Vec<usize> = (0..NODES).filter(|index| !state.dead[*index]).collect();
-        let asks = proptest::sample::select(live.clone());
+        let submits = proptest::sample::select(live.clone());
         let mut options = vec![
             (
                 12,
-                (asks, 0..4_u8)
-                    .prop_map(|(node, account)| SlotStep::Ask(node, account))
+                (submits, 0..4_u8)
+                    .prop_map(|(node, account)| SlotStep::Submit(node, account))
                     .boxed(),
             ),
             (8, (0..64_usize).prop_map(SlotStep::Finish).boxed()),
@@ -101,7 +103,7 @@
             SlotStep::Cut(..) => state.was_cut = true,
             SlotStep::Kill(node) => state.dead[*node] = true,
             SlotStep::Start(node) => state.dead[*node] = false,
-            SlotStep::Ask(..)
+            SlotStep::Submit(..)
             | SlotStep::Freeze(..)
             | SlotStep::Finish(_)
             | SlotStep::HealAll
@@ -112,8 +114,8 @@
 
     fn preconditions(state: &Self::State, transition: &Self::Transition) -> bool {
         match transition {
-            SlotStep::Ask(node, _) => !state.dead[*node],
-            // A cut and a freeze together are not proved; `docs/PROOFS.md` says what was seen.
+            SlotStep::Submit(node, _) => !state.dead[*node],
+            // The bound is not proved for a cut combined with a freeze; see `docs/PROOFS.md`.
             SlotStep::Freeze(node, _) => !state.dead[*node] && !state.was_cut,
             SlotStep::Kill(node) => {
                 !state.dead[*node] && state.dead.iter().filter(|dead| !**dead).count() > 1
@@ -124,7 +126,7 @@
     }
 }
 
-/// The system under test, with what the oracle needs to judge it.
+/// The system under test, and whether any link was ever cut.
 struct SlotSystem {
     net: FakeNet,
     was_cut: bool,
@@ -132,9 +134,9 @@
 
 impl StateMachineTest for SlotSystem {
     type SystemUnderTest = Self;
-    type Reference = SlotOracle;
+    type Reference = SlotModel;
 
-    fn init_test(_: &SlotOracle) -> Self {
+    fn init_test(_: &SlotModel) -> Self {
         let mut net = FakeNet::new(NODES, REPLICAS, SLOTS);
         net.run(Duration::from_secs(4));
         Self {
@@ -143,10 +145,10 @@
         }
     }
 
-    fn apply(mut state: Self, _: &SlotOracle, transition: SlotStep) -> Self {
+    fn apply(mut state: Self, _: &SlotModel, transition: SlotStep) -> Self {
         match transition {
-            SlotStep::Ask(node, account) => {
-                state.net.ask(node, &format!("account-{account}"), LONG);
+            SlotStep::Submit(node, account) => {
+                state.net.submit(node, &format!("account-{account}"), LONG);
             }
             SlotStep::Finish(index) => {
                 let running = state.net.running();
@@ -159,14 +161,14 @@
             SlotStep::Freeze(node, steps) => {
                 for other in (0..NODES).filter(|other| *other != node) {
                     for _ in 0..SLOTS {
-                        state.net.ask(other, "account-0", LONG);
+                        state.net.submit(other, "account-0", LONG);
                     }
                 }
                 for _ in 0..steps {
                     state.net.run_frozen(node, STEP);
                     check_load(&state);
                 }
-                // Two freezes in a row would be one that outlasts the lease.
+                // Two freezes in a row would act as one that outlasts the lease.
                 state.net.run(AWAKE);
             }
             SlotStep::Cut(one, other) => {
@@ -183,23 +185,23 @@
         state
     }
 
-    /// Whatever dies, starts, or freezes within its lease, no backend server gets more than its slots. Where links between
-    /// members were cut, each node may keep the pool for itself, so the bound is the slots times
-    /// the nodes.
-    fn check_invariants(state: &Self, _: &SlotOracle) {
+    /// No backend server runs more requests than its slots, whichever nodes die, start or freeze
+    /// for less than their lease. After a link between members was cut, each node may coordinate
+    /// the pool on its own, so the bound is the slots times the nodes.
+    fn check_invariants(state: &Self, _: &SlotModel) {
         check_load(state);
     }
 
-    /// When all is healed and settled, no request waits beside a free slot, and what was
-    /// over-committed is back within the slots once it has ended.
-    fn teardown(mut state: Self, _: SlotOracle) {
+    /// After all links are healed and leases have settled, no request is queued while a slot is
+    /// free, and the load is within the slots again once the excess requests have finished.
+    fn teardown(mut state: Self, _: SlotModel) {
         state.net.cut.clear();
         state.net.run(SETTLE);
         let capacity = REPLICAS * usize::from(SLOTS);
         let running = state.net.running().len();
         assert!(
             state.net.waiting() == 0 || running >= capacity,
-            "{} wait while {running} of {capacity} slots are used",
+            "{} requests are queued while {running} of {capacity} slots are used",
             state.net.waiting()
         );
         for number in state.net.running() {
@@ -209,7 +211,7 @@
         for (replica, load) in state.net.load() {
             assert!(
                 load <= u32::from(SLOTS),
-                "{replica} runs {load} after all is settled"
+                "{replica} runs {load} requests after the leases have settled"
             );
         }
     }
@@ -222,7 +224,10 @@
         u32::from(SLOTS)
     };
     for (replica, load) in state.net.load() {
-        assert!(load <= bound, "{replica} runs {load} of at most {bound}");
+        assert!(
+            load <= bound,
+            "{replica} runs {load} requests of at most {bound}"
+        );
     }
 }
 
--- a/crates/zinniahatch_daemon/src/counts.rs
+++ b/crates/zinniahatch_daemon/src/counts.rs
@@ -13,8 +13,8 @@
 use zinniahatch_gateway::hour_key;
 use zinniahatch_platform::PutOutcome;
 use zinniahatch_platform::StoreClient;
-use zinniahatch_protocol::CountsNote;
 use zinniahatch_protocol::NodeMessage;
+use zinniahatch_protocol::SealedCounts;
 use zinniahatch_report::CountSheet;
 use zinniahatch_report::DeskSheet;
 use zinniahatch_report::HourLedger;
@@ -58,13 +58,13 @@
                 core.book().merged(shard, &numbers, Instant::now());
             }
         }
-        for (node, incarnation) in output.returns {
+        for (node, incarnation) in output.recovered {
             self.lock().note_alive(&node, incarnation);
         }
-        for (node, incarnation) in output.deaths {
+        for (node, incarnation) in output.failed {
             let noter = core
                 .control()
-                .duty_owner_about(Instant::now(), &duty(0), &node);
+                .role_holder_except(Instant::now(), &duty(0), &node);
             if noter.as_ref() == Some(&core.identity.node) {
                 self.lock().note_death(&node, incarnation, epoch_minute());
             }
@@ -90,7 +90,7 @@
         let control = core.control();
         let mut book = core.book();
         book.seal(epoch_minute());
-        book.due(now, again, |shard| control.duty_owner(now, &duty(shard)))
+        book.due(now, again, |shard| control.role_holder(now, &duty(shard)))
     };
     note_states(core);
     let last = desk.closing.load(std::sync::atomic::Ordering::SeqCst);
@@ -100,7 +100,7 @@
             count_dropped(core, "counts-unwritable");
             continue;
         };
-        let note = CountsNote {
+        let note = SealedCounts {
             shard,
             number: sealed.number,
             minute: sealed.minute,
@@ -254,7 +254,7 @@
 
 fn owns(core: &GatewayCore, shard: u16) -> bool {
     core.control()
-        .duty_owner(Instant::now(), &duty(shard))
+        .role_holder(Instant::now(), &duty(shard))
         .is_some_and(|owner| owner == core.identity.node)
 }
 
--- a/crates/zinniahatch_daemon/src/directory.rs
+++ b/crates/zinniahatch_daemon/src/directory.rs
@@ -86,8 +86,10 @@
     let list = HttpVmList::new(&core.settings.vm_list);
     loop {
         sleep(VMS_EVERY).await;
-        if !core.control().has_duty(Instant::now(), VM_DUTY, VM_NODES) {
-            core.control().backends_mut().take_list(BTreeSet::new());
+        if !core.control().holds_role(Instant::now(), VM_DUTY, VM_NODES) {
+            core.control()
+                .backends_mut()
+                .set_listed_leaving(BTreeSet::new());
             continue;
         }
         let Ok(vms) = list.list(&core.identity.data_centre).await else {
@@ -98,7 +100,7 @@
             .filter(|vm| vm.kind == VmKind::Backend && vm.state == VmState::Leaving)
             .map(|vm| tag_of(&vm.name))
             .collect();
-        core.control().backends_mut().take_list(leaving);
+        core.control().backends_mut().set_listed_leaving(leaving);
     }
 }
 
@@ -132,6 +134,6 @@
     for (data_centre, addresses) in remote {
         control
             .remotes_mut()
-            .take_directory(now, &data_centre, addresses);
+            .set_directory_entries(now, &data_centre, addresses);
     }
 }
--- a/crates/zinniahatch_daemon/src/orders.rs
+++ b/crates/zinniahatch_daemon/src/orders.rs
@@ -6,7 +6,7 @@
 use zinniahatch_base::prelude::*;
 use zinniahatch_config::BackendEntry;
 use zinniahatch_config::FencingRule;
-use zinniahatch_control::OrderGate;
+use zinniahatch_control::OrderLease;
 use zinniahatch_gateway::GatewayCore;
 use zinniahatch_platform::EngineClient;
 use zinniahatch_platform::ModelOrder;
@@ -23,7 +23,7 @@
 /// The lease and the gate that it opens.
 #[derive(Default)]
 struct OrderGiver {
-    gate: OrderGate,
+    gate: OrderLease,
     lease: Option<Box<str>>,
 }
 
@@ -50,7 +50,7 @@
     wanted
         && control.is_ready()
         && !control.is_leaving()
-        && control.has_duty(Instant::now(), DUTY, 1)
+        && control.holds_role(Instant::now(), DUTY, 1)
 }
 
 impl OrderGiver {
--- a/crates/zinniahatch_daemon/src/polls.rs
+++ b/crates/zinniahatch_daemon/src/polls.rs
@@ -4,7 +4,7 @@
 use tokio::task::JoinSet;
 use tokio::time::sleep;
 use zinniahatch_base::prelude::*;
-use zinniahatch_control::BackendMark;
+use zinniahatch_control::BackendStatus;
 use zinniahatch_gateway::GatewayCore;
 use zinniahatch_platform::EngineClient;
 use zinniahatch_platform::EngineLoad;
@@ -41,7 +41,7 @@
     let now = Instant::now();
     let mut replicas = Vec::new();
     for service in config.services.keys() {
-        if !control.keeps(now, service) {
+        if !control.coordinates(now, service) {
             continue;
         }
         for (name, backend) in config.backends_in(service, &core.identity.data_centre) {
@@ -64,17 +64,17 @@
     if let Ok(load) = result {
         misses.remove(&replica);
         let mark = if load.leaving {
-            BackendMark::Leaving
+            BackendStatus::Leaving
         } else {
-            BackendMark::Live
+            BackendStatus::Live
         };
-        backends.mark(now, tag, mark);
+        backends.set_status(now, tag, mark);
         backends.report_slots(tag, load.slots);
     } else {
         let count = misses.entry(replica).or_default();
         *count += 1;
         if *count >= MOST_MISSES {
-            backends.mark(now, tag, BackendMark::Unreached);
+            backends.set_status(now, tag, BackendStatus::Unreached);
         }
     }
 }
--- a/crates/zinniahatch_daemon/src/pump.rs
+++ b/crates/zinniahatch_daemon/src/pump.rs
@@ -30,8 +30,8 @@
             let output = control.tick(started);
             (
                 output,
-                control.take_decisions(),
-                control.ledger().revision(),
+                control.take_placements(),
+                control.syncer().revision(),
             )
         };
         if now_revision != revision {
@@ -39,7 +39,7 @@
             core.note_adopted(epoch_millis());
         }
         core.hand_out(decisions);
-        for parcel in &output.parcels {
+        for parcel in &output.frames {
             transport.send(&core, parcel);
         }
         for peer in &output.redials {
--- a/crates/zinniahatch_daemon/src/run.rs
+++ b/crates/zinniahatch_daemon/src/run.rs
@@ -26,9 +26,9 @@
 use zinniahatch_config::NodeSettings;
 use zinniahatch_config::RouteRule;
 use zinniahatch_control::ControlNode;
+use zinniahatch_control::FailurePolicy;
 use zinniahatch_control::NodeIdentity;
 use zinniahatch_control::RoutePolicy;
-use zinniahatch_control::VerdictPolicy;
 use zinniahatch_entry::run_entry;
 use zinniahatch_gateway::GatewayCore;
 use zinniahatch_gateway::GatewayParts;
@@ -168,7 +168,7 @@
         identity,
         &settings.seeds,
         now,
-        VerdictPolicy::MajorityReports,
+        FailurePolicy::MajorityReports,
         policy,
     );
     let store = KvClient::new(&settings.store);
--- a/crates/zinniahatch_daemon/src/transport.rs
+++ b/crates/zinniahatch_daemon/src/transport.rs
@@ -13,7 +13,7 @@
 use tokio::time::sleep;
 use tokio::time::timeout;
 use zinniahatch_base::prelude::*;
-use zinniahatch_control::FrameParcel;
+use zinniahatch_control::OutboundFrame;
 use zinniahatch_gateway::GatewayCore;
 use zinniahatch_protocol::FrameCodec;
 
@@ -46,7 +46,7 @@
     }
 
     /// Sends a frame, or drops it where the peer's queue is full.
-    pub(crate) fn send(&mut self, core: &GatewayCore, parcel: &FrameParcel) {
+    pub(crate) fn send(&mut self, core: &GatewayCore, parcel: &OutboundFrame) {
         let bytes = match self.codec.encode(&parcel.frame) {
             Ok(bytes) => bytes,
             Err(error) => {
--- a/crates/zinniahatch_daemon/src/watch.rs
+++ b/crates/zinniahatch_daemon/src/watch.rs
@@ -30,8 +30,8 @@
         let ready = {
             let control = core.control();
             let now = Instant::now();
-            let held = control.ledger().revision();
-            let newest = held > 0 && held >= control.newest_seen() && control.contacts_done(now);
+            let held = control.syncer().revision();
+            let newest = held > 0 && held >= control.newest_seen() && control.discovery_done(now);
             match result {
                 Some(revision) => held >= revision && newest,
                 None => tries > START_TRIES && newest,
--- a/crates/zinniahatch_gateway/src/admin.rs
+++ b/crates/zinniahatch_gateway/src/admin.rs
@@ -82,7 +82,7 @@
             ("GET", "status") => write_json(response, &status(core)),
             ("GET", "cluster") => write_json(response, &cluster(core).await),
             ("GET", "config") => write_json(response, &config(core)),
-            ("GET", "history") => write_json(response, &core.control().ledger().head().changes),
+            ("GET", "history") => write_json(response, &core.control().syncer().head().changes),
             ("GET", "backends") => write_json(response, &backends(core)),
             ("GET", "accounts") => write_json(response, &accounts(core, &operator)),
             ("GET", "report") => report(core, &operator, request, response).await,
@@ -112,10 +112,10 @@
         .pools()
         .values()
         .map(|pool| {
-            let slots = control.holder().slots(&pool.service);
+            let slots = control.leases().slots(&pool.service);
             PoolBody {
                 service: pool.service.clone(),
-                keeper: control.holder().keeper(&pool.service).cloned(),
+                keeper: control.leases().coordinator(&pool.service).cloned(),
                 capacity: pool.capacity,
                 free: pool.free,
                 waiting: pool.waiting,
@@ -126,12 +126,12 @@
         .collect();
     let remotes = control
         .remotes()
-        .centres()
+        .data_centres()
         .iter()
         .map(|(name, centre)| {
             (
                 name.clone(),
-                now.duration_since(centre.heard).as_millis() as u64,
+                now.duration_since(centre.received_at).as_millis() as u64,
             )
         })
         .collect();
@@ -139,7 +139,7 @@
         brief,
         pools,
         remotes,
-        lease_lapses: control.lapses(),
+        lease_lapses: control.expired_leases(),
     }
 }
 
@@ -154,7 +154,7 @@
                 .into_iter()
                 .map(|entry| entry.http),
         );
-        for centre in control.remotes().centres().values() {
+        for centre in control.remotes().data_centres().values() {
             addresses.extend(centre.entries.iter().map(|entry| entry.http.clone()));
         }
     }
@@ -166,9 +166,9 @@
 fn config(core: &GatewayCore) -> ConfigBody {
     let control = core.control();
     ConfigBody {
-        revision: control.ledger().revision(),
+        revision: control.syncer().revision(),
         preset: control.config().preset_name.clone(),
-        parts: control.ledger().texts(),
+        parts: control.syncer().texts(),
     }
 }
 
@@ -180,7 +180,7 @@
     for (name, backend) in &config.backends {
         let tag = tag_of(name);
         let slot = control
-            .holder()
+            .leases()
             .slots(&backend.service)
             .get(&tag)
             .copied()
--- a/crates/zinniahatch_gateway/src/admin_change.rs
+++ b/crates/zinniahatch_gateway/src/admin_change.rs
@@ -75,7 +75,7 @@
     let (before, text, shard) = {
         let control = core.control();
         let shard = account_shard(&ask.account);
-        let text = control.ledger().texts().remove(&shard).unwrap_or_default();
+        let text = control.syncer().texts().remove(&shard).unwrap_or_default();
         (
             control
                 .config()
@@ -118,7 +118,7 @@
     ask: &ChangeAsk,
     response: &mut Response,
 ) {
-    let local = |hash: &str| core.control().ledger().part(hash).map(Box::from);
+    let local = |hash: &str| core.control().syncer().part(hash).map(Box::from);
     let result = core.changes.apply(ask, &operator.operator, local).await;
     let (status, body) = match result {
         Ok(ChangeVerdict::Accepted(revision)) => (
--- a/crates/zinniahatch_gateway/src/admit.rs
+++ b/crates/zinniahatch_gateway/src/admit.rs
@@ -15,7 +15,7 @@
 use zinniahatch_config::ClusterConfig;
 use zinniahatch_config::ServiceEntry;
 use zinniahatch_config::WorkKind;
-use zinniahatch_control::AskScope;
+use zinniahatch_control::PlacementScope;
 use zinniahatch_protocol::EntryAddress;
 
 /// What is read of a request before its body.
@@ -44,7 +44,7 @@
     pub(crate) who: KnownCaller,
     pub(crate) work: WorkKind,
     pub(crate) once: bool,
-    pub(crate) scope: AskScope,
+    pub(crate) scope: PlacementScope,
     pub(crate) guest: bool,
     pub(crate) deadline: Instant,
     pub(crate) count: CountGuard,
@@ -68,9 +68,9 @@
             let once = service.is_once(head.method.as_str())
                 || headers::text(&head.headers, headers::REPEAT) == Some("once");
             let scope = if is_bound(&service, &head) {
-                AskScope::Region
+                PlacementScope::Region
             } else {
-                AskScope::Anywhere
+                PlacementScope::Anywhere
             };
             let work = narrowed_work(&service, &head.headers);
             let deadline = head.arrived + narrowed_deadline(&service, &head.headers);
@@ -146,7 +146,7 @@
     if region == &*core.identity.region {
         entries.extend(control.entries(now));
     }
-    for (name, centre) in control.remotes().centres() {
+    for (name, centre) in control.remotes().data_centres() {
         if config
             .topology
             .region_of(name)
