--- a/crates/zinniahatch_gateway/src/dispatch.rs
+++ b/crates/zinniahatch_gateway/src/dispatch.rs
@@ -18,8 +18,8 @@
 use zinniahatch_config::ServiceEntry;
 use zinniahatch_config::ServiceKind;
 use zinniahatch_config::WorkKind;
-use zinniahatch_control::AskScope;
-use zinniahatch_control::PlaceAsk;
+use zinniahatch_control::PlacementQuery;
+use zinniahatch_control::PlacementScope;
 use zinniahatch_protocol::EntryAddress;
 
 /// A request that is ready to be sent.
@@ -36,7 +36,7 @@
     pub(crate) key: Option<Box<str>>,
     pub(crate) once: bool,
     pub(crate) work: WorkKind,
-    pub(crate) scope: AskScope,
+    pub(crate) scope: PlacementScope,
     pub(crate) guest: bool,
     pub(crate) deadline: Instant,
     pub(crate) prefix: Option<ShortTag>,
@@ -63,8 +63,8 @@
         core: &GatewayCore,
         avoid: &BTreeSet<ShortTag>,
         avoid_centres: &BTreeSet<DataCentreId>,
-    ) -> PlaceAsk {
-        PlaceAsk {
+    ) -> PlacementQuery {
+        PlacementQuery {
             number: core.next_number(),
             service: self.service_name.clone(),
             account: self.who.account.clone(),
--- a/crates/zinniahatch_gateway/src/engine_stream.rs
+++ b/crates/zinniahatch_gateway/src/engine_stream.rs
@@ -244,8 +244,8 @@
             let prompt = self.usage().prompt_tokens.max(self.call.prompt);
             let mut control = self.core.control();
             control
-                .belief_mut()
-                .learn(Instant::now(), prefix, replica, prompt);
+                .prefix_caches_mut()
+                .record(Instant::now(), prefix, replica, prompt);
         }
     }
 
--- a/crates/zinniahatch_gateway/src/follow.rs
+++ b/crates/zinniahatch_gateway/src/follow.rs
@@ -34,12 +34,12 @@
             }
         };
         let revision = head.revision;
-        if revision < self.control().ledger().revision() {
+        if revision < self.control().syncer().revision() {
             // A store restored from a copy: nobody goes back.
             self.counters.store_behind.inc();
             return Some(revision);
         }
-        let missing = self.control().take_store(head.clone(), Vec::new());
+        let missing = self.control().apply_stored_config(head.clone(), Vec::new());
         let mut texts = Vec::new();
         for hash in missing {
             let part = self.changes.store().get(&part_key(&hash)).await;
@@ -49,7 +49,7 @@
             }
         }
         if !texts.is_empty() {
-            self.control().take_store(head, texts);
+            self.control().apply_stored_config(head, texts);
         }
         self.wake.notify_one();
         Some(revision)
--- a/crates/zinniahatch_gateway/src/keyed.rs
+++ b/crates/zinniahatch_gateway/src/keyed.rs
@@ -13,9 +13,9 @@
 use tokio::time::Instant as TokioInstant;
 use tokio::time::timeout_at;
 use zinniahatch_base::prelude::*;
-use zinniahatch_control::KeyBook;
 use zinniahatch_control::KeyClaim;
 use zinniahatch_control::KeyRefusal;
+use zinniahatch_control::KeyTable;
 use zinniahatch_control::MintedKey;
 use zinniahatch_control::NodeIdentity;
 
@@ -27,7 +27,7 @@
 /// Time after its deadline in which a run that was sent to no backend server ends.
 const REFUSAL_TIME: Duration = Duration::from_millis(500);
 
-type AnswerBook = KeyBook<Arc<KeptAnswer>>;
+type AnswerBook = KeyTable<Arc<KeptAnswer>>;
 
 /// The books of this incarnation and of those it took over.
 pub struct KeyShelf {
@@ -55,7 +55,7 @@
         limit: usize,
     ) -> Self {
         let own = (identity.node.clone(), identity.incarnation);
-        let book = KeyBook::new(&identity.node, identity.incarnation, secret, now, KEY_VALID);
+        let book = KeyTable::new(&identity.node, identity.incarnation, secret, now, KEY_VALID);
         Self {
             limit,
             kept: 0,
@@ -135,7 +135,7 @@
                     (number, digest, answer.map(Arc::new), buried)
                 })
                 .collect();
-            let inherited = KeyBook::inherit(
+            let inherited = KeyTable::inherit(
                 &book.node,
                 book.incarnation,
                 book.secret,
@@ -154,7 +154,7 @@
     fn keep(&mut self, key: &MintedKey, answer: &Arc<KeptAnswer>) {
         self.kept += answer.body.len();
         if let Some(book) = self.book(key) {
-            book.answer(key.number, Arc::clone(answer));
+            book.record_response(key.number, Arc::clone(answer));
         }
         if self.kept <= self.limit {
             return;
@@ -162,7 +162,7 @@
         // Down to half, so that the search for the oldest is not made for every answer.
         let share = self.limit / 2 / self.books.len().max(1);
         for book in self.books.values_mut() {
-            book.fit_answers(share, |answer| answer.body.len());
+            book.trim_responses(share, |answer| answer.body.len());
         }
         self.kept = self.limit / 2;
     }
@@ -240,7 +240,7 @@
         KeyClaim::Lost => refuse(ResultCode::AnswerForgotten),
         KeyClaim::Refused(KeyRefusal::Foreign) => refuse(ResultCode::KeyForeign),
         KeyClaim::Refused(KeyRefusal::Reused) => refuse(ResultCode::KeyReused),
-        KeyClaim::Refused(KeyRefusal::Buried) => refuse(ResultCode::KeyBuried),
+        KeyClaim::Refused(KeyRefusal::NotRun) => refuse(ResultCode::KeyBuried),
     }
 }
 
@@ -280,13 +280,13 @@
         }
         Err(refusal) if refusal.code.execution() == Execution::NotRun && !call.was_sent() => {
             if let Some(book) = keys.book(key) {
-                book.bury(key.number);
+                book.mark_not_run(key.number);
             }
             Err(refusal)
         }
         Err(mut refusal) => {
             if let Some(book) = keys.book(key) {
-                book.lose(key.number);
+                book.mark_lost(key.number);
             }
             if refusal.code.execution() == Execution::NotRun {
                 refusal.code = ResultCode::OutcomeUnknown;
--- a/crates/zinniahatch_gateway/src/observe.rs
+++ b/crates/zinniahatch_gateway/src/observe.rs
@@ -45,7 +45,7 @@
         let now = Instant::now();
         for service in config.services.keys() {
             let slots: u32 = control
-                .holder()
+                .leases()
                 .slots(service)
                 .values()
                 .map(|slot| u32::from(slot.limit))
@@ -57,11 +57,11 @@
             self.counters
                 .running
                 .with_label_values(&[&**service])
-                .set(i64::from(control.holder().running(service)));
+                .set(i64::from(control.leases().running(service)));
             self.counters
                 .waiting
                 .with_label_values(&[&**service])
-                .set(control.holder().waiting(service) as i64);
+                .set(control.leases().waiting(service) as i64);
         }
         let live = control
             .members()
@@ -71,6 +71,6 @@
             .count();
         self.counters.members.set(live as i64 + 1);
         self.counters.revision.set(config.revision as i64);
-        self.counters.lapses.set(control.lapses() as i64);
+        self.counters.lapses.set(control.expired_leases() as i64);
     }
 }
--- a/crates/zinniahatch_gateway/src/owner.rs
+++ b/crates/zinniahatch_gateway/src/owner.rs
@@ -95,7 +95,7 @@
 /// Gives the address of the node that holds a key's book, as far as this node knows.
 pub(crate) fn owner_address(core: &GatewayCore, key: &MintedKey) -> Option<Box<str>> {
     let control = core.control();
-    if let Some((_, entry)) = control.members().key_holder(&key.node, key.incarnation) {
+    if let Some((_, entry)) = control.members().key_owner(&key.node, key.incarnation) {
         return Some(entry.http.clone());
     }
     control
--- a/crates/zinniahatch_gateway/src/peer.rs
+++ b/crates/zinniahatch_gateway/src/peer.rs
@@ -32,8 +32,8 @@
 use zinniahatch_base::prelude::*;
 use zinniahatch_config::ServiceKind;
 use zinniahatch_config::WorkKind;
-use zinniahatch_control::AskScope;
 use zinniahatch_control::MintedKey;
+use zinniahatch_control::PlacementScope;
 
 /// Bytes of a handover; it carries every kept answer of the node that leaves.
 const HANDOVER_LIMIT: usize = 64 << 20;
@@ -88,7 +88,7 @@
             Ok(proven) => proven,
             Err(refusal) => return write_refusal(response, core, "", &refusal),
         };
-        proven.admitted.scope = AskScope::Here;
+        proven.admitted.scope = PlacementScope::Local;
         proven.admitted.guest = proven.admitted.who.entry.home != core.identity.region;
         let reply = run_guest(core, proven).await;
         let outcome = if matches!(reply, CallReply::Refused(..)) {
@@ -165,7 +165,7 @@
         let heirs = core.keys().inherit(now, note.books);
         let mut control = core.control();
         for (node, incarnation) in heirs {
-            control.add_heir(now, node, incarnation);
+            control.add_succession(now, node, incarnation);
         }
         drop(control);
         core.wake.notify_one();
@@ -322,9 +322,9 @@
         config,
         head,
         scope: if bound {
-            AskScope::Region
+            PlacementScope::Region
         } else {
-            AskScope::Anywhere
+            PlacementScope::Anywhere
         },
         service,
         who,
--- a/crates/zinniahatch_gateway/src/placing.rs
+++ b/crates/zinniahatch_gateway/src/placing.rs
@@ -7,15 +7,15 @@
 use std::sync::Mutex;
 use tokio::sync::oneshot;
 use zinniahatch_base::prelude::*;
-use zinniahatch_control::PlaceAsk;
-use zinniahatch_control::PlaceTicket;
 use zinniahatch_control::Placement;
+use zinniahatch_control::PlacementQuery;
+use zinniahatch_control::SlotPermit;
 use zinniahatch_protocol::EntryAddress;
 
 /// A slot in use; given back when dropped.
 pub(crate) struct SlotGuard {
     core: Arc<GatewayCore>,
-    ticket: PlaceTicket,
+    ticket: SlotPermit,
     refused: bool,
 }
 
@@ -37,7 +37,7 @@
 }
 
 impl SlotGuard {
-    fn new(core: &Arc<GatewayCore>, ticket: PlaceTicket) -> Self {
+    fn new(core: &Arc<GatewayCore>, ticket: SlotPermit) -> Self {
         Self {
             core: Arc::clone(core),
             ticket,
@@ -86,7 +86,7 @@
 }
 
 /// Gets a place for a request.
-pub(crate) async fn find_place(core: &Arc<GatewayCore>, ask: PlaceAsk) -> PlaceResult {
+pub(crate) async fn find_place(core: &Arc<GatewayCore>, ask: PlacementQuery) -> PlaceResult {
     let receiver = {
         let mut control = core.control();
         let placement = control.place(Instant::now(), &ask);
@@ -111,7 +111,7 @@
 }
 
 /// Gets a slot of this data centre if one is free now, for a hedge.
-pub(crate) fn find_now(core: &Arc<GatewayCore>, ask: &PlaceAsk) -> Option<SlotGuard> {
+pub(crate) fn find_now(core: &Arc<GatewayCore>, ask: &PlacementQuery) -> Option<SlotGuard> {
     let mut control = core.control();
     match control.place(Instant::now(), ask) {
         Placement::Run(ticket) => Some(SlotGuard::new(core, ticket)),
@@ -119,7 +119,7 @@
             control.withdraw(&ask.service, ask.number);
             None
         }
-        Placement::Away(..) | Placement::Refuse(..) => None,
+        Placement::Remote(..) | Placement::Refuse(..) => None,
     }
 }
 
@@ -141,7 +141,7 @@
 fn convert(core: &Arc<GatewayCore>, placement: Placement) -> PlaceResult {
     match placement {
         Placement::Run(ticket) => Ok(CallPlace::Slot(SlotGuard::new(core, ticket))),
-        Placement::Away(data_centre, entries) => Ok(CallPlace::Away(data_centre, entries)),
+        Placement::Remote(data_centre, entries) => Ok(CallPlace::Away(data_centre, entries)),
         Placement::Refuse(code, after) => Err(Box::new(CallRefusal::retry_after(code, after))),
         Placement::Wait => Err(Box::new(CallRefusal::new(ResultCode::QueueFull))),
     }
--- a/crates/zinniahatch_gateway/src/respond.rs
+++ b/crates/zinniahatch_gateway/src/respond.rs
@@ -118,7 +118,7 @@
     response.status_code(
         StatusCode::from_u16(refusal.code.status()).unwrap_or(StatusCode::BAD_GATEWAY),
     );
-    let revision = core.control().ledger().revision();
+    let revision = core.control().syncer().revision();
     write_marks(
         response,
         request,
--- a/crates/zinniahatch_gateway/src/run.rs
+++ b/crates/zinniahatch_gateway/src/run.rs
@@ -22,8 +22,8 @@
 use tokio::time::timeout;
 use tokio::time::timeout_at;
 use zinniahatch_base::prelude::*;
-use zinniahatch_control::AskScope;
-use zinniahatch_control::BackendMark;
+use zinniahatch_control::BackendStatus;
+use zinniahatch_control::PlacementScope;
 
 /// Attempts for one request, the first included.
 const MOST_ATTEMPTS: u32 = 6;
@@ -234,17 +234,17 @@
         SendFailure::NotSent => {
             core.control()
                 .backends_mut()
-                .mark(now, tag, BackendMark::Unreached);
+                .set_status(now, tag, BackendStatus::Unreached);
             guard.mark_refused();
             ("unreached", ResultCode::NoBackend)
         }
         SendFailure::Refused { leaving } => {
             let mark = if leaving {
-                BackendMark::Leaving
+                BackendStatus::Leaving
             } else {
-                BackendMark::Unreached
+                BackendStatus::Unreached
             };
-            core.control().backends_mut().mark(now, tag, mark);
+            core.control().backends_mut().set_status(now, tag, mark);
             guard.mark_refused();
             (
                 if leaving { "leaving" } else { "refused" },
@@ -254,7 +254,7 @@
         SendFailure::Broken => {
             core.control()
                 .backends_mut()
-                .mark(now, tag, BackendMark::Unreached);
+                .set_status(now, tag, BackendStatus::Unreached);
             if call.once {
                 return Err(Box::new(CallRefusal::new(ResultCode::OutcomeUnknown)));
             }
@@ -330,7 +330,7 @@
         }
     }
     let mut ask = call.ask(core, &avoid, &state.avoid_centres);
-    ask.scope = AskScope::Here;
+    ask.scope = PlacementScope::Local;
     if !core.hedge_budget().spend() {
         core.counters.hedges.with_label_values(&["no budget"]).inc();
         return None;
@@ -374,7 +374,7 @@
     }
     state.avoid_centres.insert(data_centre.clone());
     core.control()
-        .note_away_refused(Instant::now(), data_centre, &call.service_name);
+        .record_remote_refusal(Instant::now(), data_centre, &call.service_name);
     Ok(None)
 }
 
--- a/crates/zinniahatch_lab/src/experiments/verdicts.rs
+++ b/crates/zinniahatch_lab/src/experiments/verdicts.rs
@@ -9,10 +9,10 @@
 use serde::Serialize;
 use serde_json::json;
 use zinniahatch_base::prelude::*;
-use zinniahatch_control::HEARTBEAT_EVERY;
+use zinniahatch_control::FailurePolicy;
+use zinniahatch_control::HEARTBEAT_INTERVAL;
 use zinniahatch_control::MemberTable;
-use zinniahatch_control::VerdictPolicy;
-use zinniahatch_protocol::HeartbeatNote;
+use zinniahatch_protocol::Heartbeat;
 use zinniahatch_protocol::NodeFrame;
 
 /// Members of a data centre at design size.
@@ -44,8 +44,8 @@
         ("20% lost and one-way links", 0.2, 3),
     ] {
         for (name, policy) in [
-            ("own suspicion", VerdictPolicy::OwnSuspicion),
-            ("majority reports", VerdictPolicy::MajorityReports),
+            ("own suspicion", FailurePolicy::OwnSuspicion),
+            ("majority reports", FailurePolicy::MajorityReports),
         ] {
             let line = run_case(seed, case, name, policy, loss, one_way);
             println!(
@@ -70,7 +70,7 @@
     seed: u64,
     case: &'static str,
     name: &'static str,
-    policy: VerdictPolicy,
+    policy: FailurePolicy,
     loss: f64,
     one_way: usize,
 ) -> VerdictLine {
@@ -87,19 +87,19 @@
     let last = MEMBERS - 1;
     let dies = HOURS * STEPS_PER_HOUR - DEATH_AT;
     for step in 0..HOURS * STEPS_PER_HOUR {
-        now += HEARTBEAT_EVERY;
+        now += HEARTBEAT_INTERVAL;
         for from in 0..MEMBERS {
             if from == last && step >= dies {
                 continue;
             }
             let suspects = tables[from].suspects(now);
-            let vouches = tables[from].vouches(now);
+            let refuted = tables[from].refuted(now);
             for to in (0..MEMBERS).filter(|to| *to != from) {
                 let one_way = step >= ONE_WAY_FROM && from == 0 && deaf.contains(&to);
                 let lost = random.random::<f64>() < loss || one_way;
                 if !lost {
-                    let (frame, note) = heartbeat(from, step, suspects.clone(), vouches.clone());
-                    tables[to].hear(now, &frame, &note, 0);
+                    let (frame, note) = heartbeat(from, step, suspects.clone(), refuted.clone());
+                    tables[to].apply_heartbeat(now, &frame, &note, 0);
                 }
             }
         }
@@ -111,7 +111,7 @@
                 let fresh = failed && !judged[observer][subject];
                 judged[observer][subject] = failed;
                 if fresh && dead && observer != last {
-                    right.push((step - dies) as f64 * HEARTBEAT_EVERY.as_secs_f64());
+                    right.push((step - dies) as f64 * HEARTBEAT_INTERVAL.as_secs_f64());
                 }
                 wrong += u64::from(fresh && !dead && observer != last);
             }
@@ -140,20 +140,20 @@
     from: usize,
     step: u64,
     suspects: Vec<NodeId>,
-    vouches: Vec<NodeId>,
-) -> (NodeFrame, HeartbeatNote) {
+    refuted: Vec<NodeId>,
+) -> (NodeFrame, Heartbeat) {
     let name: NodeId = node(from).into();
-    let note = HeartbeatNote {
+    let note = Heartbeat {
         number: step + 1,
         echo: (0, 0),
         http: name.clone(),
         leaving: false,
         ready: true,
         suspects,
-        vouches,
+        refuted,
         leaving_backends: Vec::new(),
         pools: Vec::new(),
-        heir_of: Vec::new(),
+        successor_of: Vec::new(),
     };
     let frame = NodeFrame {
         sender: name.clone(),
--- a/crates/zinniahatch_protocol/src/frame.rs
+++ b/crates/zinniahatch_protocol/src/frame.rs
@@ -1,103 +1,103 @@
-//! Frames: all that one node has to say to another in one tick.
+//! Frames: the batch of messages that a node sends to another in one tick.
 
-use crate::CentreSummary;
-use crate::HeartbeatNote;
+use crate::DataCentreSummary;
+use crate::Heartbeat;
 use crate::SlotGrant;
 use crate::SlotReport;
 use thiserror::Error;
 use zinniahatch_base::prelude::*;
 
-/// Largest frame that is read; a larger one is refused before it is decoded.
+/// Maximum frame size; a larger frame is rejected before it is decoded.
 ///
-/// A configuration part holds up to a megabyte in the store, and a frame carries one part at least.
+/// A configuration part takes up to 1 MB in the store, and a frame must fit at least one part.
 pub const MAX_FRAME_BYTES: usize = 2 << 20;
 
-/// Bytes of the message authentication code before each frame.
+/// Length of the message authentication code (MAC) in front of each frame.
 const MAC_BYTES: usize = 16;
 
-/// Context string from which the frame key is derived, so that the secret serves other uses too.
+/// Key derivation context of the frame key; it separates this use of the secret from others.
 const KEY_CONTEXT: &str = "zinniahatch 2026 frames between nodes";
 
 domain! {
-    /// One frame.
+    /// A frame between two nodes.
     pub struct NodeFrame {
         /// The sending node.
         pub sender: NodeId,
-        /// Its incarnation.
+        /// Incarnation of the sender.
         pub incarnation: Incarnation,
-        /// Its data centre.
+        /// Data centre of the sender.
         pub data_centre: DataCentreId,
-        /// Its address for control messages.
+        /// The sender's address for control messages.
         pub peer: Box<str>,
-        /// The newest revision it holds in full.
+        /// The newest configuration revision that the sender holds completely.
         pub revision: Revision,
-        /// What it has to say.
+        /// The messages.
         pub messages: Vec<NodeMessage>,
     }
 
-    /// One message.
+    /// A message between two nodes.
     pub enum NodeMessage {
-        /// The sender lives, and what it knows of pools.
-        Heartbeat(HeartbeatNote),
-        /// Asks for the receiver's configuration head.
+        /// Liveness of the sender and the pool statuses it publishes.
+        Heartbeat(Heartbeat),
+        /// Requests the receiver's configuration head.
         HeadPull,
-        /// The encoded configuration head.
+        /// The configuration head as JSON.
         HeadOffer(Box<str>),
-        /// Asks for parts by digest.
+        /// Requests configuration parts by digest.
         PartPull(Vec<PartHash>),
-        /// The texts of parts; the receiver checks each digest.
+        /// Texts of configuration parts; the receiver verifies each digest.
         PartOffer(Vec<Box<str>>),
-        /// What a node holds and needs of a pool, to its keeper.
+        /// Slots that the sender holds and needs, sent to the pool coordinator.
         Report(SlotReport),
-        /// What a keeper lets a node hold of a pool.
+        /// Slots that a pool coordinator leases to the receiver.
         Grant(SlotGrant),
-        /// The state of another data centre.
-        Summary(CentreSummary),
-        /// Addresses of members the receiver may not know.
+        /// Capacity summary of another data centre.
+        Summary(DataCentreSummary),
+        /// Addresses of members that the receiver may not know.
         Members(Vec<(NodeId, DataCentreId, Box<str>)>),
-        /// Counts of what accounts were given, to their merger, who keeps them as the second copy.
-        Counts(CountsNote),
-        /// These numbers of a shard's counts of the receiver's incarnation are in the store.
+        /// Usage counts of accounts, sent to the merger, which keeps them as the second copy.
+        Counts(SealedCounts),
+        /// Confirms that batches of counts are in the store: shard, incarnation, batch numbers.
         CountsMerged(u16, Incarnation, Vec<u64>),
     }
 
-    /// Sealed counts of one shard of accounts.
-    pub struct CountsNote {
+    /// A sealed batch of usage counts of one shard of accounts.
+    pub struct SealedCounts {
         /// The shard.
         pub shard: u16,
-        /// Rises with each sealed sheet of the shard.
+        /// Increases with each sealed batch of the shard.
         pub number: u64,
-        /// Minute of the sealing, from the epoch.
+        /// Minutes since the epoch at which the batch was sealed.
         pub minute: u64,
-        /// Whether the sender stops and no counts follow.
+        /// Whether the sender is stopping and this is its last batch.
         pub last: bool,
-        /// The encoded sheet.
+        /// The encoded count table.
         pub rows: Vec<u8>,
     }
 }
 
-/// Why a frame was refused.
+/// Why a frame was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Error)]
 pub enum FrameError {
     /// The frame is larger than [`MAX_FRAME_BYTES`].
     #[error("the frame is too large")]
     TooLarge,
-    /// The code does not fit: another secret, or garbage.
-    #[error("the frame was not made with the shared secret")]
+    /// The MAC does not match: a different secret, or not a frame.
+    #[error("frame authentication failed: not signed with the shared secret")]
     Forged,
-    /// The code fits but the content cannot be read: another version.
+    /// The MAC matches but the content cannot be decoded: a different version.
     #[error("the frame cannot be decoded")]
     Malformed,
 }
 
-/// Encodes and decodes frames under the shared secret.
+/// Encodes and decodes frames that are authenticated with the shared secret.
 #[derive(Clone)]
 pub struct FrameCodec {
     key: [u8; 32],
 }
 
 impl FrameCodec {
-    /// Makes a codec from the secret of the settings.
+    /// Creates a codec from the shared secret of the settings.
     pub fn new(secret: &str) -> Self {
         Self {
             key: blake3::derive_key(KEY_CONTEXT, secret.as_bytes()),
@@ -108,7 +108,7 @@
     ///
     /// # Errors
     ///
-    /// Refuses a frame that no receiver would take.
+    /// Returns [`FrameError::TooLarge`] for a frame that receivers would reject.
     pub fn encode(&self, frame: &NodeFrame) -> Result<Vec<u8>, FrameError> {
         let head = vec![0_u8; MAC_BYTES];
         let mut bytes = postcard::to_extend(frame, head).map_err(|_| FrameError::Malformed)?;
@@ -122,11 +122,11 @@
 
     /// Decodes a frame.
     ///
-    /// The code is checked before anything is decoded, so garbage from outside costs one hash.
+    /// The MAC is verified before decoding, so an unauthenticated frame costs one hash.
     ///
     /// # Errors
     ///
-    /// Says why the frame was refused.
+    /// Returns why the frame was rejected.
     pub fn decode(&self, bytes: &[u8]) -> Result<NodeFrame, FrameError> {
         if bytes.len() > MAX_FRAME_BYTES {
             return Err(FrameError::TooLarge);
@@ -139,7 +139,7 @@
         expected[..MAC_BYTES].copy_from_slice(&mac.as_bytes()[..MAC_BYTES]);
         let mut given = [0_u8; 32];
         given[..MAC_BYTES].copy_from_slice(code);
-        // The library's comparison takes the same time for every input.
+        // `blake3::Hash` compares in constant time.
         if blake3::Hash::from_bytes(expected) != blake3::Hash::from_bytes(given) {
             return Err(FrameError::Forged);
         }
--- a/crates/zinniahatch_protocol/src/heartbeat.rs
+++ b/crates/zinniahatch_protocol/src/heartbeat.rs
@@ -1,49 +1,49 @@
-//! Heartbeats, pool states and summaries of data centres.
+//! Heartbeats, slot pool statuses and data centre summaries.
 
 use zinniahatch_base::prelude::*;
 
 domain! {
-    /// Says that the sender lives.
-    pub struct HeartbeatNote {
-        /// Counts the heartbeats from this sender to this receiver.
+    /// Periodic liveness message to a member of the same data centre.
+    pub struct Heartbeat {
+        /// Sequence number of the heartbeats from this sender to this receiver.
         pub number: u64,
-        /// The newest number that the sender has had from the receiver's named incarnation.
+        /// The receiver's incarnation and the newest sequence number that the sender received from it.
         pub echo: (Incarnation, u64),
-        /// Its address for callers.
+        /// The sender's address for callers.
         pub http: Box<str>,
-        /// Whether it is leaving and takes no new requests.
+        /// Whether the sender is leaving and accepts no new requests.
         pub leaving: bool,
-        /// Whether it serves, that is, holds a configuration.
+        /// Whether the sender serves requests, that is, has a configuration.
         pub ready: bool,
-        /// Members that the sender has not heard from in time.
+        /// Members whose heartbeats to the sender have timed out.
         pub suspects: Vec<NodeId>,
-        /// Members that others suspect and the sender hears.
-        pub vouches: Vec<NodeId>,
-        /// Backend servers that the sender knows to be leaving.
+        /// Members that others suspect but whose heartbeats reach the sender.
+        pub refuted: Vec<NodeId>,
+        /// Backend servers that the sender's own sources report as leaving.
         pub leaving_backends: Vec<ShortTag>,
-        /// States of the pools that the sender keeps, where they changed.
+        /// Changed statuses of the pools that the sender coordinates.
         pub pools: Vec<PoolStatus>,
-        /// Incarnations of other nodes whose keys and answers the sender took over.
-        pub heir_of: Vec<(NodeId, Incarnation)>,
+        /// Incarnations of other nodes whose idempotency keys and responses the sender took over.
+        pub successor_of: Vec<(NodeId, Incarnation)>,
     }
 
-    /// The state of one pool, told by its keeper.
+    /// Status of one service's slot pool, published by its coordinator.
     pub struct PoolStatus {
         /// The service.
         pub service: ServiceId,
-        /// Slots of usable backend servers.
+        /// Total slots of usable backend servers.
         pub capacity: u32,
-        /// Slots that nobody runs a request on.
+        /// Slots without a running request.
         pub free: u32,
         /// Requests waiting on all nodes.
         pub waiting: u32,
         /// Expected time that one request holds a slot, in milliseconds.
         pub hold_ms: u32,
-        /// Backend servers that take no new work.
+        /// Backend servers that accept no new work.
         pub unusable: Vec<ShortTag>,
     }
 
-    /// The address of an entry VM that callers or nodes may use.
+    /// Addresses of an entry VM for callers and other nodes.
     pub struct EntryAddress {
         /// The node.
         pub node: NodeId,
@@ -53,15 +53,15 @@
         pub peer: Box<str>,
     }
 
-    /// The state of one data centre, told to the others.
-    pub struct CentreSummary {
+    /// Capacity summary of one data centre, sent to the other data centres.
+    pub struct DataCentreSummary {
         /// The data centre.
         pub data_centre: DataCentreId,
-        /// Rises with each summary of this data centre; in milliseconds since the epoch.
+        /// Milliseconds since the epoch; increases with each summary of this data centre.
         pub stamp: u64,
-        /// The states of its pools, without the lists of backend servers.
+        /// Statuses of its pools, without the lists of unusable backend servers.
         pub pools: Vec<PoolStatus>,
-        /// Its serving entry VMs; left out where they have not changed.
+        /// A sample of its serving entry VMs; sent less often than the pool statuses.
         pub entries: Option<Vec<EntryAddress>>,
     }
 }
--- a/crates/zinniahatch_protocol/src/slots.rs
+++ b/crates/zinniahatch_protocol/src/slots.rs
@@ -1,61 +1,61 @@
-//! Leases on slots: a node's report of what it holds, and the keeper's grant.
+//! Slot leases: a node's report of its slots, and the grant of the pool coordinator.
 //!
-//! Both carry whole states and not changes, so a lost message costs a delay and nothing else.
+//! Both carry full state instead of deltas, so a lost message only delays convergence.
 
 use zinniahatch_base::prelude::*;
 
 domain! {
-    /// What a node holds of one backend server.
+    /// Slots that a node holds on one backend server.
     #[derive(Copy, Eq)]
-    pub struct SlotLine {
+    pub struct ReplicaSlots {
         /// The backend server.
         pub replica: ShortTag,
         /// Slots that the node may use.
         pub limit: u16,
-        /// Requests that it runs there.
+        /// Requests that the node runs there.
         pub running: u16,
     }
 
-    /// What a node runs and has waiting for one tenant, an account's one kind of work.
+    /// Running and queued requests of one tenant (an account and a kind of work) on a node.
     #[derive(Copy, Eq)]
-    pub struct TenantLine {
+    pub struct TenantLoad {
         /// The tenant.
         pub tenant: ShortTag,
         /// The tenant's weight in thousandths.
         pub weight: u32,
-        /// Requests running.
+        /// Running requests.
         pub running: u16,
-        /// Requests waiting.
+        /// Queued requests.
         pub waiting: u16,
     }
 
-    /// What a node holds and needs of one pool.
+    /// Slots that a node holds and needs of one pool.
     pub struct SlotReport {
         /// The service.
         pub service: ServiceId,
-        /// The number of the newest grant that the node obeys.
+        /// The number of the newest grant that the node has applied.
         pub applied: u64,
-        /// What it holds of each backend server.
-        pub slots: Vec<SlotLine>,
-        /// Who runs and waits; left empty while nobody waits and the pool is not contended.
-        pub tenants: Vec<TenantLine>,
-        /// Expected time that one request holds a slot, in milliseconds; 0 where not measured.
+        /// Slots held on each backend server.
+        pub slots: Vec<ReplicaSlots>,
+        /// Load per tenant; empty while no request is queued and the pool is not contended.
+        pub tenants: Vec<TenantLoad>,
+        /// Expected time that one request holds a slot, in milliseconds; 0 if not measured.
         pub hold_ms: u32,
         /// Backend servers that refused work or could not be reached.
         pub refused: Vec<ShortTag>,
     }
 
-    /// What a keeper lets a node hold of one pool.
+    /// Slots that a pool coordinator leases to a node.
     pub struct SlotGrant {
         /// The service.
         pub service: ServiceId,
-        /// Rises with each grant of this keeper to this node.
+        /// Increases with each grant of this coordinator to this node.
         pub number: u64,
-        /// Limit for each backend server; one not named has the limit 0.
+        /// Slot limit per backend server; a backend server that is not listed has the limit 0.
         pub limits: Vec<(ShortTag, u16)>,
-        /// Whether the pool is contended, so that the quotas bind.
+        /// Whether the pool is contended; the quotas are enforced only then.
         pub contended: bool,
-        /// Running requests allowed for each tenant that waits on this node.
+        /// Maximum running requests for each tenant of this node.
         pub quotas: Vec<(ShortTag, u16)>,
     }
 }
--- a/crates/zinniahatch_protocol/tests/frames.rs
+++ b/crates/zinniahatch_protocol/tests/frames.rs
@@ -1,4 +1,4 @@
-//! Frames from outside are refused before they are decoded.
+//! Unauthenticated and oversized frames are rejected before they are decoded.
 
 use test_case::test_case;
 use zinniahatch_protocol::FrameCodec;
