--- a/crates/zinniahatch_control/src/backends.rs
+++ b/crates/zinniahatch_control/src/backends.rs
@@ -45,11 +45,11 @@
 
     /// Returns the same without the coordinator's own report, for use by the coordinator.
     pub fn is_usable_locally(&self, now: Instant, replica: ShortTag) -> bool {
-        let told = |(at, tags): &(Instant, BTreeSet<ShortTag>)| {
+        let reported = |(at, tags): &(Instant, BTreeSet<ShortTag>)| {
             now.duration_since(*at) < LEAVING_TTL && tags.contains(&replica)
         };
         !self.is_leaving_locally(now, replica)
-            && !self.peer_leaving.values().any(told)
+            && !self.peer_leaving.values().any(reported)
             && self
                 .backoff_until
                 .get(&replica)
@@ -74,8 +74,8 @@
     }
 
     /// Applies a status from a poll or a request.
-    pub fn set_status(&mut self, now: Instant, replica: ShortTag, set_status: BackendStatus) {
-        match set_status {
+    pub fn set_status(&mut self, now: Instant, replica: ShortTag, status: BackendStatus) {
+        match status {
             BackendStatus::Live => {
                 self.leaving.remove(&replica);
                 self.backoff_until.remove(&replica);
--- a/crates/zinniahatch_control/src/cache.rs
+++ b/crates/zinniahatch_control/src/cache.rs
@@ -65,7 +65,8 @@
         }
     }
 
-    /// Removes one prefix after an eviction, or all prefixes of a replica after a gap in its events.
+    /// Removes a replica's record of a prefix after an eviction, or all its records after a gap in
+    /// its events.
     pub fn invalidate(&mut self, replica: ShortTag, prefix: Option<ShortTag>) {
         for (recorded, replicas) in &mut self.records {
             if prefix.is_none_or(|wanted| wanted == *recorded) {
--- a/crates/zinniahatch_control/src/keys.rs
+++ b/crates/zinniahatch_control/src/keys.rs
@@ -25,7 +25,7 @@
 /// Why a key was refused; its request did not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum KeyRefusal {
-    /// The MAC does not match, or the key belongs to another account or issuer.
+    /// The text is not a key, its MAC does not match, or it belongs to another account.
     #[error("the key was not issued here for this account")]
     Foreign,
     /// A different request has used it.
@@ -167,8 +167,8 @@
             .duration_since(self.started)
             .as_secs()
             .saturating_sub(key.minted_s);
-        // A used key may have been evicted after its validity, so an expired key that is not in the
-        // table may have been used.
+        // Used keys may be evicted after their validity, so an expired key may have been used even
+        // if it is not in the table.
         if age >= self.validity.as_secs() {
             return KeyClaim::Lost;
         }
@@ -233,7 +233,7 @@
         self.set(number, UsedState::NotRun);
     }
 
-    /// Evicts used keys and their responses after `retention`, or twice the validity of a key if longer.
+    /// Evicts used keys and their responses after `retention`, but not before twice the validity.
     ///
     /// Keys of running requests stay.
     pub fn sweep(&mut self, now: Instant, retention: Duration) {
--- a/crates/zinniahatch_control/src/members.rs
+++ b/crates/zinniahatch_control/src/members.rs
@@ -97,16 +97,16 @@
     ///
     /// They include this node, unless it is excluded and other members are eligible.
     pub fn eligible_members(&self, now: Instant, exclude_self: bool) -> Vec<NodeId> {
-        let mut eligible_members: Vec<NodeId> = self
+        let mut eligible: Vec<NodeId> = self
             .entries
             .iter()
             .filter(|(name, entry)| entry.ready && !entry.leaving && self.is_live(now, name))
             .map(|(name, _)| name.clone())
             .collect();
-        if !exclude_self || eligible_members.is_empty() {
-            eligible_members.push(self.me.clone());
+        if !exclude_self || eligible.is_empty() {
+            eligible.push(self.me.clone());
         }
-        eligible_members
+        eligible
     }
 
     /// Returns the send time of the newest heartbeat that the member echoed.
@@ -175,7 +175,7 @@
             .is_none_or(|entry| entry.incarnation != frame.incarnation);
         if is_new {
             // The sequence of heartbeats to this name continues: a restarted member may have received
-            // some before its first heartbeat arrived here, and would drop lower numbers as reordered.
+            // some before its first one arrived here, and would drop lower numbers as reordered.
             let number = self
                 .entries
                 .get(&frame.sender)
@@ -310,11 +310,8 @@
 }
 
 /// Returns the eligible member with the highest rendezvous rank for an object.
-pub(crate) fn rendezvous_owner<'a>(
-    object: &str,
-    eligible_members: &'a [NodeId],
-) -> Option<&'a NodeId> {
-    eligible_members
+pub(crate) fn rendezvous_owner<'a>(object: &str, eligible: &'a [NodeId]) -> Option<&'a NodeId> {
+    eligible
         .iter()
         .max_by_key(|name| rendezvous_rank(object, name))
 }
--- a/crates/zinniahatch_control/src/node.rs
+++ b/crates/zinniahatch_control/src/node.rs
@@ -90,7 +90,7 @@
 /// The coordinators of all pools, and the inputs they were computed from.
 #[derive(Debug, Default)]
 struct CoordinatorCache {
-    eligible_members: Vec<NodeId>,
+    eligible: Vec<NodeId>,
     revision: Revision,
     coordinators: BTreeMap<ServiceId, NodeId>,
 }
@@ -135,7 +135,7 @@
         identity: NodeIdentity,
         seeds: &[Box<str>],
         now: Instant,
-        verdict: FailurePolicy,
+        failure_policy: FailurePolicy,
         policy: RoutePolicy,
     ) -> Self {
         let contacts = seeds
@@ -148,7 +148,7 @@
             MAX_PULL_DELAY.mul_f64((identity.incarnation % 1_024) as f64 / 1_024.0),
         );
         Self {
-            members: MemberTable::new(&identity.node, verdict),
+            members: MemberTable::new(&identity.node, failure_policy),
             random: identity.incarnation | 1,
             identity,
             syncer,
@@ -191,7 +191,7 @@
         Arc::clone(self.syncer.config())
     }
 
-    /// Returns the configuration state.
+    /// Returns the configuration syncer.
     pub fn syncer(&self) -> &ConfigSyncer {
         &self.syncer
     }
@@ -253,11 +253,11 @@
 
     /// Returns whether this node is one of the `count` nodes that hold a role in the data centre.
     pub fn holds_role(&self, now: Instant, role: &str, count: usize) -> bool {
-        let mut eligible_members = self
+        let mut eligible = self
             .members
             .eligible_members(now, self.leaving || !self.ready);
-        eligible_members.sort_by_key(|name| std::cmp::Reverse(rendezvous_rank(role, name)));
-        eligible_members
+        eligible.sort_by_key(|name| std::cmp::Reverse(rendezvous_rank(role, name)));
+        eligible
             .iter()
             .take(count)
             .any(|name| *name == self.identity.node)
@@ -270,27 +270,27 @@
 
     /// Returns whether this node coordinates a service's pool.
     pub fn coordinates(&self, now: Instant, service: &str) -> bool {
-        let eligible_members = self
+        let eligible = self
             .members
             .eligible_members(now, self.leaving || !self.ready);
-        rendezvous_owner(service, &eligible_members).is_some_and(|name| *name == self.identity.node)
+        rendezvous_owner(service, &eligible).is_some_and(|name| *name == self.identity.node)
     }
 
     /// Returns the node that holds a role in the data centre.
     pub fn role_holder(&self, now: Instant, role: &str) -> Option<NodeId> {
-        let eligible_members = self
+        let eligible = self
             .members
             .eligible_members(now, self.leaving || !self.ready);
-        rendezvous_owner(role, &eligible_members).cloned()
+        rendezvous_owner(role, &eligible).cloned()
     }
 
     /// Returns the node that holds a role concerning a member, which is never that member itself.
     pub fn role_holder_except(&self, now: Instant, role: &str, member: &str) -> Option<NodeId> {
-        let mut eligible_members = self
+        let mut eligible = self
             .members
             .eligible_members(now, self.leaving || !self.ready);
-        eligible_members.retain(|name| &**name != member);
-        rendezvous_owner(role, &eligible_members).cloned()
+        eligible.retain(|name| &**name != member);
+        rendezvous_owner(role, &eligible).cloned()
     }
 
     /// Queues a message for a member, or processes it directly if the member is this node.
@@ -319,8 +319,8 @@
 
     /// Returns the newest configuration revision seen here or on nodes of other data centres.
     pub fn newest_seen(&self) -> Revision {
-        let remote_revisions = self.remote_revisions.values().copied().max().unwrap_or(0);
-        remote_revisions.max(self.syncer.revision())
+        let newest_remote = self.remote_revisions.values().copied().max().unwrap_or(0);
+        newest_remote.max(self.syncer.revision())
     }
 
     /// Returns whether all contacts have replied or had time to do so.
--- a/crates/zinniahatch_control/src/node/pools.rs
+++ b/crates/zinniahatch_control/src/node/pools.rs
@@ -45,23 +45,23 @@
 impl ControlNode {
     /// Returns the coordinator of each pool; recomputed only if members or configuration changed.
     pub(super) fn coordinators(&mut self, now: Instant) -> BTreeMap<ServiceId, NodeId> {
-        let eligible_members = self
+        let eligible = self
             .members
             .eligible_members(now, self.leaving || !self.ready);
         let revision = self.syncer.revision();
-        if self.coordinator_cache.eligible_members == eligible_members
+        if self.coordinator_cache.eligible == eligible
             && self.coordinator_cache.revision == revision
         {
             return self.coordinator_cache.coordinators.clone();
         }
         let mut coordinators = BTreeMap::new();
         for service in self.syncer.config().services.keys() {
-            if let Some(owner) = rendezvous_owner(service, &eligible_members) {
+            if let Some(owner) = rendezvous_owner(service, &eligible) {
                 coordinators.insert(service.clone(), owner.clone());
             }
         }
         self.coordinator_cache = CoordinatorCache {
-            eligible_members,
+            eligible,
             revision,
             coordinators: coordinators.clone(),
         };
@@ -82,8 +82,7 @@
         for (name, entry) in self.members.entries() {
             known.insert(name.clone(), entry.last_heard);
         }
-        // A new coordinator may have received nothing from a member that is silent at the moment, and
-        // may know it only from the member lists of others.
+        // A new coordinator may know a silent member only from the member lists of others.
         self.reported_members
             .retain(|_, at| now.duration_since(*at) <= LEASE_TTL + LEASE_MARGIN);
         for (name, at) in &self.reported_members {
--- a/crates/zinniahatch_control/src/node/routing.rs
+++ b/crates/zinniahatch_control/src/node/routing.rs
@@ -317,8 +317,9 @@
         entries
     }
 
-    /// Returns a pseudo-random number below a bound from this node's own xorshift sequence, so that a
-    /// replay yields the same numbers.
+    /// Returns a pseudo-random number below a bound.
+    ///
+    /// It comes from the node's own xorshift sequence, so that a replay yields the same numbers.
     fn draw(&mut self, bound: usize) -> usize {
         self.random ^= self.random << 13;
         self.random ^= self.random >> 7;
--- a/crates/zinniahatch_control/src/node/sending.rs
+++ b/crates/zinniahatch_control/src/node/sending.rs
@@ -66,9 +66,9 @@
             .collect();
         for (name, peer) in names {
             let (number, echo) = self.members.next_heartbeat(now, &name);
-            let build_heartbeat =
+            let heartbeat =
                 self.build_heartbeat(now, number, echo, suspects.clone(), pools.clone());
-            self.send(&peer, NodeMessage::Heartbeat(build_heartbeat));
+            self.send(&peer, NodeMessage::Heartbeat(heartbeat));
             for summary in &summaries {
                 self.send(&peer, NodeMessage::Summary(summary.clone()));
             }
@@ -105,14 +105,14 @@
             if self.coordinator_cache.coordinators.get(service) != Some(&self.identity.node) {
                 continue;
             }
-            let fresh = self
+            let due = self
                 .announced_pools
                 .get(service)
-                .is_none_or(|(announced_pools, at)| {
-                    changed_significantly(announced_pools, status)
+                .is_none_or(|(announced, at)| {
+                    changed_significantly(announced, status)
                         || now.duration_since(*at) >= REFRESH_INTERVAL
                 });
-            if fresh {
+            if due {
                 unannounced.push(status.clone());
             }
         }
@@ -133,8 +133,8 @@
             .collect();
         for peer in due {
             self.contacts.insert(peer.clone(), Some(now));
-            let build_heartbeat = self.build_heartbeat(now, 0, (0, 0), Vec::new(), Vec::new());
-            self.send(&peer, NodeMessage::Heartbeat(build_heartbeat));
+            let heartbeat = self.build_heartbeat(now, 0, (0, 0), Vec::new(), Vec::new());
+            self.send(&peer, NodeMessage::Heartbeat(heartbeat));
         }
     }
 
@@ -152,7 +152,7 @@
     /// Each link has its own sender by rendezvous rank, so that the 23 links of a data centre at
     /// design size are spread over its nodes.
     fn send_summaries(&mut self, now: Instant) {
-        let eligible_members = self
+        let eligible = self
             .members
             .eligible_members(now, self.leaving || !self.ready);
         let with_entries = now >= self.next_entries;
@@ -163,11 +163,11 @@
         let mut targets = Vec::new();
         for (name, centre) in self.remotes.data_centres() {
             let link = format!("link/{name}");
-            if rendezvous_owner(&link, &eligible_members) != Some(&self.identity.node) {
+            if rendezvous_owner(&link, &eligible) != Some(&self.identity.node) {
                 continue;
             }
-            // The receiver changes every second, so that a failed entry VM cannot block the link, and
-            // differs between data centres, so that they do not all send to the same one.
+            // The receiver changes every second, so that a failed entry VM cannot block the link,
+            // and differs between data centres, so that they do not all send to the same one.
             let turn = format!("{}/{}", self.identity.data_centre, stamp / 1_000);
             if let Some(entry) = centre
                 .entries
@@ -199,10 +199,10 @@
 }
 
 /// Returns whether a pool's status differs enough to be sent with the next heartbeat.
-fn changed_significantly(announced_pools: &PoolStatus, status: &PoolStatus) -> bool {
+fn changed_significantly(announced: &PoolStatus, status: &PoolStatus) -> bool {
     let step = (status.capacity / 16).max(1);
-    announced_pools.capacity != status.capacity
-        || announced_pools.unusable != status.unusable
-        || announced_pools.free.abs_diff(status.free) >= step
-        || announced_pools.waiting.abs_diff(status.waiting) >= step
+    announced.capacity != status.capacity
+        || announced.unusable != status.unusable
+        || announced.free.abs_diff(status.free) >= step
+        || announced.waiting.abs_diff(status.waiting) >= step
 }
--- a/crates/zinniahatch_control/src/placement.rs
+++ b/crates/zinniahatch_control/src/placement.rs
@@ -7,7 +7,7 @@
 /// Where a request may run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum PlacementScope {
-    /// Only in this data centre; forwarded requests have this scope, so they are not forwarded again.
+    /// Only in this data centre; prevents forwarded requests from being forwarded again.
     Local,
     /// In any data centre of this region.
     Region,
--- a/crates/zinniahatch_control/tests/orders.rs
+++ b/crates/zinniahatch_control/tests/orders.rs
@@ -45,9 +45,9 @@
     let start = Instant::now();
     let mut old = OrderLease::default();
     old.acquired(start, 7, TTL);
-    let lapse = start + TTL;
+    let expiry = start + TTL;
     let mut new = OrderLease::default();
-    new.acquired(lapse, 8, TTL);
+    new.acquired(expiry, 8, TTL);
     let step = Duration::from_millis(10);
     let times = (0..2_000).map(|count| start + step * count);
     let last_old = times
@@ -56,7 +56,7 @@
         .max()
         .expect("the old holder may send orders");
     let first_new = times
-        .filter(|at| *at >= lapse && new.permit(*at, false).is_some())
+        .filter(|at| *at >= expiry && new.permit(*at, false).is_some())
         .min()
         .expect("the new holder may send orders");
     assert!(first_new.duration_since(last_old) > ORDER_TIME);
--- a/crates/zinniahatch_protocol/src/heartbeat.rs
+++ b/crates/zinniahatch_protocol/src/heartbeat.rs
@@ -3,11 +3,11 @@
 use zinniahatch_base::prelude::*;
 
 domain! {
-    /// Periodic liveness message to a member of the same data centre.
+    /// Periodic liveness message to another node.
     pub struct Heartbeat {
         /// Sequence number of the heartbeats from this sender to this receiver.
         pub number: u64,
-        /// The receiver's incarnation and the newest sequence number that the sender received from it.
+        /// The receiver's incarnation and the newest sequence number received from it.
         pub echo: (Incarnation, u64),
         /// The sender's address for callers.
         pub http: Box<str>,
