--- a/crates/zinniahatch_daemon/src/counts.rs
+++ b/crates/zinniahatch_daemon/src/counts.rs
@@ -13,8 +13,8 @@
 use zinniahatch_gateway::hour_key;
 use zinniahatch_platform::PutOutcome;
 use zinniahatch_platform::StoreClient;
-use zinniahatch_protocol::CountsNote;
 use zinniahatch_protocol::NodeMessage;
+use zinniahatch_protocol::SealedCounts;
 use zinniahatch_report::CountTable;
 use zinniahatch_report::HourlyCounts;
 use zinniahatch_report::MergeQueue;
@@ -58,13 +58,13 @@
                 core.counts().note_merged(shard, &numbers, Instant::now());
             }
         }
-        for (node, incarnation) in output.returns {
+        for (node, incarnation) in output.recovered {
             self.lock().note_alive(&node, incarnation);
         }
-        for (node, incarnation) in output.deaths {
+        for (node, incarnation) in output.failed {
             let recorder = core
                 .control()
-                .duty_owner_about(Instant::now(), &role(0), &node);
+                .role_holder_except(Instant::now(), &role(0), &node);
             if recorder.as_ref() == Some(&core.identity.node) {
                 self.lock().note_death(&node, incarnation, epoch_minute());
             }
@@ -90,7 +90,7 @@
         let control = core.control();
         let mut buffer = core.counts();
         buffer.seal(epoch_minute());
-        buffer.take_due(now, timeout, |shard| control.duty_owner(now, &role(shard)))
+        buffer.take_due(now, timeout, |shard| control.role_holder(now, &role(shard)))
     };
     update_metrics(core);
     let last = merger.closing.load(std::sync::atomic::Ordering::SeqCst);
@@ -100,7 +100,7 @@
             count_dropped_message(core, "counts-unwritable");
             continue;
         };
-        let note = CountsNote {
+        let note = SealedCounts {
             shard,
             number: sealed.number,
             minute: sealed.minute,
@@ -255,7 +255,7 @@
 
 fn is_merger(core: &GatewayCore, shard: u16) -> bool {
     core.control()
-        .duty_owner(Instant::now(), &role(shard))
+        .role_holder(Instant::now(), &role(shard))
         .is_some_and(|owner| owner == core.identity.node)
 }
 
--- a/crates/zinniahatch_daemon/src/directory.rs
+++ b/crates/zinniahatch_daemon/src/directory.rs
@@ -89,9 +89,11 @@
         sleep(VM_LIST_INTERVAL).await;
         if !core
             .control()
-            .has_duty(Instant::now(), VM_LIST_ROLE, VM_LIST_NODES)
+            .holds_role(Instant::now(), VM_LIST_ROLE, VM_LIST_NODES)
         {
-            core.control().backends_mut().take_list(BTreeSet::new());
+            core.control()
+                .backends_mut()
+                .set_listed_leaving(BTreeSet::new());
             continue;
         }
         let Ok(vms) = list.list(&core.identity.data_centre).await else {
@@ -102,7 +104,7 @@
             .filter(|vm| vm.kind == VmKind::Backend && vm.state == VmState::Leaving)
             .map(|vm| tag_of(&vm.name))
             .collect();
-        core.control().backends_mut().take_list(leaving);
+        core.control().backends_mut().set_listed_leaving(leaving);
     }
 }
 
@@ -136,6 +138,6 @@
     for (data_centre, addresses) in remote {
         control
             .remotes_mut()
-            .take_directory(now, &data_centre, addresses);
+            .set_directory_entries(now, &data_centre, addresses);
     }
 }
--- a/crates/zinniahatch_daemon/src/orders.rs
+++ b/crates/zinniahatch_daemon/src/orders.rs
@@ -6,7 +6,7 @@
 use zinniahatch_base::prelude::*;
 use zinniahatch_config::BackendEntry;
 use zinniahatch_config::FencingRule;
-use zinniahatch_control::OrderGate;
+use zinniahatch_control::OrderLease;
 use zinniahatch_gateway::GatewayCore;
 use zinniahatch_platform::EngineClient;
 use zinniahatch_platform::ModelOrder;
@@ -23,7 +23,7 @@
 /// The lease, and the gate that permits orders while the lease is held.
 #[derive(Default)]
 struct OrderIssuer {
-    gate: OrderGate,
+    gate: OrderLease,
     lease: Option<Box<str>>,
 }
 
@@ -50,7 +50,7 @@
     has_models
         && control.is_ready()
         && !control.is_leaving()
-        && control.has_duty(Instant::now(), ORDER_ROLE, 1)
+        && control.holds_role(Instant::now(), ORDER_ROLE, 1)
 }
 
 impl OrderIssuer {
--- a/crates/zinniahatch_daemon/src/transport.rs
+++ b/crates/zinniahatch_daemon/src/transport.rs
@@ -13,7 +13,7 @@
 use tokio::time::sleep;
 use tokio::time::timeout;
 use zinniahatch_base::prelude::*;
-use zinniahatch_control::FrameParcel;
+use zinniahatch_control::OutboundFrame;
 use zinniahatch_gateway::GatewayCore;
 use zinniahatch_protocol::FrameCodec;
 
@@ -47,7 +47,7 @@
     }
 
     /// Queues a frame for its peer, or drops it if the queue is full.
-    pub(crate) fn send(&mut self, core: &GatewayCore, parcel: &FrameParcel) {
+    pub(crate) fn send(&mut self, core: &GatewayCore, parcel: &OutboundFrame) {
         let bytes = match self.codec.encode(&parcel.frame) {
             Ok(bytes) => bytes,
             Err(error) => {
--- a/crates/zinniahatch_daemon/src/watch.rs
+++ b/crates/zinniahatch_daemon/src/watch.rs
@@ -31,9 +31,9 @@
         let ready = {
             let control = core.control();
             let now = Instant::now();
-            let held = control.ledger().revision();
+            let held = control.syncer().revision();
             let up_to_date =
-                held > 0 && held >= control.newest_seen() && control.contacts_done(now);
+                held > 0 && held >= control.newest_seen() && control.discovery_done(now);
             match result {
                 Some(revision) => held >= revision && up_to_date,
                 None => reads > MAX_START_READS && up_to_date,
--- a/crates/zinniahatch_gateway/src/admin_change.rs
+++ b/crates/zinniahatch_gateway/src/admin_change.rs
@@ -75,7 +75,7 @@
     let (before, text, shard) = {
         let control = core.control();
         let shard = account_shard(&account_change.account);
-        let text = control.ledger().texts().remove(&shard).unwrap_or_default();
+        let text = control.syncer().texts().remove(&shard).unwrap_or_default();
         (
             control
                 .config()
@@ -118,7 +118,7 @@
     change: &ChangeRequest,
     response: &mut Response,
 ) {
-    let local = |hash: &str| core.control().ledger().part(hash).map(Box::from);
+    let local = |hash: &str| core.control().syncer().part(hash).map(Box::from);
     let result = core
         .config_updater
         .apply(change, &operator.operator, local)
--- a/crates/zinniahatch_gateway/src/admit.rs
+++ b/crates/zinniahatch_gateway/src/admit.rs
@@ -16,7 +16,7 @@
 use zinniahatch_config::ClusterConfig;
 use zinniahatch_config::ServiceEntry;
 use zinniahatch_config::WorkKind;
-use zinniahatch_control::AskScope;
+use zinniahatch_control::PlacementScope;
 use zinniahatch_protocol::EntryAddress;
 
 /// Parts of a request that are read before its body.
@@ -46,7 +46,7 @@
     pub(crate) who: CallerIdentity,
     pub(crate) work: WorkKind,
     pub(crate) at_most_once: bool,
-    pub(crate) scope: AskScope,
+    pub(crate) scope: PlacementScope,
     pub(crate) guest: bool,
     pub(crate) deadline: Instant,
     pub(crate) count: CountGuard,
@@ -70,9 +70,9 @@
             let at_most_once = service.is_once(head.method.as_str())
                 || headers::text(&head.headers, headers::REPEAT) == Some("once");
             let scope = if is_bound(&service, &head) {
-                AskScope::Region
+                PlacementScope::Region
             } else {
-                AskScope::Anywhere
+                PlacementScope::Anywhere
             };
             let work = effective_work(&service, &head.headers);
             let deadline = head.arrived + effective_deadline(&service, &head.headers);
@@ -148,7 +148,7 @@
     if region == &*core.identity.region {
         entries.extend(control.entries(now));
     }
-    for (name, centre) in control.remotes().centres() {
+    for (name, centre) in control.remotes().data_centres() {
         if config
             .topology
             .region_of(name)
--- a/crates/zinniahatch_gateway/src/dispatch.rs
+++ b/crates/zinniahatch_gateway/src/dispatch.rs
@@ -18,8 +18,8 @@
 use zinniahatch_config::ServiceEntry;
 use zinniahatch_config::ServiceKind;
 use zinniahatch_config::WorkKind;
-use zinniahatch_control::AskScope;
-use zinniahatch_control::PlaceAsk;
+use zinniahatch_control::PlacementQuery;
+use zinniahatch_control::PlacementScope;
 use zinniahatch_protocol::EntryAddress;
 
 /// A request that is ready to be sent.
@@ -38,7 +38,7 @@
     /// Whether the request must not run twice.
     pub(crate) at_most_once: bool,
     pub(crate) work: WorkKind,
-    pub(crate) scope: AskScope,
+    pub(crate) scope: PlacementScope,
     /// Whether another data centre sent the request and its account has another home region.
     pub(crate) guest: bool,
     pub(crate) deadline: Instant,
@@ -70,8 +70,8 @@
         core: &GatewayCore,
         avoid: &BTreeSet<ShortTag>,
         avoid_centres: &BTreeSet<DataCentreId>,
-    ) -> PlaceAsk {
-        PlaceAsk {
+    ) -> PlacementQuery {
+        PlacementQuery {
             number: core.next_number(),
             service: self.service_name.clone(),
             account: self.who.account.clone(),
--- a/crates/zinniahatch_gateway/src/engine_stream.rs
+++ b/crates/zinniahatch_gateway/src/engine_stream.rs
@@ -128,7 +128,7 @@
                         return Ok(Some(events));
                     }
                     Ok(None) => "ended early",
-                    Err(_) => "broken",
+                    Err(_) => "broken"
                 },
                 () = &mut self.stall_timer => {
                     let now = Instant::now();
@@ -251,8 +251,8 @@
             let prompt = self.usage().prompt_tokens.max(self.outbound.prompt);
             let mut control = self.core.control();
             control
-                .belief_mut()
-                .learn(Instant::now(), prefix, replica, prompt);
+                .prefix_caches_mut()
+                .record(Instant::now(), prefix, replica, prompt);
         }
     }
 
--- a/crates/zinniahatch_gateway/src/idempotency.rs
+++ b/crates/zinniahatch_gateway/src/idempotency.rs
@@ -14,9 +14,9 @@
 use tokio::time::Instant as TokioInstant;
 use tokio::time::timeout_at;
 use zinniahatch_base::prelude::*;
-use zinniahatch_control::KeyBook;
 use zinniahatch_control::KeyClaim;
 use zinniahatch_control::KeyRefusal;
+use zinniahatch_control::KeyTable;
 use zinniahatch_control::MintedKey;
 use zinniahatch_control::NodeIdentity;
 
@@ -28,7 +28,7 @@
 /// Time after its deadline within which a run that was sent to no backend server ends.
 const REFUSAL_GRACE: Duration = Duration::from_millis(500);
 
-type ResponseTable = KeyBook<Arc<CachedResponse>>;
+type ResponseTable = KeyTable<Arc<CachedResponse>>;
 
 /// Key tables of this incarnation and of those that it took over.
 pub struct KeyTables {
@@ -56,7 +56,7 @@
         limit: usize,
     ) -> Self {
         let own = (identity.node.clone(), identity.incarnation);
-        let table = KeyBook::new(
+        let table = KeyTable::new(
             &identity.node,
             identity.incarnation,
             secret,
@@ -142,7 +142,7 @@
                     (number, digest, response.map(Arc::new), invalidated)
                 })
                 .collect();
-            let inherited = KeyBook::inherit(
+            let inherited = KeyTable::inherit(
                 &table.node,
                 table.incarnation,
                 table.secret,
@@ -162,7 +162,7 @@
     fn store_response(&mut self, key: &MintedKey, response: &Arc<CachedResponse>) {
         self.cached_bytes += response.body.len();
         if let Some(table) = self.table(key) {
-            table.answer(key.number, Arc::clone(response));
+            table.record_response(key.number, Arc::clone(response));
         }
         if self.cached_bytes <= self.limit {
             return;
@@ -171,7 +171,7 @@
         // every call.
         let share = self.limit / 2 / self.tables.len().max(1);
         for table in self.tables.values_mut() {
-            table.fit_answers(share, |response| response.body.len());
+            table.trim_responses(share, |response| response.body.len());
         }
         self.cached_bytes = self.limit / 2;
     }
@@ -250,7 +250,7 @@
         KeyClaim::Lost => refuse(ResultCode::AnswerForgotten),
         KeyClaim::Refused(KeyRefusal::Foreign) => refuse(ResultCode::KeyForeign),
         KeyClaim::Refused(KeyRefusal::Reused) => refuse(ResultCode::KeyReused),
-        KeyClaim::Refused(KeyRefusal::Buried) => refuse(ResultCode::KeyBuried),
+        KeyClaim::Refused(KeyRefusal::NotRun) => refuse(ResultCode::KeyBuried),
     }
 }
 
@@ -290,13 +290,13 @@
         }
         Err(refusal) if refusal.code.execution() == Execution::NotRun && !outbound.was_sent() => {
             if let Some(table) = keys.table(key) {
-                table.bury(key.number);
+                table.mark_not_run(key.number);
             }
             Err(refusal)
         }
         Err(mut refusal) => {
             if let Some(table) = keys.table(key) {
-                table.lose(key.number);
+                table.mark_lost(key.number);
             }
             if refusal.code.execution() == Execution::NotRun {
                 refusal.code = ResultCode::OutcomeUnknown;
--- a/crates/zinniahatch_gateway/src/key_owner.rs
+++ b/crates/zinniahatch_gateway/src/key_owner.rs
@@ -95,7 +95,7 @@
 /// Returns the address of the node that holds a key's table, if this node knows it.
 pub(crate) fn key_owner_address(core: &GatewayCore, key: &MintedKey) -> Option<Box<str>> {
     let control = core.control();
-    if let Some((_, entry)) = control.members().key_holder(&key.node, key.incarnation) {
+    if let Some((_, entry)) = control.members().key_owner(&key.node, key.incarnation) {
         return Some(entry.http.clone());
     }
     control
--- a/crates/zinniahatch_gateway/src/peer.rs
+++ b/crates/zinniahatch_gateway/src/peer.rs
@@ -32,8 +32,8 @@
 use zinniahatch_base::prelude::*;
 use zinniahatch_config::ServiceKind;
 use zinniahatch_config::WorkKind;
-use zinniahatch_control::AskScope;
 use zinniahatch_control::MintedKey;
+use zinniahatch_control::PlacementScope;
 
 /// Maximum size in bytes of a handover, which carries every stored response of the node that shuts
 /// down.
@@ -89,7 +89,7 @@
             Ok(verified) => verified,
             Err(refusal) => return write_refusal(response, core, "", &refusal),
         };
-        verified.admitted.scope = AskScope::Here;
+        verified.admitted.scope = PlacementScope::Local;
         verified.admitted.guest = verified.admitted.who.entry.home != core.identity.region;
         let reply = run_forwarded(core, verified).await;
         let outcome = if matches!(reply, Reply::Refused(..)) {
@@ -170,7 +170,7 @@
         let owners = core.keys().take_over(now, handover.books);
         let mut control = core.control();
         for (node, incarnation) in owners {
-            control.add_heir(now, node, incarnation);
+            control.add_succession(now, node, incarnation);
         }
         drop(control);
         core.wake.notify_one();
@@ -340,9 +340,9 @@
         config,
         head,
         scope: if bound {
-            AskScope::Region
+            PlacementScope::Region
         } else {
-            AskScope::Anywhere
+            PlacementScope::Anywhere
         },
         service,
         who,
--- a/crates/zinniahatch_gateway/src/placement.rs
+++ b/crates/zinniahatch_gateway/src/placement.rs
@@ -7,15 +7,15 @@
 use std::sync::Mutex;
 use tokio::sync::oneshot;
 use zinniahatch_base::prelude::*;
-use zinniahatch_control::PlaceAsk;
-use zinniahatch_control::PlaceTicket;
 use zinniahatch_control::Placement;
+use zinniahatch_control::PlacementQuery;
+use zinniahatch_control::SlotPermit;
 use zinniahatch_protocol::EntryAddress;
 
 /// A slot in use, returned when dropped.
 pub(crate) struct SlotGuard {
     core: Arc<GatewayCore>,
-    ticket: PlaceTicket,
+    ticket: SlotPermit,
     refused: bool,
 }
 
@@ -37,7 +37,7 @@
 }
 
 impl SlotGuard {
-    fn new(core: &Arc<GatewayCore>, ticket: PlaceTicket) -> Self {
+    fn new(core: &Arc<GatewayCore>, ticket: SlotPermit) -> Self {
         Self {
             core: Arc::clone(core),
             ticket,
@@ -89,7 +89,7 @@
 /// Waits until a request is assigned or refused.
 pub(crate) async fn wait_for_assignment(
     core: &Arc<GatewayCore>,
-    query: PlaceAsk,
+    query: PlacementQuery,
 ) -> AssignmentResult {
     let receiver = {
         let mut control = core.control();
@@ -115,7 +115,7 @@
 }
 
 /// Takes a slot of this data centre for a hedge if one is free now.
-pub(crate) fn try_assign_now(core: &Arc<GatewayCore>, query: &PlaceAsk) -> Option<SlotGuard> {
+pub(crate) fn try_assign_now(core: &Arc<GatewayCore>, query: &PlacementQuery) -> Option<SlotGuard> {
     let mut control = core.control();
     match control.place(Instant::now(), query) {
         Placement::Run(ticket) => Some(SlotGuard::new(core, ticket)),
@@ -123,7 +123,7 @@
             control.withdraw(&query.service, query.number);
             None
         }
-        Placement::Away(..) | Placement::Refuse(..) => None,
+        Placement::Remote(..) | Placement::Refuse(..) => None,
     }
 }
 
@@ -145,7 +145,7 @@
 fn to_assignment(core: &Arc<GatewayCore>, placement: Placement) -> AssignmentResult {
     match placement {
         Placement::Run(ticket) => Ok(Assignment::Slot(SlotGuard::new(core, ticket))),
-        Placement::Away(data_centre, entries) => Ok(Assignment::Remote(data_centre, entries)),
+        Placement::Remote(data_centre, entries) => Ok(Assignment::Remote(data_centre, entries)),
         Placement::Refuse(code, after) => Err(Box::new(Refusal::retry_after(code, after))),
         Placement::Wait => Err(Box::new(Refusal::new(ResultCode::QueueFull))),
     }
--- a/crates/zinniahatch_gateway/src/run.rs
+++ b/crates/zinniahatch_gateway/src/run.rs
@@ -22,8 +22,8 @@
 use tokio::time::timeout;
 use tokio::time::timeout_at;
 use zinniahatch_base::prelude::*;
-use zinniahatch_control::AskScope;
-use zinniahatch_control::BackendMark;
+use zinniahatch_control::BackendStatus;
+use zinniahatch_control::PlacementScope;
 
 /// Maximum number of attempts for one request, the first included.
 const MAX_ATTEMPTS: u32 = 6;
@@ -236,17 +236,17 @@
         SendFailure::NotSent => {
             core.control()
                 .backends_mut()
-                .mark(now, tag, BackendMark::Unreached);
+                .set_status(now, tag, BackendStatus::Unreached);
             guard.mark_refused();
             ("unreached", ResultCode::NoBackend)
         }
         SendFailure::Refused { leaving } => {
             let mark = if leaving {
-                BackendMark::Leaving
+                BackendStatus::Leaving
             } else {
-                BackendMark::Unreached
+                BackendStatus::Unreached
             };
-            core.control().backends_mut().mark(now, tag, mark);
+            core.control().backends_mut().set_status(now, tag, mark);
             guard.mark_refused();
             (
                 if leaving { "leaving" } else { "refused" },
@@ -256,7 +256,7 @@
         SendFailure::Broken => {
             core.control()
                 .backends_mut()
-                .mark(now, tag, BackendMark::Unreached);
+                .set_status(now, tag, BackendStatus::Unreached);
             if outbound.at_most_once {
                 return Err(Box::new(Refusal::new(ResultCode::OutcomeUnknown)));
             }
@@ -332,7 +332,7 @@
         }
     }
     let mut query = outbound.placement_query(core, &avoid, &state.avoid_centres);
-    query.scope = AskScope::Here;
+    query.scope = PlacementScope::Local;
     if !core.hedge_budget().spend() {
         core.counters.hedges.with_label_values(&["no budget"]).inc();
         return None;
@@ -381,7 +381,7 @@
     }
     state.avoid_centres.insert(data_centre.clone());
     core.control()
-        .note_away_refused(Instant::now(), data_centre, &outbound.service_name);
+        .record_remote_refusal(Instant::now(), data_centre, &outbound.service_name);
     Ok(None)
 }
 
