--- a/crates/zinniahatch_config/src/entry.rs
+++ b/crates/zinniahatch_config/src/entry.rs
@@ -78,7 +78,7 @@
         /// Share of a processor core available to the VM, in hundredths.
         ///
         /// Nodes with a higher share are preferred for tasks that one node does for its region.
-        pub strength: u32,
+        pub cpu_share: u32,
         /// Addresses of a few entry VMs to contact first; only the IP address is used.
         pub seeds: Vec<SocketAddrV4>,
         /// Address of the platform's key-value store.
@@ -123,7 +123,7 @@
                 .pairs()
                 .map(|(key, value)| (key.into(), value.into()))
                 .collect(),
-            strength: strength(node)?,
+            cpu_share: cpu_share(node)?,
             seeds: seeds(node)?,
             store: address(store, "address")?,
             min_lease: store.duration("lease_least", Some(Duration::from_secs(1)))?,
@@ -172,7 +172,7 @@
 }
 
 /// Reads the share of a processor core, by default a whole core.
-fn strength(node: &SectionReader) -> Result<u32, ConfigError> {
+fn cpu_share(node: &SectionReader) -> Result<u32, ConfigError> {
     const HUNDREDTHS: f64 = 100.0;
     let share: f64 = node.number("processor", Some(1.0))?;
     if share > 0.0 && share.is_finite() {
--- a/crates/zinniahatch_config/tests/entry.rs
+++ b/crates/zinniahatch_config/tests/entry.rs
@@ -87,7 +87,7 @@
     assert!(EntrySettings::matches_file(&text));
     let settings = EntrySettings::parse("entry.ini", &text).unwrap();
     assert_eq!(&*settings.name, "front-a-1");
-    assert_eq!(settings.strength, 25);
+    assert_eq!(settings.cpu_share, 25);
     assert_eq!(settings.seeds.len(), 2);
     assert_eq!(settings.regions.len(), 2);
     assert_eq!(settings.listen.peer.port(), 7660);
--- a/crates/zinniahatch_ctl/src/site.rs
+++ b/crates/zinniahatch_ctl/src/site.rs
@@ -142,7 +142,7 @@
     for item in listing.items {
         match serde_json::from_slice::<HourlyCounts>(&item.value) {
             Ok(hourly) => {
-                counts.merge(&hourly.sheet);
+                counts.merge(&hourly.counts);
                 gaps.extend(hourly.gaps);
             }
             Err(_) => unread.push(item.key),
--- a/crates/zinniahatch_entry/src/counts/counting.rs
+++ b/crates/zinniahatch_entry/src/counts/counting.rs
@@ -34,7 +34,7 @@
 const SEAL_INTERVAL: Duration = Duration::from_secs(10);
 /// Interval between merges into the store.
 const MERGE_INTERVAL: Duration = Duration::from_secs(30);
-/// Time after which a sheet that was not merged is sent again.
+/// Time after which a batch that was not merged is sent again.
 const RESEND_AFTER: Duration = Duration::from_secs(90);
 /// Maximum attempts of one write per merge; the next merge tries again.
 const MAX_ATTEMPTS: u32 = 3;
@@ -51,8 +51,8 @@
     incarnation: Incarnation,
     /// Whether this is the last message of the node.
     last: bool,
-    /// Number, minute and rows of each sheet.
-    sheets: Vec<(u64, u64, CountTable)>,
+    /// Number, minute and rows of each batch.
+    batches: Vec<(u64, u64, CountTable)>,
 }
 
 fn epoch_minute() -> u64 {
@@ -102,7 +102,7 @@
         row.first_byte.record(first);
     }
     row.whole.record(request.arrived.elapsed());
-    core.counts.book.borrow_mut().add(key, &row);
+    core.counts.buffer.borrow_mut().add(key, &row);
 }
 
 /// Returns the node that merges the counts of this region.
@@ -135,22 +135,22 @@
     }
 }
 
-/// Seals the open counts and sends the due sheets to the merger.
+/// Seals the open counts and sends the due batches to the merger.
 pub(crate) async fn send_counts(core: &Rc<EntryCore>, last: bool) {
     let node = merger(core);
     let due = {
-        let mut book = core.counts.book.borrow_mut();
-        book.seal(epoch_minute());
-        book.take_due(Instant::now(), RESEND_AFTER, |_| Some(node.clone()))
+        let mut buffer = core.counts.buffer.borrow_mut();
+        buffer.seal(epoch_minute());
+        buffer.take_due(Instant::now(), RESEND_AFTER, |_| Some(node.clone()))
     };
-    if due.is_empty() && (!last || core.counts.book.borrow().is_flushed()) {
+    if due.is_empty() && (!last || core.counts.buffer.borrow().is_flushed()) {
         return;
     }
     let post = CountsPost {
         node: core.settings.name.clone(),
         incarnation: core.incarnation,
         last,
-        sheets: due
+        batches: due
             .into_iter()
             .map(|(_, _, sealed)| (sealed.number, sealed.minute, sealed.counts))
             .collect(),
@@ -169,9 +169,9 @@
         };
         postcard::from_bytes(&response).unwrap_or_default()
     };
-    let mut book = core.counts.book.borrow_mut();
-    book.note_merged(SHARD, &merged, Instant::now());
-    core.metrics.set_dropped_sheets(book.dropped());
+    let mut buffer = core.counts.buffer.borrow_mut();
+    buffer.note_merged(SHARD, &merged, Instant::now());
+    core.metrics.set_dropped_sheets(buffer.dropped());
 }
 
 /// Posts counts to the merger and returns the body of its response.
@@ -189,12 +189,12 @@
     postcard::to_allocvec(&accept(core, post)).ok()
 }
 
-/// Accepts counts and returns the numbers of the node's sheets that have been merged since its last
-/// message.
+/// Accepts counts and returns the numbers of the node's batches that have been merged since its
+/// last message.
 fn accept(core: &EntryCore, post: CountsPost) -> Vec<u64> {
-    let mut desk = core.counts.merging.borrow_mut();
-    for (number, minute, counts) in post.sheets {
-        desk.insert(
+    let mut queue = core.counts.merging.borrow_mut();
+    for (number, minute, counts) in post.batches {
+        queue.insert(
             SHARD,
             ReceivedBatch {
                 node: post.node.clone(),
@@ -217,8 +217,8 @@
     if merger(core) != core.settings.name {
         return;
     }
-    let mut desk = core.counts.merging.borrow_mut();
-    desk.note_death(node, incarnation, epoch_minute());
+    let mut queue = core.counts.merging.borrow_mut();
+    queue.note_death(node, incarnation, epoch_minute());
 }
 
 /// Writes all received counts to the store.
@@ -230,12 +230,12 @@
                 .write("counts-not-merged", serde_json::json!({"hour": task.hour}));
             continue;
         }
-        let done = core.counts.merging.borrow_mut().complete(&task);
+        let merged = core.counts.merging.borrow_mut().complete(&task);
         let mut unacknowledged = core.counts.unacknowledged.borrow_mut();
-        for (node, incarnation, numbers) in done {
+        for (node, incarnation, numbers) in merged {
             if node == core.settings.name && incarnation == core.incarnation {
-                let mut book = core.counts.book.borrow_mut();
-                book.note_merged(SHARD, &numbers, Instant::now());
+                let mut buffer = core.counts.buffer.borrow_mut();
+                buffer.note_merged(SHARD, &numbers, Instant::now());
                 continue;
             }
             unacknowledged
@@ -248,8 +248,8 @@
 
 /// Merges one task by compare-and-swap.
 ///
-/// When the response to a write is lost, the next attempt reads the value, finds the marks that
-/// were written along with the counts, and writes nothing.
+/// When the response to a write is lost, the next attempt reads the value, finds the batch numbers
+/// that were written along with the counts, and writes nothing.
 async fn merge_task(core: &Rc<EntryCore>, task: &MergeTask) -> bool {
     let key = format!("{ACCOUNTS_PREFIX}{}/{}", core.settings.region, task.hour);
     for _ in 0..MAX_ATTEMPTS {
@@ -257,17 +257,17 @@
             core.metrics.note_store("counts", "failed");
             continue;
         };
-        let (mut ledger, expect) = match &stored {
+        let (mut hourly, expect) = match &stored {
             None => (HourlyCounts::default(), 0),
             Some(value) => match serde_json::from_str(&value.value) {
-                Ok(ledger) => (ledger, value.revision),
+                Ok(hourly) => (hourly, value.revision),
                 Err(_) => return false,
             },
         };
-        if !task.apply(&mut ledger) {
+        if !task.apply(&mut hourly) {
             return true;
         }
-        let Ok(text) = serde_json::to_string(&ledger) else {
+        let Ok(text) = serde_json::to_string(&hourly) else {
             return false;
         };
         let written = core.store.put(&key, &text, Some(expect), None).await;
--- a/crates/zinniahatch_entry/src/counts/pending_counts.rs
+++ b/crates/zinniahatch_entry/src/counts/pending_counts.rs
@@ -9,17 +9,17 @@
 #[derive(Debug)]
 pub(crate) struct PendingCounts {
     /// Counts recorded by this node.
-    pub(crate) book: RefCell<CountBuffer>,
+    pub(crate) buffer: RefCell<CountBuffer>,
     /// Counts received for merging into the store.
     pub(crate) merging: RefCell<MergeQueue>,
-    /// Numbers of merged sheets that have not been reported back yet, by the node that sent them.
+    /// Numbers of merged batches that have not been reported back yet, by the node that sent them.
     pub(crate) unacknowledged: RefCell<BTreeMap<(NodeId, Incarnation), Vec<u64>>>,
 }
 
 impl Default for PendingCounts {
     fn default() -> Self {
         Self {
-            book: RefCell::new(CountBuffer::with_shards(1)),
+            buffer: RefCell::new(CountBuffer::with_shards(1)),
             merging: RefCell::default(),
             unacknowledged: RefCell::default(),
         }
--- a/crates/zinniahatch_entry/src/nodes/own_info.rs
+++ b/crates/zinniahatch_entry/src/nodes/own_info.rs
@@ -67,7 +67,7 @@
         incarnation: core.incarnation,
         region: region.clone(),
         data_centre: core.settings.data_centre.clone(),
-        cpu_share: core.settings.strength,
+        cpu_share: core.settings.cpu_share,
         front: core.settings.listen.front,
         peer: core.settings.listen.peer,
         stage: core.stage(),
--- a/crates/zinniahatch_entry/src/nodes/work_reporter.rs
+++ b/crates/zinniahatch_entry/src/nodes/work_reporter.rs
@@ -107,7 +107,7 @@
         let settings = &core.settings;
         let path = self
             .collectors
-            .choose(&settings.name, settings.strength, &live, now);
+            .choose(&settings.name, settings.cpu_share, &live, now);
         if path != self.path {
             core.log.write(
                 "work-path",
--- a/crates/zinniahatch_entry/src/store/restore_recovery.rs
+++ b/crates/zinniahatch_entry/src/store/restore_recovery.rs
@@ -48,7 +48,7 @@
             recover_from_restore(&core, before, after).await;
         }
         known = era;
-        // The client lives as long as the process.
+        // This never fails: the client exists until the process ends.
         let _ = eras.changed().await;
     }
 }
@@ -56,15 +56,16 @@
 async fn recover_from_restore(core: &Rc<EntryCore>, before: u64, after: u64) {
     let now = Instant::now();
     core.metrics.note_store_restore();
-    let sheets = core.counts.book.borrow_mut().requeue_after_restore(now);
+    let batches = core.counts.buffer.borrow_mut().requeue_after_restore(now);
     let suspects = core.suspects.borrow_mut().forget_persisted();
     core.log.write(
         "store-returned",
-        serde_json::json!({"era_before": before, "era": after, "sheets": sheets,
+        serde_json::json!({"era_before": before, "era": after, "sheets": batches,
             "quarantined": suspects, "preset": core.preset.borrow().revision,
             "version": core.version()}),
     );
-    // Entries missing from the backup will be rewritten soon; until then no replica counts as gone.
+    // Entries missing from the backup will be rewritten soon; until then no replica is taken for
+    // removed.
     core.note_store_failure();
     core.replicas.borrow_mut().note_store_restored(now);
     core.operator_revision.set(None);
--- a/crates/zinniahatch_gateway/src/admin.rs
+++ b/crates/zinniahatch_gateway/src/admin.rs
@@ -256,6 +256,6 @@
     };
     write_json(
         response,
-        &run_query(&query, &counts.sheet, counts.gaps, counts.unread),
+        &run_query(&query, &counts.table, counts.gaps, counts.unread),
     );
 }
--- a/crates/zinniahatch_gateway/src/peer.rs
+++ b/crates/zinniahatch_gateway/src/peer.rs
@@ -69,7 +69,8 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct KeyHandover {
     /// Key tables of the node.
-    pub books: Vec<KeyTableSnapshot>,
+    #[serde(rename = "books")]
+    pub tables: Vec<KeyTableSnapshot>,
 }
 
 /// A forwarded request whose proof was verified.
@@ -167,7 +168,7 @@
             return;
         };
         let now = Instant::now();
-        let owners = core.keys().take_over(now, handover.books);
+        let owners = core.keys().take_over(now, handover.tables);
         let mut control = core.control();
         for (node, incarnation) in owners {
             control.add_heir(now, node, incarnation);
@@ -210,8 +211,8 @@
     /// The tables are closed before they are sent, so that no key can start a request here once
     /// another node may hold it.
     pub async fn hand_over_keys(&self, successor: &str) -> bool {
-        let books = self.keys().close(Instant::now());
-        let Ok(body) = serde_json::to_vec(&KeyHandover { books }) else {
+        let tables = self.keys().close(Instant::now());
+        let Ok(body) = serde_json::to_vec(&KeyHandover { tables }) else {
             return false;
         };
         let digest = blake3::hash(&body).to_hex().to_string();
--- a/crates/zinniahatch_gateway/src/report_read.rs
+++ b/crates/zinniahatch_gateway/src/report_read.rs
@@ -25,7 +25,7 @@
 /// Counts from which a report is made.
 #[derive(Default)]
 pub(crate) struct ReadCounts {
-    pub(crate) sheet: CountTable,
+    pub(crate) table: CountTable,
     pub(crate) gaps: Vec<CountGap>,
     pub(crate) unread: Vec<Box<str>>,
 }
@@ -49,14 +49,14 @@
         .map(|key| async move { (store.get(&key).await, key) })
         .buffer_unordered(CONCURRENT_READS);
     while let Some((result, key)) = values.next().await {
-        let ledger = match result {
+        let hourly = match result {
             Ok(Some(value)) => serde_json::from_str::<HourlyCounts>(&value.value).ok(),
             Ok(None) | Err(_) => None,
         };
-        match ledger {
-            Some(ledger) => {
-                counts.sheet.merge(&ledger.sheet);
-                counts.gaps.extend(ledger.gaps);
+        match hourly {
+            Some(hourly) => {
+                counts.table.merge(&hourly.counts);
+                counts.gaps.extend(hourly.gaps);
             }
             None => counts.unread.push(key),
         }
--- a/crates/zinniahatch_lab/src/site_demo.rs
+++ b/crates/zinniahatch_lab/src/site_demo.rs
@@ -128,7 +128,7 @@
         let Ok(ledger) = serde_json::from_str::<HourlyCounts>(&text) else {
             continue;
         };
-        sheet.merge(&ledger.sheet);
+        sheet.merge(&ledger.counts);
         gaps.extend(ledger.gaps);
     }
     let query = ReportQuery {
--- a/crates/zinniahatch_report/src/hourly_counts.rs
+++ b/crates/zinniahatch_report/src/hourly_counts.rs
@@ -36,9 +36,11 @@
     #[derive(Default)]
     pub struct HourlyCounts {
         /// The counts.
-        pub sheet: CountTable,
+        #[serde(rename = "sheet")]
+        pub counts: CountTable,
         /// The merged batches, by incarnation of a node.
-        pub marks: Vec<MergedBatches>,
+        #[serde(rename = "marks")]
+        pub merged: Vec<MergedBatches>,
         /// Minutes for which counts are missing.
         pub gaps: Vec<CountGap>,
     }
@@ -66,7 +68,7 @@
         // counts are missing.
         self.gaps
             .retain(|gap| gap.incarnation != incarnation || gap.until > minute);
-        self.sheet.merge(counts);
+        self.counts.merge(counts);
         true
     }
 
@@ -91,20 +93,20 @@
 
     fn merged_batches(&mut self, node: &str, incarnation: Incarnation) -> &mut MergedBatches {
         let known = self
-            .marks
+            .merged
             .iter()
             .position(|merged| &*merged.node == node && merged.incarnation == incarnation);
         let index = known.unwrap_or_else(|| {
-            self.marks.push(MergedBatches {
+            self.merged.push(MergedBatches {
                 node: node.into(),
                 incarnation,
                 ranges: Vec::new(),
                 closed: false,
                 minute: 0,
             });
-            self.marks.len() - 1
+            self.merged.len() - 1
         });
-        &mut self.marks[index]
+        &mut self.merged[index]
     }
 }
 
--- a/crates/zinniahatch_report/tests/counts.rs
+++ b/crates/zinniahatch_report/tests/counts.rs
@@ -68,7 +68,7 @@
         !task.apply(&mut hourly),
         "the second merge has nothing to write"
     );
-    assert_eq!(hourly.sheet.requests(), 5);
+    assert_eq!(hourly.counts.requests(), 5);
 }
 
 /// Guards against reports that lack counts, or that name a gap for a live node, after the wall clock
@@ -103,7 +103,7 @@
             queue.complete(&task);
         }
     }
-    assert_eq!(hourly.sheet.requests(), 4);
+    assert_eq!(hourly.counts.requests(), 4);
     assert!(hourly.gaps.is_empty());
 }
 
@@ -116,7 +116,7 @@
     assert!(hourly.merge("n", 1, 2, 60, &counts("a", 3)));
     assert!(hourly.merge("n", 1, 1, 60, &counts("a", 4)));
     assert!(!hourly.merge("n", 1, 2, 60, &counts("a", 3)));
-    assert_eq!(hourly.sheet.requests(), 7);
+    assert_eq!(hourly.counts.requests(), 7);
 }
 
 #[test]
