--- a/crates/zinniahatch_change/src/updater.rs
+++ b/crates/zinniahatch_change/src/updater.rs
@@ -80,7 +80,7 @@
 
 struct StoredHead {
     head: ConfigHead,
-    stored: u64,
+    store_revision: u64,
 }
 
 impl<S: StoreClient> ConfigUpdater<S> {
@@ -107,7 +107,7 @@
         local: impl Fn(&str) -> Option<Box<str>>,
     ) -> Result<ChangeOutcome, ChangeError> {
         let mut unconfirmed_at: Option<u64> = None;
-        let mut last_error: Box<str> = "no answer".into();
+        let mut last_error: Box<str> = "no response".into();
         for _ in 0..MAX_ATTEMPTS {
             let read = match self.read_head().await {
                 Ok(read) => read,
@@ -120,7 +120,7 @@
             if let Some(revision) = read.head.revision_of(&request.change) {
                 return Ok(ChangeOutcome::Accepted(revision));
             }
-            if unconfirmed_at.is_some_and(|stored| stored != read.stored) {
+            if unconfirmed_at.is_some_and(|revision| revision != read.store_revision) {
                 // The head changed without including this change, so its lost compare-and-swap can
                 // no longer succeed.
                 unconfirmed_at = None;
@@ -143,12 +143,12 @@
             if request.check {
                 return Ok(ChangeOutcome::Checked);
             }
-            match self.swap(&head, &new_parts, read.stored).await {
+            match self.swap(&head, &new_parts, read.store_revision).await {
                 Ok(PutOutcome::Done(_)) => return Ok(ChangeOutcome::Accepted(head.revision)),
                 Ok(PutOutcome::Conflict) => {}
                 Err(StoreError::Unavailable(text)) => last_error = text,
                 Err(StoreError::ResponseLost(text)) => {
-                    unconfirmed_at = Some(read.stored);
+                    unconfirmed_at = Some(read.store_revision);
                     last_error = text;
                 }
             }
@@ -164,14 +164,14 @@
         let Some(value) = self.store.get(HEAD_KEY).await? else {
             return Ok(StoredHead {
                 head: ConfigHead::default(),
-                stored: 0,
+                store_revision: 0,
             });
         };
         let head = serde_json::from_str(&value.value)
             .map_err(|error| StoreError::Unavailable(error.to_string().into()))?;
         Ok(StoredHead {
             head,
-            stored: value.revision,
+            store_revision: value.revision,
         })
     }
 
@@ -231,7 +231,7 @@
         match self.store.get(&part_key(hash)).await {
             Ok(Some(value)) => Ok(value.value),
             Ok(None) => Err(ChangeError::StoreDown(
-                format!("part {hash} is not there").into(),
+                format!("part {hash} is missing from the store").into(),
             )),
             Err(error) => Err(ChangeError::StoreDown(error.to_string().into())),
         }
@@ -242,7 +242,7 @@
         &self,
         head: &ConfigHead,
         new_parts: &PartTexts,
-        stored: u64,
+        store_revision: u64,
     ) -> Result<PutOutcome, StoreError> {
         for (hash, text) in new_parts {
             // A lost response here leaves the outcome certain: the head is not swapped yet.
@@ -253,7 +253,9 @@
         }
         let text = serde_json::to_string(head)
             .map_err(|error| StoreError::Unavailable(error.to_string().into()))?;
-        self.store.put(HEAD_KEY, &text, Some(stored), None).await
+        self.store
+            .put(HEAD_KEY, &text, Some(store_revision), None)
+            .await
     }
 }
 
--- a/crates/zinniahatch_change/tests/races.rs
+++ b/crates/zinniahatch_change/tests/races.rs
@@ -155,8 +155,8 @@
 }
 
 /// Guards against a change that is applied twice: the store's response is lost after the swap took
-/// effect, the operator is told "failed" and applies the change again. The updater therefore looks
-/// for the id of the change in the head before it reports a result.
+/// effect, the operator gets the result "failed" and applies the change again. The updater
+/// therefore looks for the id of the change in the head before it reports a result.
 #[test_case(WriteOutcome::LostAfter; "lost after it took effect")]
 #[test_case(WriteOutcome::LostBefore; "lost before it took effect")]
 #[test_case(WriteOutcome::Refused; "refused once")]
--- a/crates/zinniahatch_config/src/entry.rs
+++ b/crates/zinniahatch_config/src/entry.rs
@@ -6,18 +6,19 @@
 use std::net::SocketAddrV4;
 use zinniahatch_base::prelude::*;
 
-/// Maximum time-to-live of a directory answer; the platform may set a lower bound.
+/// Maximum time-to-live of a directory response; the platform may set a lower bound.
 const MAX_DIRECTORY_TTL: Duration = Duration::from_secs(2);
 
 /// Maximum wait of one watch, slightly below the maximum that the store allows.
 ///
 /// Every watch costs a call even if nothing changed, so long waits are cheaper. They do not delay the
-/// detection of a lost store or connection, which TCP keep-alive and the renewals of the node's key show.
+/// detection of a lost store or connection, which TCP keep-alive and the renewals of the node's key
+/// provide.
 const MAX_WATCH_WAIT: Duration = Duration::from_secs(28);
 /// Maximum wait of a watch as a fraction of the time for which the store keeps its history.
 ///
-/// With a wait of 28 s and a history of 20 s, every watch without changes ended as compacted, and nodes
-/// took the store for faulty.
+/// With a wait of 28 s and a history of 20 s, every watch without changes ended with a compaction
+/// error, and nodes took the store for faulty.
 const HISTORY_FRACTION: f64 = 0.7;
 /// Default time for which the platform's key-value store keeps its history.
 const STORE_HISTORY: Duration = Duration::from_secs(20);
@@ -31,7 +32,7 @@
         pub readiness: SocketAddrV4,
         /// For operators and metrics.
         pub control: SocketAddrV4,
-        /// For callers that ask which entry VM to use.
+        /// For callers that look up which entry VM to use.
         pub directory: SocketAddrV4,
         /// For other entry VMs: datagrams and forwarded requests.
         pub peer: SocketAddrV4,
@@ -51,7 +52,7 @@
         pub cold_slack: f64,
         /// Grace period between the request to stop and the kill.
         pub grace: Duration,
-        /// Time-to-live of a directory answer.
+        /// Time-to-live of a directory response.
         pub directory_ttl: Duration,
         /// Time after which no node may accept a revoked API key, even if it is cut off from the store.
         ///
--- a/crates/zinniahatch_config/src/preset.rs
+++ b/crates/zinniahatch_config/src/preset.rs
@@ -19,13 +19,13 @@
         pub tail_weight: f64,
         /// Shares of a contended pool by account class, which add up to 1.
         pub classes: BTreeMap<Box<str>, f64>,
-        /// Share of a contended pool for interactive work; long work gets the rest.
+        /// Share of a contended pool for interactive work; long work gets the remainder.
         pub interactive_share: f64,
         /// Whether requests not bound to their home region may be served in another one.
         pub away: bool,
         /// Share of a region's capacity that requests from other regions may use, by region.
         pub guest_shares: BTreeMap<RegionId, f64>,
-        /// Maximum number of requests that wait on one node for one service.
+        /// Maximum number of requests queued on one node for one service.
         pub queue_limit: usize,
         /// Maximum wait for a slot.
         pub wait_limit: Duration,
@@ -61,7 +61,7 @@
             classes: parse_shares(&parsed, "classes")?,
             interactive_share: work.share("interactive", None)?,
             away: away.choice("allowed", "yes, no", parse_yes_no, None)?,
-            guest_shares: parse_guests(&parsed)?,
+            guest_shares: parse_guest_shares(&parsed)?,
             queue_limit: waits.number("queue_limit", Some(1_000))?,
             wait_limit: waits.duration("wait_limit", None)?,
             retry_budget: budgets.share("retry", None)?,
@@ -123,15 +123,15 @@
     Ok(shares)
 }
 
-fn parse_guests(parsed: &SectionFile) -> Result<BTreeMap<RegionId, f64>, ConfigError> {
-    let mut guests = BTreeMap::new();
+fn parse_guest_shares(parsed: &SectionFile) -> Result<BTreeMap<RegionId, f64>, ConfigError> {
+    let mut shares = BTreeMap::new();
     let Some(section) = parsed.optional("guests") else {
-        return Ok(guests);
+        return Ok(shares);
     };
     for (key, _) in section.pairs() {
-        guests.insert(Box::from(key), section.share(key, None)?);
+        shares.insert(Box::from(key), section.share(key, None)?);
     }
-    Ok(guests)
+    Ok(shares)
 }
 
 fn parse_models(parsed: &SectionFile) -> BTreeMap<ServiceId, ModelId> {
--- a/crates/zinniahatch_config/src/section.rs
+++ b/crates/zinniahatch_config/src/section.rs
@@ -22,7 +22,7 @@
     pub(crate) kind: Box<str>,
     pub(crate) name: Box<str>,
     pairs: BTreeMap<Box<str>, Box<str>>,
-    /// Keys that were read so far; any other key is unknown to the code.
+    /// Keys that were read so far; [`SectionReader::finish`] reports any other key as unknown.
     read_keys: RefCell<BTreeSet<Box<str>>>,
 }
 
@@ -46,7 +46,7 @@
                         file,
                         "-",
                         key,
-                        "stands outside any section",
+                        "is outside any section",
                         "move it below a [section]",
                     ));
                 }
@@ -57,7 +57,7 @@
                     file,
                     title,
                     "-",
-                    "the section stands twice",
+                    "the section occurs twice",
                     "merge the two",
                 ));
             }
@@ -114,7 +114,7 @@
                     file,
                     title,
                     key,
-                    "the key stands twice",
+                    "the key occurs twice",
                     "keep one",
                 ));
             }
--- a/crates/zinniahatch_config/src/services.rs
+++ b/crates/zinniahatch_config/src/services.rs
@@ -37,17 +37,17 @@
         pub binding: BindingRule,
         /// Whether requests may be repeated.
         pub repeat: RepeatRule,
-        /// HTTP methods whose requests may not be repeated, whatever `repeat` says.
+        /// HTTP methods whose requests may not be repeated, regardless of `repeat`.
         pub once_methods: Vec<Box<str>>,
-        /// HTTP methods whose requests stay in the home region, whatever `binding` says.
+        /// HTTP methods whose requests stay in the home region, regardless of `binding`.
         pub bound_methods: Vec<Box<str>>,
         /// The urgency of requests, unless a header narrows it.
         pub work: WorkKind,
-        /// Maximum time from a request's arrival to the last byte of its answer.
+        /// Maximum time from a request's arrival to the last byte of its response.
         pub deadline: Duration,
         /// Maximum body size in bytes.
         pub body_limit: u64,
-        /// Time for which an answer is kept for collection by its caller.
+        /// Time for which a response is retained for collection by its caller.
         pub retention: Duration,
         /// Expected time for which a request occupies a slot, used until it has been measured.
         pub typical_hold: Duration,
--- a/crates/zinniahatch_config/src/settings.rs
+++ b/crates/zinniahatch_config/src/settings.rs
@@ -43,7 +43,7 @@
         pub route: RouteRule,
         /// Timeout for receiving a request body.
         pub body_timeout: Duration,
-        /// Maximum memory for stored answers on this node, in bytes.
+        /// Maximum memory for stored responses on this node, in bytes.
         pub answer_memory: usize,
         /// Maximum time for which a planned stop waits for requests in progress.
         pub stop_timeout: Duration,
--- a/crates/zinniahatch_config/tests/entry.rs
+++ b/crates/zinniahatch_config/tests/entry.rs
@@ -121,8 +121,8 @@
     assert!(words.iter().all(|word| text.contains(word)), "{text}");
 }
 
-/// Guards against a watch that waits longer than the store keeps its history. Such a watch ends as
-/// compacted without any change, and the node lists all keys again and takes the store for faulty.
+/// Guards against a watch that waits longer than the store keeps its history. Such a watch ends with a
+/// compaction error without any change; the node lists all keys again and takes the store for faulty.
 #[test_case("history = 20s", 14_000; "as_filled")]
 #[test_case("history = 5s", 3_500; "short")]
 #[test_case("history = 90s", 28_000; "long")]
--- a/crates/zinniahatch_ctl/src/args.rs
+++ b/crates/zinniahatch_ctl/src/args.rs
@@ -5,7 +5,7 @@
 use crate::site_args::SiteArgs;
 use argh::FromArgs;
 
-/// Drives zinniahatch: configuration, presets, accounts, members, reports.
+/// Operates zinniahatch: configuration, presets, accounts, members, reports.
 #[derive(FromArgs, Debug)]
 pub struct CtlArgs {
     /// a node's address, IP:port (default: the variable `ZINNIA_NODE`)
@@ -229,12 +229,12 @@
 #[argh(subcommand, name = "status")]
 pub(crate) struct StatusArgs {}
 
-/// report who got what
+/// report usage, cost and delays
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "report")]
 pub(crate) struct ReportArgs {
     /// fields, separated by commas: account, caller, region, served, service, preset, result; on the
-    /// platform the account is the route and the caller the data centre that was asked
+    /// platform the account is the route and the caller the data centre that received the request
     #[argh(option, default = "String::from(\"account\")")]
     pub(crate) by: String,
     /// first hour, counted from the epoch, or -N for N hours ago (default: -23)
@@ -245,7 +245,7 @@
     pub(crate) until: i64,
 }
 
-/// give the digest under which a key or token is kept
+/// print the digest under which a key or token is stored
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "digest")]
 pub(crate) struct DigestArgs {
--- a/crates/zinniahatch_ctl/src/site_args.rs
+++ b/crates/zinniahatch_ctl/src/site_args.rs
@@ -39,7 +39,7 @@
     pub(crate) from: Option<String>,
 }
 
-/// tell what became of a request, from the decision logs of the nodes
+/// show what happened to a request, from the decision logs of the nodes
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "explain")]
 pub(crate) struct ExplainArgs {
@@ -51,7 +51,8 @@
     pub(crate) files: Vec<String>,
 }
 
-/// count what was not answered whole and in time, by cause, from the decision logs of all nodes
+/// count requests that were not answered completely and in time, by cause, from the decision logs
+/// of all nodes
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "losses")]
 pub(crate) struct LossesArgs {
--- a/crates/zinniahatch_daemon/src/shutdown.rs
+++ b/crates/zinniahatch_daemon/src/shutdown.rs
@@ -65,7 +65,7 @@
     successors.sort_by_key(|(name, _)| std::cmp::Reverse(rendezvous_rank("keys", name)));
     for (name, http) in successors {
         if core.hand_over_keys(&http).await {
-            info!("{name} took over the keys and answers");
+            info!("{name} took over the keys and responses");
             return;
         }
     }
--- a/crates/zinniahatch_daemon/src/watch.rs
+++ b/crates/zinniahatch_daemon/src/watch.rs
@@ -21,7 +21,7 @@
 /// Waits until the node has the newest known configuration, then marks it ready to serve.
 ///
 /// A node that has just started must not serve with an outdated configuration. While the store
-/// answers, its head is the newest. During an outage of the store, the newest revision that a
+/// responds, its head is the newest. During an outage of the store, the newest revision that a
 /// contacted peer announces is used.
 pub(crate) async fn start_serving(core: Arc<GatewayCore>) {
     let mut reads = 0;
--- a/crates/zinniahatch_gateway/src/account_change.rs
+++ b/crates/zinniahatch_gateway/src/account_change.rs
@@ -25,7 +25,7 @@
 
 /// Returns the text of a shard with the account added, replaced or removed.
 pub(crate) fn rewrite_shard(text: &str, change: &AccountChange) -> String {
-    let mut kept = String::new();
+    let mut rewritten = String::new();
     for section in sections(text) {
         let own_account = section.starts_with(&format!("[account {}]", change.account));
         let own_caller = is_caller_of(section, &change.account);
@@ -36,23 +36,23 @@
         if own_account || (own_caller && (change.remove || renamed)) {
             continue;
         }
-        kept.push_str(section.trim_end());
-        kept.push('\n');
+        rewritten.push_str(section.trim_end());
+        rewritten.push('\n');
     }
     if change.remove {
-        return kept;
+        return rewritten;
     }
-    kept.push_str(&format!(
+    rewritten.push_str(&format!(
         "[account {}]\nhome = {}\nclass = {}\nteam = {}\nin_progress_limit = {}\n",
         change.account, change.home, change.class, change.team, change.in_progress_limit
     ));
     for (caller, digest) in &change.callers {
-        kept.push_str(&format!(
+        rewritten.push_str(&format!(
             "[caller {caller}]\naccount = {}\nkey_digest = {digest}\n",
             change.account
         ));
     }
-    kept
+    rewritten
 }
 
 fn sections(text: &str) -> Vec<&str> {
--- a/crates/zinniahatch_gateway/src/budget.rs
+++ b/crates/zinniahatch_gateway/src/budget.rs
@@ -1,6 +1,6 @@
 //! Retry and hedge budgets, as a share of the requests.
 
-/// Maximum number of saved tokens, so that a few failures after an idle period are always retried.
+/// Burst size of the token bucket, so that a few failures after an idle period are always retried.
 const MAX_SAVED_TOKENS: f64 = 10.0;
 
 /// A token budget for extra sends.
--- a/crates/zinniahatch_gateway/src/caller.rs
+++ b/crates/zinniahatch_gateway/src/caller.rs
@@ -66,12 +66,12 @@
 #[derive(Serialize)]
 struct EntriesBody {
     region: RegionId,
-    entries: Vec<EntryLine>,
+    entries: Vec<ListedEntry>,
     keys: Vec<Box<str>>,
 }
 
 #[derive(Serialize)]
-struct EntryLine {
+struct ListedEntry {
     node: NodeId,
     http: Box<str>,
     region: RegionId,
@@ -98,7 +98,7 @@
         let mut entries = Vec::new();
         for region in regions {
             for entry in region_entries(core, &config, region) {
-                entries.push(EntryLine {
+                entries.push(ListedEntry {
                     node: entry.node,
                     http: entry.http,
                     region: region.clone(),
@@ -162,8 +162,8 @@
                 Err(refusal) => return write_refusal(response, core, &name, &refusal),
             };
         match collect(core, &who.account, &name, request).await {
-            CollectResult::Cached(answer) => write_response(response, &answer),
-            CollectResult::FromOwner(answer) => answer.write(response),
+            CollectResult::Cached(cached) => write_response(response, &cached),
+            CollectResult::FromOwner(relayed) => relayed.write(response),
             CollectResult::Refused(refusal) => write_refusal(response, core, &name, &refusal),
         }
     }
@@ -181,8 +181,8 @@
     name: &str,
     request: &Request,
 ) -> CollectResult {
-    if let Some(answer) = core.response_cache().find(Instant::now(), account, name) {
-        return CollectResult::Cached(answer);
+    if let Some(cached) = core.response_cache().find(Instant::now(), account, name) {
+        return CollectResult::Cached(cached);
     }
     let forgotten = || Box::new(Refusal::new(ResultCode::AnswerForgotten));
     let Some(key) = MintedKey::parse(name) else {
@@ -191,7 +191,7 @@
     if core.keys().owns(&key) {
         let claim = core.keys().collect(&key, account);
         return match claim_result(claim) {
-            Some(Ok(answer)) => CollectResult::Cached(answer),
+            Some(Ok(cached)) => CollectResult::Cached(cached),
             Some(Err(refusal)) => CollectResult::Refused(refusal),
             None => CollectResult::Refused(forgotten()),
         };
@@ -205,18 +205,18 @@
     };
     let token = headers::bearer(request.headers()).unwrap_or_default();
     match crate::peer::fetch_response(core, &address, name, token).await {
-        Some(answer) => CollectResult::FromOwner(answer),
+        Some(relayed) => CollectResult::FromOwner(relayed),
         None => CollectResult::Refused(Box::new(Refusal::new(ResultCode::KeyOwnerGone))),
     }
 }
 
 pub(crate) fn write_reply(core: &Arc<GatewayCore>, response: &mut Response, reply: Reply) {
     match reply {
-        Reply::Complete(answer) => write_response(response, &answer),
+        Reply::Complete(cached) => write_response(response, &cached),
         Reply::Stream(stream, first, count, in_flight) => {
             write_stream(response, *stream, first, count, in_flight);
         }
-        Reply::FromOwner(answer) => answer.write(response),
+        Reply::FromOwner(relayed) => relayed.write(response),
         Reply::Refused(request, refusal) => write_refusal(response, core, &request, &refusal),
     }
 }
@@ -353,17 +353,17 @@
     };
     drop(in_flight);
     match result {
-        Ok(answer) => {
-            let answer = Arc::new(answer);
-            record_response(&mut count, &answer);
+        Ok(cached) => {
+            let cached = Arc::new(cached);
+            record_response(&mut count, &cached);
             let until = Instant::now() + outbound.service.retention;
             core.response_cache().put(
                 outbound.id.clone(),
                 outbound.who.account.clone(),
                 until,
-                Arc::clone(&answer),
+                Arc::clone(&cached),
             );
-            Reply::Complete(answer)
+            Reply::Complete(cached)
         }
         Err(refusal) => {
             count.record_result(refusal.code);
@@ -386,9 +386,9 @@
         let result = forward_to_owner(core, &outbound, &key).await;
         drop(in_flight);
         return match result {
-            Ok(answer) => {
-                answer.record_result(&mut count, outbound.is_engine());
-                Reply::FromOwner(answer)
+            Ok(relayed) => {
+                relayed.record_result(&mut count, outbound.is_engine());
+                Reply::FromOwner(relayed)
             }
             Err(refusal) => {
                 count.record_result(refusal.code);
@@ -399,9 +399,9 @@
     let result = run_as_owner(core, outbound, key).await;
     drop(in_flight);
     match result {
-        Ok(answer) => {
-            record_response(&mut count, &answer);
-            Reply::Complete(answer)
+        Ok(cached) => {
+            record_response(&mut count, &cached);
+            Reply::Complete(cached)
         }
         Err(refusal) => {
             count.record_result(refusal.code);
@@ -410,13 +410,13 @@
     }
 }
 
-fn record_response(count: &mut CountGuard, answer: &CachedResponse) {
+fn record_response(count: &mut CountGuard, cached: &CachedResponse) {
     count.mark_first_byte();
-    if answer.code != ResultCode::AnsweredEarlier {
-        count.set_usage(answer.usage);
+    if cached.code != ResultCode::AnsweredEarlier {
+        count.set_usage(cached.usage);
     }
-    count.set_served_region(&answer.served);
-    count.record_result(answer.code);
+    count.set_served_region(&cached.served);
+    count.record_result(cached.code);
 }
 
 fn read_head(request: &Request) -> RequestHead {
--- a/crates/zinniahatch_gateway/src/core.rs
+++ b/crates/zinniahatch_gateway/src/core.rs
@@ -87,8 +87,7 @@
             peer_auth: PeerAuth::new(&settings.secret),
             client: build_client(usize::MAX),
             // A request that must not run twice gets a new connection: a pooled connection may be
-            // dead without having been closed, and the request could not be sent again to find
-            // out.
+            // dead without having been closed, and the request could not safely be sent again.
             unpooled_client: build_client(0),
             waiters: WaiterTable::default(),
             control: Mutex::new(parts.control),
--- a/crates/zinniahatch_gateway/src/dispatch.rs
+++ b/crates/zinniahatch_gateway/src/dispatch.rs
@@ -154,7 +154,7 @@
     Ok(response)
 }
 
-/// Sends a request to a node of another data centre, which runs it there or answers "not run".
+/// Sends a request to a node of another data centre, which runs it there or responds "not run".
 pub(crate) async fn send_remote(
     core: &GatewayCore,
     outbound: &OutboundRequest,
@@ -258,7 +258,7 @@
         request.send().await
     } else {
         // A pooled connection that is dead without having been closed accepts a request and never
-        // answers. A repeatable request is tried elsewhere; any other must wait, because it cannot
+        // responds. A repeatable request is tried elsewhere; any other must wait, because it cannot
         // be safely resent.
         match timeout(outbound.response_timeout(), request.send()).await {
             Ok(result) => result,
--- a/crates/zinniahatch_gateway/src/idempotency.rs
+++ b/crates/zinniahatch_gateway/src/idempotency.rs
@@ -274,7 +274,7 @@
 /// Stores the outcome in the key table before the caller receives it.
 ///
 /// For "not run" the key is invalidated first, so that a copy of the same request still in transit
-/// to this node cannot run after the caller was told that the request did not.
+/// to this node cannot run after its caller received "not run".
 fn record_outcome(
     core: &GatewayCore,
     outbound: &OutboundRequest,
--- a/crates/zinniahatch_gateway/src/key_owner.rs
+++ b/crates/zinniahatch_gateway/src/key_owner.rs
@@ -106,8 +106,8 @@
 
 /// Forwards a request to the owner of its key.
 ///
-/// If the owner is gone, the outcome is unknown: the key may have been used there, and no other
-/// node can tell. The request is never run here instead.
+/// If the owner no longer exists, the outcome is unknown: the key may have been used there, and no
+/// other node has its state. The request is never run here instead.
 ///
 /// The request is counted here in any case, because it is unknown whether an owner that gives no
 /// response ever read it.
--- a/crates/zinniahatch_gateway/src/peer.rs
+++ b/crates/zinniahatch_gateway/src/peer.rs
@@ -391,7 +391,7 @@
         return serve_stream(core, outbound, None, admitted.in_flight).await;
     }
     match run_plain(core, &outbound).await {
-        Ok(answer) => Reply::Complete(Arc::new(answer)),
+        Ok(cached) => Reply::Complete(Arc::new(cached)),
         Err(refusal) => Reply::Refused(outbound.id.clone(), refusal),
     }
 }
--- a/crates/zinniahatch_gateway/src/placement.rs
+++ b/crates/zinniahatch_gateway/src/placement.rs
@@ -12,7 +12,7 @@
 use zinniahatch_control::Placement;
 use zinniahatch_protocol::EntryAddress;
 
-/// A slot in use, returned when dropped.
+/// A slot in use, which is released when the guard is dropped.
 pub(crate) struct SlotGuard {
     core: Arc<GatewayCore>,
     ticket: PlaceTicket,
--- a/crates/zinniahatch_gateway/src/report_read.rs
+++ b/crates/zinniahatch_gateway/src/report_read.rs
@@ -22,7 +22,7 @@
     key.rsplit('/').next()?.parse().ok()
 }
 
-/// Counts from which a report is made.
+/// Counts read for a report, with the gaps and the values that could not be read.
 #[derive(Default)]
 pub(crate) struct ReadCounts {
     pub(crate) table: CountTable,
--- a/crates/zinniahatch_gateway/src/respond.rs
+++ b/crates/zinniahatch_gateway/src/respond.rs
@@ -23,7 +23,7 @@
 use zinniahatch_base::prelude::*;
 
 #[derive(Serialize)]
-struct ChatAnswer<'a> {
+struct ChatResponse<'a> {
     id: &'a str,
     object: &'static str,
     choices: [ChatChoice; 1],
@@ -65,7 +65,7 @@
         first_byte.get_or_insert(started.elapsed());
         content.push_str(&token_text(&events));
     }
-    let answer = ChatAnswer {
+    let completion = ChatResponse {
         id: &outbound.id,
         object: "chat.completion",
         choices: [ChatChoice {
@@ -78,7 +78,7 @@
         }],
         usage: stream.usage(),
     };
-    let body = serde_json::to_vec(&answer).unwrap_or_default();
+    let body = serde_json::to_vec(&completion).unwrap_or_default();
     Ok(CachedResponse {
         request: outbound.id.clone(),
         status: 200,
@@ -93,19 +93,19 @@
 }
 
 /// Writes a complete response.
-pub(crate) fn write_response(response: &mut Response, answer: &CachedResponse) {
-    response.status_code(StatusCode::from_u16(answer.status).unwrap_or(StatusCode::BAD_GATEWAY));
-    for (name, value) in &answer.headers {
+pub(crate) fn write_response(response: &mut Response, cached: &CachedResponse) {
+    response.status_code(StatusCode::from_u16(cached.status).unwrap_or(StatusCode::BAD_GATEWAY));
+    for (name, value) in &cached.headers {
         set(response, name, value);
     }
     write_standard_headers(
         response,
-        &answer.request,
-        answer.revision,
-        &answer.served,
-        answer.code,
+        &cached.request,
+        cached.revision,
+        &cached.served,
+        cached.code,
     );
-    let _ = response.write_body(answer.body.clone());
+    let _ = response.write_body(cached.body.clone());
 }
 
 /// Writes a refusal.
--- a/crates/zinniahatch_report/src/count_buffer.rs
+++ b/crates/zinniahatch_report/src/count_buffer.rs
@@ -15,12 +15,12 @@
 /// node seals at most six batches in this time, which are a few kilobytes.
 const MAX_BACKUP_AGE: Duration = Duration::from_secs(60);
 
-/// A batch of counts that takes no more counts.
+/// A sealed batch of counts, to which no more counts are added.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SealedBatch {
     /// Sequence number within the shard.
     pub number: u64,
-    /// Minute of the sealing, from the epoch.
+    /// Minute of the sealing, since the epoch.
     pub minute: u64,
     /// The counts.
     pub counts: CountTable,
@@ -46,7 +46,7 @@
     pub sent: usize,
     /// In the store.
     pub merged: usize,
-    /// Minute of the sealing of the oldest batch that is not in the store, from the epoch.
+    /// Minute of the sealing of the oldest batch that is not in the store, since the epoch.
     pub oldest: Option<u64>,
 }
 
@@ -94,7 +94,7 @@
         self.dropped
     }
 
-    /// Whether every count is in the store.
+    /// Whether every count was confirmed to be in the store.
     pub fn is_flushed(&self) -> bool {
         self.shards
             .iter()
--- a/crates/zinniahatch_report/src/counts.rs
+++ b/crates/zinniahatch_report/src/counts.rs
@@ -7,7 +7,7 @@
     /// Key of a row: which requests it counts.
     #[derive(Eq, PartialOrd, Ord)]
     pub struct CountKey {
-        /// The hour, from the epoch.
+        /// The hour, since the epoch.
         pub hour: u64,
         /// The client account.
         pub account: AccountId,
--- a/crates/zinniahatch_report/src/hourly_counts.rs
+++ b/crates/zinniahatch_report/src/hourly_counts.rs
@@ -15,7 +15,7 @@
         pub ranges: Vec<(u64, u64)>,
         /// Whether the node announced that no counts follow.
         pub closed: bool,
-        /// Minute of the newest merged counts, from the epoch.
+        /// Minute of the newest merged counts, since the epoch.
         pub minute: u64,
     }
 
@@ -26,16 +26,16 @@
         pub node: NodeId,
         /// Its incarnation.
         pub incarnation: Incarnation,
-        /// First missing minute, from the epoch.
+        /// First missing minute, since the epoch.
         pub from: u64,
-        /// Last missing minute, from the epoch.
+        /// Last missing minute, since the epoch.
         pub until: u64,
     }
 
     /// The counts of one hour, of one region or of one shard of a data centre.
     #[derive(Default)]
     pub struct HourlyCounts {
-        /// The counts.
+        /// The merged counts.
         #[serde(rename = "sheet")]
         pub counts: CountTable,
         /// The merged batches, by incarnation of a node.
--- a/crates/zinniahatch_report/src/merge_queue.rs
+++ b/crates/zinniahatch_report/src/merge_queue.rs
@@ -19,7 +19,7 @@
     pub incarnation: Incarnation,
     /// Sequence number of the batch within its shard.
     pub number: u64,
-    /// Minute of the sealing, from the epoch.
+    /// Minute of the sealing, since the epoch.
     pub minute: u64,
     /// Whether the node is stopping and sends no further counts.
     pub last: bool,
@@ -32,7 +32,7 @@
 pub struct MergeTask {
     /// The shard.
     pub shard: u16,
-    /// The hour, from the epoch.
+    /// The hour, since the epoch.
     pub hour: u64,
     batches: Vec<ReceivedBatch>,
     gaps: Vec<CountGap>,
--- a/crates/zinniahatch_report/src/query.rs
+++ b/crates/zinniahatch_report/src/query.rs
@@ -28,9 +28,9 @@
     pub struct ReportQuery {
         /// The fields by which the lines are grouped.
         pub by: Vec<ReportField>,
-        /// First hour, from the epoch.
+        /// First hour, since the epoch.
         pub from: u64,
-        /// Last hour, from the epoch.
+        /// Last hour, since the epoch.
         pub until: u64,
         /// The accounts to include; `None` means all.
         pub accounts: Option<BTreeSet<AccountId>>
