--- a/crates/zinniahatch_change/tests/races.rs
+++ b/crates/zinniahatch_change/tests/races.rs
@@ -328,7 +328,7 @@
                 prop_assert_eq!(head.revision, index as u64 + 1);
             }
             for (name, result) in results {
-                let revisions: Vec<u64> = history.iter().filter(|head| head.changes.last().is_some_and(|note| *note.change == *name)).map(|head| head.revision).collect();
+                let revisions: Vec<u64> = history.iter().filter(|head| head.changes.last().is_some_and(|record| *record.change == *name)).map(|head| head.revision).collect();
                 match result {
                     Ok(ChangeOutcome::Accepted(revision)) => prop_assert_eq!(revisions, vec![revision]),
                     Ok(ChangeOutcome::Conflict(_)) | Err(_) => prop_assert!(revisions.is_empty(), "change {} was refused but applied", name),
--- a/crates/zinniahatch_ctl/src/commands.rs
+++ b/crates/zinniahatch_ctl/src/commands.rs
@@ -149,8 +149,8 @@
             .collect(),
         check: false,
     };
-    let changes = ConfigUpdater::new(KvClient::new(&args.store));
-    match changes.apply(&req, "bootstrap", |_| None).await {
+    let updater = ConfigUpdater::new(KvClient::new(&args.store));
+    match updater.apply(&req, "bootstrap", |_| None).await {
         Ok(ChangeOutcome::Accepted(revision)) => Ok(accepted(Some(revision))),
         Ok(ChangeOutcome::Checked) => Ok(accepted(None)),
         Ok(ChangeOutcome::Conflict(revision)) => Err(CtlError::Conflict(format!(
--- a/crates/zinniahatch_gateway/src/run.rs
+++ b/crates/zinniahatch_gateway/src/run.rs
@@ -44,7 +44,7 @@
     pub(crate) source: ResponseSource,
 }
 
-/// What the next attempt needs to know of the earlier ones.
+/// Outcome of the earlier attempts, as far as it affects the next one.
 #[derive(Default)]
 pub(crate) struct AttemptState {
     pub(crate) avoid: BTreeSet<ShortTag>,
@@ -268,7 +268,7 @@
     Ok(None)
 }
 
-/// Which of two sends decided the race.
+/// Result of a hedged send: which of the two sends completed first.
 enum HedgeResult {
     First(Result<Response, SendFailure>),
     Second(OpenResponse),
