--- a/crates/zinniahatch_change/tests/races.rs
+++ b/crates/zinniahatch_change/tests/races.rs
@@ -155,8 +155,8 @@
 }
 
 /// Guards against a change that is applied twice: the store's response is lost after the swap took
-/// effect, the operator is told "failed" and applies the change again. The updater therefore looks
-/// for the id of the change in the head before it reports a result.
+/// effect, the operator gets the result "failed" and applies the change again. The updater
+/// therefore looks for the id of the change in the head before it reports a result.
 #[test_case(WriteOutcome::LostAfter; "lost after it took effect")]
 #[test_case(WriteOutcome::LostBefore; "lost before it took effect")]
 #[test_case(WriteOutcome::Refused; "refused once")]
@@ -328,7 +328,7 @@
                 prop_assert_eq!(head.revision, index as u64 + 1);
             }
             for (name, result) in results {
-                let revisions: Vec<u64> = history.iter().filter(|head| head.changes.last().is_some_and(|note| *note.change == *name)).map(|head| head.revision).collect();
+                let revisions: Vec<u64> = history.iter().filter(|head| head.changes.last().is_some_and(|record| *record.change == *name)).map(|head| head.revision).collect();
                 match result {
                     Ok(ChangeOutcome::Accepted(revision)) => prop_assert_eq!(revisions, vec![revision]),
                     Ok(ChangeOutcome::Conflict(_)) | Err(_) => prop_assert!(revisions.is_empty(), "change {} was refused but applied", name),
--- a/crates/zinniahatch_config/src/entry.rs
+++ b/crates/zinniahatch_config/src/entry.rs
@@ -6,18 +6,19 @@
 use std::net::SocketAddrV4;
 use zinniahatch_base::prelude::*;
 
-/// Maximum time-to-live of a directory answer; the platform may set a lower bound.
+/// Maximum time-to-live of a directory response; the platform may set a lower bound.
 const MAX_DIRECTORY_TTL: Duration = Duration::from_secs(2);
 
 /// Maximum wait of one watch, slightly below the maximum that the store allows.
 ///
 /// Every watch costs a call even if nothing changed, so long waits are cheaper. They do not delay the
-/// detection of a lost store or connection, which TCP keep-alive and the renewals of the node's key show.
+/// detection of a lost store or connection, which TCP keep-alive and the renewals of the node's key
+/// provide.
 const MAX_WATCH_WAIT: Duration = Duration::from_secs(28);
 /// Maximum wait of a watch as a fraction of the time for which the store keeps its history.
 ///
-/// With a wait of 28 s and a history of 20 s, every watch without changes ended as compacted, and nodes
-/// took the store for faulty.
+/// With a wait of 28 s and a history of 20 s, every watch without changes ended with a compaction
+/// error, and nodes took the store for faulty.
 const HISTORY_FRACTION: f64 = 0.7;
 /// Default time for which the platform's key-value store keeps its history.
 const STORE_HISTORY: Duration = Duration::from_secs(20);
@@ -31,7 +32,7 @@
         pub readiness: SocketAddrV4,
         /// For operators and metrics.
         pub control: SocketAddrV4,
-        /// For callers that ask which entry VM to use.
+        /// For callers that look up which entry VM to use.
         pub directory: SocketAddrV4,
         /// For other entry VMs: datagrams and forwarded requests.
         pub peer: SocketAddrV4,
@@ -51,7 +52,7 @@
         pub cold_slack: f64,
         /// Grace period between the request to stop and the kill.
         pub grace: Duration,
-        /// Time-to-live of a directory answer.
+        /// Time-to-live of a directory response.
         pub directory_ttl: Duration,
         /// Time after which no node may accept a revoked API key, even if it is cut off from the store.
         ///
@@ -78,7 +79,7 @@
         /// Share of a processor core available to the VM, in hundredths.
         ///
         /// Nodes with a higher share are preferred for tasks that one node does for its region.
-        pub strength: u32,
+        pub cpu_share: u32,
         /// Addresses of a few entry VMs to contact first; only the IP address is used.
         pub seeds: Vec<SocketAddrV4>,
         /// Address of the platform's key-value store.
@@ -123,7 +124,7 @@
                 .pairs()
                 .map(|(key, value)| (key.into(), value.into()))
                 .collect(),
-            strength: strength(node)?,
+            cpu_share: cpu_share(node)?,
             seeds: seeds(node)?,
             store: address(store, "address")?,
             min_lease: store.duration("lease_least", Some(Duration::from_secs(1)))?,
@@ -172,7 +173,7 @@
 }
 
 /// Reads the share of a processor core, by default a whole core.
-fn strength(node: &SectionReader) -> Result<u32, ConfigError> {
+fn cpu_share(node: &SectionReader) -> Result<u32, ConfigError> {
     const HUNDREDTHS: f64 = 100.0;
     let share: f64 = node.number("processor", Some(1.0))?;
     if share > 0.0 && share.is_finite() {
--- a/crates/zinniahatch_config/tests/entry.rs
+++ b/crates/zinniahatch_config/tests/entry.rs
@@ -87,7 +87,7 @@
     assert!(EntrySettings::matches_file(&text));
     let settings = EntrySettings::parse("entry.ini", &text).unwrap();
     assert_eq!(&*settings.name, "front-a-1");
-    assert_eq!(settings.strength, 25);
+    assert_eq!(settings.cpu_share, 25);
     assert_eq!(settings.seeds.len(), 2);
     assert_eq!(settings.regions.len(), 2);
     assert_eq!(settings.listen.peer.port(), 7660);
@@ -121,8 +121,8 @@
     assert!(words.iter().all(|word| text.contains(word)), "{text}");
 }
 
-/// Guards against a watch that waits longer than the store keeps its history. Such a watch ends as
-/// compacted without any change, and the node lists all keys again and takes the store for faulty.
+/// Guards against a watch that waits longer than the store keeps its history. Such a watch ends with a
+/// compaction error without any change; the node lists all keys again and takes the store for faulty.
 #[test_case("history = 20s", 14_000; "as_filled")]
 #[test_case("history = 5s", 3_500; "short")]
 #[test_case("history = 90s", 28_000; "long")]
--- a/crates/zinniahatch_report/src/hourly_counts.rs
+++ b/crates/zinniahatch_report/src/hourly_counts.rs
@@ -15,7 +15,7 @@
         pub ranges: Vec<(u64, u64)>,
         /// Whether the node announced that no counts follow.
         pub closed: bool,
-        /// Minute of the newest merged counts, from the epoch.
+        /// Minute of the newest merged counts, since the epoch.
         pub minute: u64,
     }
 
@@ -26,19 +26,21 @@
         pub node: NodeId,
         /// Its incarnation.
         pub incarnation: Incarnation,
-        /// First missing minute, from the epoch.
+        /// First missing minute, since the epoch.
         pub from: u64,
-        /// Last missing minute, from the epoch.
+        /// Last missing minute, since the epoch.
         pub until: u64,
     }
 
     /// The counts of one hour, of one region or of one shard of a data centre.
     #[derive(Default)]
     pub struct HourlyCounts {
-        /// The counts.
-        pub sheet: CountTable,
+        /// The merged counts.
+        #[serde(rename = "sheet")]
+        pub counts: CountTable,
         /// The merged batches, by incarnation of a node.
-        pub marks: Vec<MergedBatches>,
+        #[serde(rename = "marks")]
+        pub merged: Vec<MergedBatches>,
         /// Minutes for which counts are missing.
         pub gaps: Vec<CountGap>,
     }
@@ -66,7 +68,7 @@
         // counts are missing.
         self.gaps
             .retain(|gap| gap.incarnation != incarnation || gap.until > minute);
-        self.sheet.merge(counts);
+        self.counts.merge(counts);
         true
     }
 
@@ -91,20 +93,20 @@
 
     fn merged_batches(&mut self, node: &str, incarnation: Incarnation) -> &mut MergedBatches {
         let known = self
-            .marks
+            .merged
             .iter()
             .position(|merged| &*merged.node == node && merged.incarnation == incarnation);
         let index = known.unwrap_or_else(|| {
-            self.marks.push(MergedBatches {
+            self.merged.push(MergedBatches {
                 node: node.into(),
                 incarnation,
                 ranges: Vec::new(),
                 closed: false,
                 minute: 0,
             });
-            self.marks.len() - 1
+            self.merged.len() - 1
         });
-        &mut self.marks[index]
+        &mut self.merged[index]
     }
 }
 
