--- a/crates/zinniahatch_control/src/allocation.rs
+++ b/crates/zinniahatch_control/src/allocation.rs
@@ -45,10 +45,10 @@
     let mut targets: BTreeMap<NodeId, u32> = BTreeMap::new();
     if contended {
         quotas = compute_quotas(capacity, &mut input);
-        for (name, lines) in &quotas {
+        for (name, node_quotas) in &quotas {
             targets.insert(
                 name.clone(),
-                lines.iter().map(|(_, quota)| u32::from(*quota)).sum(),
+                node_quotas.iter().map(|(_, quota)| u32::from(*quota)).sum(),
             );
         }
     } else {
@@ -66,8 +66,8 @@
         .limits
         .into_iter()
         .map(|(name, limits)| {
-            let lines = quotas.remove(&name).unwrap_or_default();
-            (name, limits, lines)
+            let node_quotas = quotas.remove(&name).unwrap_or_default();
+            (name, limits, node_quotas)
         })
         .collect();
     AllocationOutput { contended, holders }
@@ -77,20 +77,20 @@
 fn compute_quotas(capacity: u32, input: &mut AllocationInput<'_>) -> Quotas {
     let mut demands: BTreeMap<ShortTag, ShareDemand> = BTreeMap::new();
     for holder in input.pool_holders.values() {
-        for line in &holder.report.tenants {
-            let demand = demands.entry(line.tenant).or_insert(ShareDemand {
-                tenant: line.tenant,
-                weight: f64::from(line.weight.max(1)),
+        for load in &holder.report.tenants {
+            let demand = demands.entry(load.tenant).or_insert(ShareDemand {
+                tenant: load.tenant,
+                weight: f64::from(load.weight.max(1)),
                 demand: 0,
                 running: 0,
-                credit: input.credits.get(&line.tenant).copied().unwrap_or(0.0),
+                credit: input.credits.get(&load.tenant).copied().unwrap_or(0.0),
             });
-            demand.demand += u32::from(line.running) + u32::from(line.waiting);
-            demand.running += u32::from(line.running);
+            demand.demand += u32::from(load.running) + u32::from(load.waiting);
+            demand.running += u32::from(load.running);
         }
     }
-    let list: Vec<ShareDemand> = demands.values().copied().collect();
-    let shares = max_min_shares(capacity, &list);
+    let demand_list: Vec<ShareDemand> = demands.values().copied().collect();
+    let shares = max_min_shares(capacity, &demand_list);
     let mut quotas: Quotas = input
         .pool_holders
         .keys()
@@ -135,74 +135,85 @@
     holders: &BTreeMap<NodeId, HolderState>,
     quotas: &mut Quotas,
 ) {
-    let mut lines = Vec::new();
+    let mut node_quotas = Vec::new();
     for (name, holder) in holders {
-        let Some(line) = holder
+        let Some(load) = holder
             .report
             .tenants
             .iter()
-            .find(|line| line.tenant == tenant)
+            .find(|load| load.tenant == tenant)
         else {
             continue;
         };
-        let demand = u32::from(line.running) + u32::from(line.waiting);
+        let demand = u32::from(load.running) + u32::from(load.waiting);
         let previous = holder
             .quota_of(tenant)
-            .map_or(u32::from(line.running), u32::from);
-        lines.push(NodeQuota {
+            .map_or(u32::from(load.running), u32::from);
+        node_quotas.push(NodeQuota {
             name,
             demand,
             quota: previous.min(demand),
             ideal: 0.0,
         });
     }
-    let demand: u32 = lines.iter().map(|line| line.demand).sum();
-    for line in &mut lines {
-        line.ideal = f64::from(share) * f64::from(line.demand) / f64::from(demand.max(1));
+    let demand: u32 = node_quotas.iter().map(|node_quota| node_quota.demand).sum();
+    for node_quota in &mut node_quotas {
+        node_quota.ideal =
+            f64::from(share) * f64::from(node_quota.demand) / f64::from(demand.max(1));
     }
-    rebalance_quotas(share, &mut lines);
-    for line in lines {
-        if let Some(list) = quotas.get_mut(line.name) {
-            list.push((tenant, line.quota.min(u32::from(u16::MAX)) as u16));
+    rebalance_quotas(share, &mut node_quotas);
+    for node_quota in node_quotas {
+        if let Some(list) = quotas.get_mut(node_quota.name) {
+            list.push((tenant, node_quota.quota.min(u32::from(u16::MAX)) as u16));
         }
     }
 }
 
 /// Adjusts the quotas to add up to the share and moves one slot from the node with the largest
 /// surplus to the one with the largest deficit.
-fn rebalance_quotas(share: u32, lines: &mut [NodeQuota<'_>]) {
-    let mut sum: u32 = lines.iter().map(|line| line.quota).sum();
+fn rebalance_quotas(share: u32, node_quotas: &mut [NodeQuota<'_>]) {
+    let mut sum: u32 = node_quotas.iter().map(|node_quota| node_quota.quota).sum();
     while sum > share {
-        let Some(index) = largest_surplus(lines) else {
+        let Some(index) = largest_surplus(node_quotas) else {
             break;
         };
-        lines[index].quota -= 1;
+        node_quotas[index].quota -= 1;
         sum -= 1;
     }
     while sum < share {
-        let Some(index) = largest_deficit(lines) else {
+        let Some(index) = largest_deficit(node_quotas) else {
             break;
         };
-        lines[index].quota += 1;
+        node_quotas[index].quota += 1;
         sum += 1;
     }
-    let (Some(from), Some(to)) = (largest_surplus(lines), largest_deficit(lines)) else {
+    let (Some(from), Some(to)) = (largest_surplus(node_quotas), largest_deficit(node_quotas))
+    else {
         return;
     };
-    if lines[from].surplus() >= 1.0 && lines[to].surplus() <= -1.0 {
-        lines[from].quota -= 1;
-        lines[to].quota += 1;
+    if node_quotas[from].surplus() >= 1.0 && node_quotas[to].surplus() <= -1.0 {
+        node_quotas[from].quota -= 1;
+        node_quotas[to].quota += 1;
     }
 }
 
-fn largest_surplus(lines: &[NodeQuota<'_>]) -> Option<usize> {
-    let served = (0..lines.len()).filter(|index| lines[*index].quota > 0);
-    served.max_by(|one, other| lines[*one].surplus().total_cmp(&lines[*other].surplus()))
+fn largest_surplus(node_quotas: &[NodeQuota<'_>]) -> Option<usize> {
+    let served = (0..node_quotas.len()).filter(|index| node_quotas[*index].quota > 0);
+    served.max_by(|one, other| {
+        node_quotas[*one]
+            .surplus()
+            .total_cmp(&node_quotas[*other].surplus())
+    })
 }
 
-fn largest_deficit(lines: &[NodeQuota<'_>]) -> Option<usize> {
-    let unsatisfied = (0..lines.len()).filter(|index| lines[*index].quota < lines[*index].demand);
-    unsatisfied.min_by(|one, other| lines[*one].surplus().total_cmp(&lines[*other].surplus()))
+fn largest_deficit(node_quotas: &[NodeQuota<'_>]) -> Option<usize> {
+    let unsatisfied = (0..node_quotas.len())
+        .filter(|index| node_quotas[*index].quota < node_quotas[*index].demand);
+    unsatisfied.min_by(|one, other| {
+        node_quotas[*one]
+            .surplus()
+            .total_cmp(&node_quotas[*other].surplus())
+    })
 }
 
 impl NodeQuota<'_> {
--- a/crates/zinniahatch_control/src/coordinator.rs
+++ b/crates/zinniahatch_control/src/coordinator.rs
@@ -293,9 +293,9 @@
     fn from_first_report(now: Instant, incarnation: Incarnation, report: SlotReport) -> Self {
         let mut limits = BTreeMap::new();
         let mut committed = BTreeMap::new();
-        for line in &report.slots {
-            limits.insert(line.replica, line.limit);
-            committed.insert(line.replica, line.limit.max(line.running));
+        for held in &report.slots {
+            limits.insert(held.replica, held.limit);
+            committed.insert(held.replica, held.limit.max(held.running));
         }
         Self {
             incarnation,
@@ -313,7 +313,7 @@
         self.report
             .slots
             .iter()
-            .map(|line| u32::from(line.running))
+            .map(|held| u32::from(held.running))
             .sum()
     }
 
@@ -321,31 +321,31 @@
         self.report
             .tenants
             .iter()
-            .map(|line| u32::from(line.waiting))
+            .map(|load| u32::from(load.waiting))
             .sum()
     }
 
     /// Returns the node's quota for a tenant, if any.
     pub(crate) fn quota_of(&self, tenant: ShortTag) -> Option<u16> {
         let grant = self.grant.as_ref().filter(|grant| grant.contended)?;
-        let line = grant.quotas.iter().find(|(known, _)| *known == tenant);
-        line.map(|(_, quota)| *quota)
+        let entry = grant.quotas.iter().find(|(known, _)| *known == tenant);
+        entry.map(|(_, quota)| *quota)
     }
 
     fn apply_report(&mut self, now: Instant, report: SlotReport) {
         self.reported_at = now;
         if report.applied >= self.number {
             self.committed.clone_from(&self.limits);
-            for line in &report.slots {
-                let count = self.committed.entry(line.replica).or_default();
-                *count = (*count).max(line.running);
+            for held in &report.slots {
+                let count = self.committed.entry(held.replica).or_default();
+                *count = (*count).max(held.running);
             }
             self.committed.retain(|_, count| *count > 0);
         } else {
             // A grant sent before a pause of this coordinator may have reached the holder late.
-            for line in &report.slots {
-                let count = self.committed.entry(line.replica).or_default();
-                *count = (*count).max(line.limit).max(line.running);
+            for held in &report.slots {
+                let count = self.committed.entry(held.replica).or_default();
+                *count = (*count).max(held.limit).max(held.running);
             }
         }
         self.report = report;
--- a/crates/zinniahatch_control/src/members.rs
+++ b/crates/zinniahatch_control/src/members.rs
@@ -56,16 +56,16 @@
 /// All other members of the data centre.
 #[derive(Debug)]
 pub struct MemberTable {
-    me: NodeId,
+    own_name: NodeId,
     policy: FailurePolicy,
     entries: BTreeMap<NodeId, MemberEntry>,
 }
 
 impl MemberTable {
     /// Creates an empty table.
-    pub fn new(me: &str, policy: FailurePolicy) -> Self {
+    pub fn new(own_name: &str, policy: FailurePolicy) -> Self {
         Self {
-            me: me.into(),
+            own_name: own_name.into(),
             policy,
             entries: BTreeMap::new(),
         }
@@ -78,7 +78,7 @@
 
     /// Returns whether a member is considered alive.
     pub fn is_live(&self, now: Instant, node: &str) -> bool {
-        if node == &*self.me {
+        if node == &*self.own_name {
             return true;
         }
         let Some(entry) = self.entries.get(node) else {
@@ -104,7 +104,7 @@
             .map(|(name, _)| name.clone())
             .collect();
         if !exclude_self || eligible.is_empty() {
-            eligible.push(self.me.clone());
+            eligible.push(self.own_name.clone());
         }
         eligible
     }
--- a/crates/zinniahatch_control/src/node/routing.rs
+++ b/crates/zinniahatch_control/src/node/routing.rs
@@ -247,7 +247,7 @@
             };
             let free = self.remotes.free(now, name, &query.service);
             if !allowed
-                || query.avoid_centres.contains(name)
+                || query.avoid_data_centres.contains(name)
                 || data_centre.entries.is_empty()
                 || free < 1.0
             {
--- a/crates/zinniahatch_control/src/placement.rs
+++ b/crates/zinniahatch_control/src/placement.rs
@@ -54,7 +54,7 @@
     /// Backend servers that already failed to serve it.
     pub avoid: BTreeSet<ShortTag>,
     /// Data centres that already refused it.
-    pub avoid_centres: BTreeSet<DataCentreId>,
+    pub avoid_data_centres: BTreeSet<DataCentreId>,
 }
 
 /// Permit to run one request on one slot; must be released exactly once.
--- a/crates/zinniahatch_control/tests/fake/mod.rs
+++ b/crates/zinniahatch_control/tests/fake/mod.rs
@@ -233,7 +233,7 @@
         scope: PlacementScope::Anywhere,
         guest: false,
         avoid: BTreeSet::new(),
-        avoid_centres: BTreeSet::new(),
+        avoid_data_centres: BTreeSet::new(),
     }
 }
 
--- a/crates/zinniahatch_daemon/src/counts.rs
+++ b/crates/zinniahatch_daemon/src/counts.rs
@@ -38,20 +38,20 @@
 impl CountMerger {
     /// Applies the output of a tick: received batches, confirmations, and changes of node liveness.
     pub(crate) fn apply_output(&self, core: &GatewayCore, output: TickOutput) {
-        for (node, incarnation, note) in output.counts {
-            let Ok(counts) = postcard::from_bytes::<CountTable>(&note.rows) else {
+        for (node, incarnation, sealed) in output.counts {
+            let Ok(counts) = postcard::from_bytes::<CountTable>(&sealed.rows) else {
                 count_dropped_message(core, "counts-unreadable");
                 continue;
             };
             let batch = ReceivedBatch {
                 node,
                 incarnation,
-                number: note.number,
-                minute: note.minute,
-                last: note.last,
+                number: sealed.number,
+                minute: sealed.minute,
+                last: sealed.last,
                 counts,
             };
-            self.lock().insert(note.shard, batch);
+            self.lock().insert(sealed.shard, batch);
         }
         for (shard, incarnation, numbers) in output.merged {
             if incarnation == core.identity.incarnation {
@@ -59,14 +59,15 @@
             }
         }
         for (node, incarnation) in output.recovered {
-            self.lock().note_alive(&node, incarnation);
+            self.lock().record_recovery(&node, incarnation);
         }
         for (node, incarnation) in output.failed {
             let recorder = core
                 .control()
                 .role_holder_except(Instant::now(), &role(0), &node);
             if recorder.as_ref() == Some(&core.identity.node) {
-                self.lock().note_death(&node, incarnation, epoch_minute());
+                self.lock()
+                    .record_failure(&node, incarnation, epoch_minute());
             }
         }
     }
@@ -100,14 +101,14 @@
             count_dropped_message(core, "counts-unwritable");
             continue;
         };
-        let note = SealedCounts {
+        let message = SealedCounts {
             shard,
             number: sealed.number,
             minute: sealed.minute,
             last,
             rows,
         };
-        control.send_to(now, &owner, NodeMessage::Counts(note));
+        control.send_to(now, &owner, NodeMessage::Counts(message));
     }
     drop(control);
     core.wake.notify_one();
--- a/crates/zinniahatch_daemon/src/load_polls.rs
+++ b/crates/zinniahatch_daemon/src/load_polls.rs
@@ -1,4 +1,4 @@
-//! Polls of the load of backend servers; each is polled only by the node that manages its pool.
+//! Polls of the load of backend servers; each is polled only by the coordinator of its pool.
 
 use std::sync::Arc;
 use tokio::task::JoinSet;
@@ -17,14 +17,14 @@
 /// Minimum time for which used idempotency keys are retained.
 const KEY_RETENTION: Duration = Duration::from_secs(3_600);
 
-/// Polls the load of this node's replicas until the process ends.
+/// Polls the load of the replicas whose pools this node coordinates until the process ends.
 pub(crate) async fn run(core: Arc<GatewayCore>) {
     let mut failed_polls: BTreeMap<ReplicaId, u32> = BTreeMap::new();
     loop {
         sleep(POLL_INTERVAL).await;
         core.keys().sweep(Instant::now(), KEY_RETENTION);
         let mut polls = JoinSet::new();
-        for (replica, address) in managed_replicas(&core) {
+        for (replica, address) in coordinated_replicas(&core) {
             let engine = core.engine.clone();
             polls.spawn(async move { (replica, engine.load(&address).await) });
         }
@@ -35,7 +35,7 @@
     }
 }
 
-fn managed_replicas(core: &GatewayCore) -> Vec<(ReplicaId, Box<str>)> {
+fn coordinated_replicas(core: &GatewayCore) -> Vec<(ReplicaId, Box<str>)> {
     let control = core.control();
     let config = control.config();
     let now = Instant::now();
@@ -63,12 +63,12 @@
     let backends = control.backends_mut();
     if let Ok(load) = result {
         failed_polls.remove(&replica);
-        let mark = if load.leaving {
+        let status = if load.leaving {
             BackendStatus::Leaving
         } else {
             BackendStatus::Live
         };
-        backends.set_status(now, tag, mark);
+        backends.set_status(now, tag, status);
         backends.report_slots(tag, load.slots);
     } else {
         let count = failed_polls.entry(replica).or_default();
--- a/crates/zinniahatch_daemon/src/orders.rs
+++ b/crates/zinniahatch_daemon/src/orders.rs
@@ -20,11 +20,11 @@
 /// Limit of the orders of one round: the weight store is rate-limited, and each order reads from it.
 const MAX_ORDERS_PER_ROUND: usize = 1;
 
-/// The lease, and the gate that permits orders while the lease is held.
+/// The validity of the lease as seen by this node, and the id of the lease in the store.
 #[derive(Default)]
 struct OrderIssuer {
-    gate: OrderLease,
-    lease: Option<Box<str>>,
+    order_lease: OrderLease,
+    lease_id: Option<Box<str>>,
 }
 
 /// Issues orders while this node holds the role and the lease, until the process ends.
@@ -37,7 +37,7 @@
             continue;
         }
         issuer.maintain_lease(&core).await;
-        if issuer.gate.is_held() {
+        if issuer.order_lease.is_held() {
             issuer.issue_orders(&core).await;
         }
     }
@@ -54,13 +54,14 @@
 }
 
 impl OrderIssuer {
-    /// Renews the lease, or tries to acquire it. Its time is counted from when the call was sent.
+    /// Renews the lease, or tries to acquire it. Its time counts from the sending of the call,
+    /// so that this node considers it expired no later than the store does.
     async fn maintain_lease(&mut self, core: &GatewayCore) {
         let store = core.config_updater.store();
-        if let Some(lease) = &self.lease {
+        if let Some(lease_id) = &self.lease_id {
             let sent = Instant::now();
-            match store.renew_lease(lease).await {
-                Ok(true) => self.gate.renewed(sent),
+            match store.renew_lease(lease_id).await {
+                Ok(true) => self.order_lease.renewed(sent),
                 Ok(false) => self.drop_lease(),
                 Err(_) => {}
             }
@@ -76,14 +77,14 @@
             .await;
         if matches!(claimed, Ok(PutOutcome::Done(_))) {
             info!("this node issues orders with fencing token {}", lease.fence);
-            self.gate.acquired(sent, lease.fence, LEASE_TTL);
-            self.lease = Some(lease.id);
+            self.order_lease.acquired(sent, lease.fence, LEASE_TTL);
+            self.lease_id = Some(lease.id);
         }
     }
 
     fn drop_lease(&mut self) {
-        self.gate.lost();
-        self.lease = None;
+        self.order_lease.lost();
+        self.lease_id = None;
     }
 
     async fn issue_orders(&mut self, core: &GatewayCore) {
@@ -100,7 +101,7 @@
             }
             // Checked again for each order, since the process may have been paused for a long time.
             let Some(fence) = self
-                .gate
+                .order_lease
                 .permit(Instant::now(), backend.fencing == FencingRule::Checked)
             else {
                 core.counters
--- a/crates/zinniahatch_daemon/src/ticks.rs
+++ b/crates/zinniahatch_daemon/src/ticks.rs
@@ -25,7 +25,7 @@
     loop {
         let _ = timeout(MAX_TICK_INTERVAL, core.wake.notified()).await;
         let started = Instant::now();
-        let (output, decisions, new_revision) = {
+        let (output, placements, new_revision) = {
             let mut control = core.control();
             let output = control.tick(started);
             (
@@ -38,9 +38,9 @@
             revision = new_revision;
             core.set_adopted_ms(epoch_millis());
         }
-        core.deliver_placements(decisions);
-        for parcel in &output.frames {
-            transport.send(&core, parcel);
+        core.deliver_placements(placements);
+        for frame in &output.frames {
+            transport.send(&core, frame);
         }
         for peer in &output.redials {
             transport.redial(&core, peer);
--- a/crates/zinniahatch_daemon/src/transport.rs
+++ b/crates/zinniahatch_daemon/src/transport.rs
@@ -47,8 +47,8 @@
     }
 
     /// Queues a frame for its peer, or drops it if the queue is full.
-    pub(crate) fn send(&mut self, core: &GatewayCore, parcel: &OutboundFrame) {
-        let bytes = match self.codec.encode(&parcel.frame) {
+    pub(crate) fn send(&mut self, core: &GatewayCore, outbound: &OutboundFrame) {
+        let bytes = match self.codec.encode(&outbound.frame) {
             Ok(bytes) => bytes,
             Err(error) => {
                 core.counters
@@ -63,7 +63,10 @@
             .frame_bytes
             .with_label_values(&["out"])
             .inc_by(bytes.len() as u64);
-        if !self.enqueue(core.translate_address(&parcel.to), PeerCommand::Send(bytes)) {
+        if !self.enqueue(
+            core.translate_address(&outbound.to),
+            PeerCommand::Send(bytes),
+        ) {
             let dropped = &core.counters.messages_dropped;
             dropped.with_label_values(&["queue-full"]).inc();
         }
--- a/crates/zinniahatch_entry/src/counts/counting.rs
+++ b/crates/zinniahatch_entry/src/counts/counting.rs
@@ -218,7 +218,7 @@
         return;
     }
     let mut queue = core.counts.merging.borrow_mut();
-    queue.note_death(node, incarnation, epoch_minute());
+    queue.record_failure(node, incarnation, epoch_minute());
 }
 
 /// Writes all received counts to the store.
--- a/crates/zinniahatch_gateway/src/admin.rs
+++ b/crates/zinniahatch_gateway/src/admin.rs
@@ -176,7 +176,7 @@
     let mut control = core.control();
     let config = control.config();
     let now = Instant::now();
-    let mut lines = Vec::new();
+    let mut bodies = Vec::new();
     for (name, backend) in &config.backends {
         let tag = tag_of(name);
         let slot = control
@@ -185,7 +185,7 @@
             .get(&tag)
             .copied()
             .unwrap_or_default();
-        lines.push(BackendBody {
+        bodies.push(BackendBody {
             replica: name.clone(),
             service: backend.service.clone(),
             data_centre: backend.data_centre.clone(),
@@ -196,7 +196,7 @@
             usable: control.backends_mut().is_usable(now, tag),
         });
     }
-    lines
+    bodies
 }
 
 fn accounts(
--- a/crates/zinniahatch_gateway/src/admit.rs
+++ b/crates/zinniahatch_gateway/src/admit.rs
@@ -43,7 +43,7 @@
     pub(crate) config: Arc<ClusterConfig>,
     pub(crate) head: RequestHead,
     pub(crate) service: ServiceEntry,
-    pub(crate) who: CallerIdentity,
+    pub(crate) caller_identity: CallerIdentity,
     pub(crate) work: WorkKind,
     pub(crate) at_most_once: bool,
     pub(crate) scope: PlacementScope,
@@ -61,11 +61,11 @@
     head: RequestHead,
 ) -> Result<AdmittedRequest, Box<Refusal>> {
     let config = serving_config(core)?;
-    let who = find_caller(&config, &head.headers)
+    let caller_identity = find_caller(&config, &head.headers)
         .inspect_err(|refusal| core.counters.count_result(refusal.code))?;
     let id = core.request_id();
-    let mut count = CountGuard::new(core, &config, &who, &head.service, head.arrived);
-    match check_head(core, &config, &head, &who) {
+    let mut count = CountGuard::new(core, &config, &caller_identity, &head.service, head.arrived);
+    match check_head(core, &config, &head, &caller_identity) {
         Ok((service, in_flight)) => {
             let at_most_once = service.is_once(head.method.as_str())
                 || headers::text(&head.headers, headers::REPEAT) == Some("once");
@@ -81,7 +81,7 @@
                 config,
                 head,
                 service,
-                who,
+                caller_identity,
                 work,
                 at_most_once,
                 scope,
@@ -164,14 +164,14 @@
     core: &Arc<GatewayCore>,
     config: &ClusterConfig,
     head: &RequestHead,
-    who: &CallerIdentity,
+    caller_identity: &CallerIdentity,
 ) -> Result<(ServiceEntry, InFlightGuard), Box<Refusal>> {
     let Some(service) = config.services.get(&head.service) else {
         return Err(Box::new(Refusal::new(ResultCode::UnknownService)));
     };
-    if is_bound(service, head) && who.entry.home != core.identity.region {
+    if is_bound(service, head) && caller_identity.entry.home != core.identity.region {
         let mut refusal = Refusal::new(ResultCode::BoundElsewhere);
-        refusal.entries = region_entries(core, config, &who.entry.home);
+        refusal.entries = region_entries(core, config, &caller_identity.entry.home);
         return Err(Box::new(refusal));
     }
     let declared: Option<u64> =
@@ -179,7 +179,10 @@
     if declared.is_some_and(|length| length > service.body_limit) {
         return Err(Box::new(Refusal::new(ResultCode::BodyTooLarge)));
     }
-    let Some(in_flight) = core.try_begin(&who.account, who.entry.in_progress_limit) else {
+    let Some(in_flight) = core.try_begin(
+        &caller_identity.account,
+        caller_identity.entry.in_progress_limit,
+    ) else {
         return Err(Box::new(Refusal::retry_after(
             ResultCode::OverRate,
             Duration::from_secs(1),
--- a/crates/zinniahatch_gateway/src/caller.rs
+++ b/crates/zinniahatch_gateway/src/caller.rs
@@ -85,14 +85,14 @@
             Ok(config) => config,
             Err(refusal) => return write_refusal(response, core, "", &refusal),
         };
-        let who = match find_caller(&config, request.headers()) {
-            Ok(who) => who,
+        let caller_identity = match find_caller(&config, request.headers()) {
+            Ok(caller_identity) => caller_identity,
             Err(refusal) => {
                 core.counters.count_result(refusal.code);
                 return write_refusal(response, core, "", &refusal);
             }
         };
-        let home = who.entry.home.clone();
+        let home = caller_identity.entry.home.clone();
         let mut regions: Vec<&RegionId> = config.topology.regions.keys().collect();
         regions.sort_by_key(|name| (**name != home, config.topology.delay(&home, name)));
         let mut entries = Vec::new();
@@ -111,7 +111,7 @@
             &EntriesBody {
                 region: home,
                 entries,
-                keys: mint(core, &who.account, count),
+                keys: mint(core, &caller_identity.account, count),
             },
         );
     }
@@ -129,9 +129,10 @@
 impl KeysHandler {
     async fn handle(&self, request: &mut Request, response: &mut Response) {
         let core = &self.0;
-        let who = serving_config(core).and_then(|config| find_caller(&config, request.headers()));
-        match who {
-            Ok(who) => {
+        let caller_identity =
+            serving_config(core).and_then(|config| find_caller(&config, request.headers()));
+        match caller_identity {
+            Ok(caller_identity) => {
                 let count = request
                     .query::<usize>("count")
                     .unwrap_or(1)
@@ -139,7 +140,7 @@
                 write_json(
                     response,
                     &KeysBody {
-                        keys: mint(core, &who.account, count),
+                        keys: mint(core, &caller_identity.account, count),
                     },
                 );
             }
@@ -156,12 +157,12 @@
     async fn handle(&self, request: &mut Request, response: &mut Response) {
         let core = &self.0;
         let name = request.param::<String>("name").unwrap_or_default();
-        let who =
+        let caller_identity =
             match serving_config(core).and_then(|config| find_caller(&config, request.headers())) {
-                Ok(who) => who,
+                Ok(caller_identity) => caller_identity,
                 Err(refusal) => return write_refusal(response, core, &name, &refusal),
             };
-        match collect(core, &who.account, &name, request).await {
+        match collect(core, &caller_identity.account, &name, request).await {
             CollectResult::Cached(cached) => write_response(response, &cached),
             CollectResult::FromOwner(relayed) => relayed.write(response),
             CollectResult::Refused(refusal) => write_refusal(response, core, &name, &refusal),
@@ -277,7 +278,7 @@
         config,
         head,
         service,
-        who,
+        caller_identity,
         work,
         at_most_once,
         scope,
@@ -291,7 +292,7 @@
         config,
         service_name: head.service,
         service,
-        who,
+        caller_identity,
         method: head.method,
         path: head.path,
         key: headers::text(&head.headers, headers::KEY).map(Box::from),
@@ -359,7 +360,7 @@
             let until = Instant::now() + outbound.service.retention;
             core.response_cache().put(
                 outbound.id.clone(),
-                outbound.who.account.clone(),
+                outbound.caller_identity.account.clone(),
                 until,
                 Arc::clone(&cached),
             );
@@ -451,7 +452,7 @@
     }
     let Some(text) = headers::text(&admitted.head.headers, headers::KEY) else {
         let mut refusal = Refusal::new(ResultCode::KeyMissing);
-        refusal.key = mint(core, &admitted.who.account, 1).pop();
+        refusal.key = mint(core, &admitted.caller_identity.account, 1).pop();
         return Err(Box::new(refusal));
     };
     match MintedKey::parse(text) {
--- a/crates/zinniahatch_gateway/src/dispatch.rs
+++ b/crates/zinniahatch_gateway/src/dispatch.rs
@@ -28,7 +28,7 @@
     pub(crate) config: Arc<ClusterConfig>,
     pub(crate) service_name: ServiceId,
     pub(crate) service: ServiceEntry,
-    pub(crate) who: CallerIdentity,
+    pub(crate) caller_identity: CallerIdentity,
     pub(crate) method: Method,
     pub(crate) path: Box<str>,
     pub(crate) headers: HeaderMap,
@@ -69,13 +69,13 @@
         &self,
         core: &GatewayCore,
         avoid: &BTreeSet<ShortTag>,
-        avoid_centres: &BTreeSet<DataCentreId>,
+        avoid_data_centres: &BTreeSet<DataCentreId>,
     ) -> PlacementQuery {
         PlacementQuery {
             number: core.next_number(),
             service: self.service_name.clone(),
-            account: self.who.account.clone(),
-            class: self.who.entry.class.clone(),
+            account: self.caller_identity.account.clone(),
+            class: self.caller_identity.entry.class.clone(),
             work: self.work,
             deadline: self.deadline,
             prefix: self.prefix,
@@ -83,7 +83,7 @@
             scope: self.scope,
             guest: self.guest,
             avoid: avoid.clone(),
-            avoid_centres: avoid_centres.clone(),
+            avoid_data_centres: avoid_data_centres.clone(),
         }
     }
 
@@ -198,8 +198,8 @@
     let fields = signed_fields(
         stage,
         &outbound.id,
-        &outbound.who.account,
-        &outbound.who.caller,
+        &outbound.caller_identity.account,
+        &outbound.caller_identity.caller,
         remaining_ms,
         &outbound.body,
     );
@@ -207,8 +207,8 @@
     let mut request = outbound
         .builder(core, url)
         .header(headers::REQUEST, &*outbound.id)
-        .header(headers::ACCOUNT, &*outbound.who.account)
-        .header(headers::CALLER, &*outbound.who.caller)
+        .header(headers::ACCOUNT, &*outbound.caller_identity.account)
+        .header(headers::CALLER, &*outbound.caller_identity.caller)
         .header(headers::DEADLINE, remaining_ms)
         .header(headers::WORK, outbound.work.as_str())
         .header(headers::PROOF, core.peer_auth.sign(&fields));
--- a/crates/zinniahatch_gateway/src/idempotency.rs
+++ b/crates/zinniahatch_gateway/src/idempotency.rs
@@ -192,7 +192,12 @@
 ) -> Result<Arc<CachedResponse>, Box<Refusal>> {
     let digest = request_digest(&outbound);
     let claim = match core.keys().table(&key) {
-        Some(table) => table.claim(Instant::now(), &key, &outbound.who.account, &digest),
+        Some(table) => table.claim(
+            Instant::now(),
+            &key,
+            &outbound.caller_identity.account,
+            &digest,
+        ),
         None => KeyClaim::Lost,
     };
     if let Some(result) = claim_result(claim) {
--- a/crates/zinniahatch_gateway/src/peer.rs
+++ b/crates/zinniahatch_gateway/src/peer.rs
@@ -91,7 +91,8 @@
             Err(refusal) => return write_refusal(response, core, "", &refusal),
         };
         verified.admitted.scope = PlacementScope::Local;
-        verified.admitted.guest = verified.admitted.who.entry.home != core.identity.region;
+        verified.admitted.guest =
+            verified.admitted.caller_identity.entry.home != core.identity.region;
         let reply = run_forwarded(core, verified).await;
         let outcome = if matches!(reply, Reply::Refused(..)) {
             "refused"
@@ -270,8 +271,8 @@
     let arrived = Instant::now();
     let config = crate::admit::serving_config(core)?;
     let bad = |detail: &str| Box::new(Refusal::detail(ResultCode::BadRequest, detail));
-    let given = request.headers().clone();
-    let field = |name: &str| headers::text(&given, name).map(str::to_owned);
+    let received = request.headers().clone();
+    let field = |name: &str| headers::text(&received, name).map(str::to_owned);
     let (Some(id), Some(account), Some(caller), Some(proof)) = (
         field(headers::REQUEST),
         field(headers::ACCOUNT),
@@ -306,12 +307,12 @@
         Some(query) => format!("/{rest}?{query}"),
         None => format!("/{rest}"),
     };
-    let who = CallerIdentity {
+    let caller_identity = CallerIdentity {
         account: account.into(),
         caller: caller.into(),
         entry,
     };
-    let home = who.entry.home == core.identity.region;
+    let home = caller_identity.entry.home == core.identity.region;
     let bound = service.is_bound(request.method().as_str());
     if bound && !home {
         // A node with an older configuration may have forwarded a bound request; it is not run
@@ -319,9 +320,9 @@
         return Err(Box::new(Refusal::new(ResultCode::BoundElsewhere)));
     }
     let in_flight = core
-        .try_begin(&who.account, 0)
+        .try_begin(&caller_identity.account, 0)
         .ok_or_else(|| bad("no room"))?;
-    let mut count = CountGuard::new(core, &config, &who, &service_name, arrived);
+    let mut count = CountGuard::new(core, &config, &caller_identity, &service_name, arrived);
     count.leave_to_sender();
     let work = field(headers::WORK)
         .as_deref()
@@ -346,7 +347,7 @@
             PlacementScope::Anywhere
         },
         service,
-        who,
+        caller_identity,
         work,
         at_most_once,
         guest: false,
@@ -371,7 +372,7 @@
         config: admitted.config,
         service_name: admitted.head.service,
         service: admitted.service,
-        who: admitted.who,
+        caller_identity: admitted.caller_identity,
         method: admitted.head.method,
         path: admitted.head.path,
         key: headers::text(&admitted.head.headers, headers::KEY).map(Box::from),
--- a/crates/zinniahatch_gateway/src/placement.rs
+++ b/crates/zinniahatch_gateway/src/placement.rs
@@ -15,7 +15,7 @@
 /// A slot in use, which is released when the guard is dropped.
 pub(crate) struct SlotGuard {
     core: Arc<GatewayCore>,
-    ticket: SlotPermit,
+    permit: SlotPermit,
     refused: bool,
 }
 
@@ -37,16 +37,16 @@
 }
 
 impl SlotGuard {
-    fn new(core: &Arc<GatewayCore>, ticket: SlotPermit) -> Self {
+    fn new(core: &Arc<GatewayCore>, permit: SlotPermit) -> Self {
         Self {
             core: Arc::clone(core),
-            ticket,
+            permit,
             refused: false,
         }
     }
 
     pub(crate) fn replica(&self) -> &ReplicaId {
-        &self.ticket.replica
+        &self.permit.replica
     }
 
     /// Marks that the backend server did not accept the request, so that its duration is not used
@@ -61,7 +61,7 @@
         let wanted = self
             .core
             .control()
-            .finish(Instant::now(), &self.ticket, self.refused);
+            .finish(Instant::now(), &self.permit, self.refused);
         if wanted {
             self.core.wake.notify_one();
         }
@@ -118,7 +118,7 @@
 pub(crate) fn try_assign_now(core: &Arc<GatewayCore>, query: &PlacementQuery) -> Option<SlotGuard> {
     let mut control = core.control();
     match control.place(Instant::now(), query) {
-        Placement::Run(ticket) => Some(SlotGuard::new(core, ticket)),
+        Placement::Run(permit) => Some(SlotGuard::new(core, permit)),
         Placement::Wait => {
             control.withdraw(&query.service, query.number);
             None
@@ -128,9 +128,9 @@
 }
 
 impl GatewayCore {
-    /// Delivers placement decisions to the requests that wait for them.
-    pub fn deliver_placements(self: &Arc<Self>, decisions: Vec<(u64, Placement)>) {
-        for (number, placement) in decisions {
+    /// Delivers placement placements to the requests that wait for them.
+    pub fn deliver_placements(self: &Arc<Self>, placements: Vec<(u64, Placement)>) {
+        for (number, placement) in placements {
             // Converted before the sender is looked up: the slot of an abandoned request is then
             // dropped as a guard and thereby returned.
             let assignment = to_assignment(self, placement);
@@ -144,7 +144,7 @@
 
 fn to_assignment(core: &Arc<GatewayCore>, placement: Placement) -> AssignmentResult {
     match placement {
-        Placement::Run(ticket) => Ok(Assignment::Slot(SlotGuard::new(core, ticket))),
+        Placement::Run(permit) => Ok(Assignment::Slot(SlotGuard::new(core, permit))),
         Placement::Remote(data_centre, entries) => Ok(Assignment::Remote(data_centre, entries)),
         Placement::Refuse(code, after) => Err(Box::new(Refusal::retry_after(code, after))),
         Placement::Wait => Err(Box::new(Refusal::new(ResultCode::QueueFull))),
--- a/crates/zinniahatch_gateway/src/request_count.rs
+++ b/crates/zinniahatch_gateway/src/request_count.rs
@@ -29,15 +29,15 @@
     pub(crate) fn new(
         core: &Arc<GatewayCore>,
         config: &Arc<ClusterConfig>,
-        who: &CallerIdentity,
+        caller_identity: &CallerIdentity,
         service: &ServiceId,
         arrived: Instant,
     ) -> Self {
         let key = CountKey {
             hour: epoch_seconds() / SECONDS_PER_HOUR,
-            account: who.account.clone(),
-            caller: who.caller.clone(),
-            home: who.entry.home.clone(),
+            account: caller_identity.account.clone(),
+            caller: caller_identity.caller.clone(),
+            home: caller_identity.entry.home.clone(),
             served: core.identity.region.clone(),
             // The name of a service that is not configured is untrusted input and is not stored.
             service: if config.services.contains_key(service) {
--- a/crates/zinniahatch_gateway/src/run.rs
+++ b/crates/zinniahatch_gateway/src/run.rs
@@ -48,7 +48,7 @@
 #[derive(Default)]
 pub(crate) struct AttemptState {
     pub(crate) avoid: BTreeSet<ShortTag>,
-    pub(crate) avoid_centres: BTreeSet<DataCentreId>,
+    pub(crate) avoid_data_centres: BTreeSet<DataCentreId>,
     attempts: u32,
 }
 
@@ -135,7 +135,7 @@
             state.avoid.insert(tag_of(guard.replica()));
         }
         ResponseSource::Remote(data_centre) => {
-            state.avoid_centres.insert(data_centre.clone());
+            state.avoid_data_centres.insert(data_centre.clone());
         }
     }
 }
@@ -185,7 +185,7 @@
     core.retry_budget()
         .earn(outbound.config.preset().retry_budget);
     loop {
-        let query = outbound.placement_query(core, &state.avoid, &state.avoid_centres);
+        let query = outbound.placement_query(core, &state.avoid, &state.avoid_data_centres);
         match wait_for_assignment(core, query).await? {
             Assignment::Slot(guard) => {
                 if let Some(open) = try_slot(core, outbound, state, guard, resume).await? {
@@ -241,12 +241,14 @@
             ("unreached", ResultCode::NoBackend)
         }
         SendFailure::Refused { leaving } => {
-            let mark = if leaving {
+            let backend_status = if leaving {
                 BackendStatus::Leaving
             } else {
                 BackendStatus::Unreached
             };
-            core.control().backends_mut().set_status(now, tag, mark);
+            core.control()
+                .backends_mut()
+                .set_status(now, tag, backend_status);
             guard.mark_refused();
             (
                 if leaving { "leaving" } else { "refused" },
@@ -331,7 +333,7 @@
             avoid.insert(tag_of(name));
         }
     }
-    let mut query = outbound.placement_query(core, &avoid, &state.avoid_centres);
+    let mut query = outbound.placement_query(core, &avoid, &state.avoid_data_centres);
     query.scope = PlacementScope::Local;
     if !core.hedge_budget().spend() {
         core.counters.hedges.with_label_values(&["no budget"]).inc();
@@ -379,7 +381,7 @@
             }
         }
     }
-    state.avoid_centres.insert(data_centre.clone());
+    state.avoid_data_centres.insert(data_centre.clone());
     core.control()
         .record_remote_refusal(Instant::now(), data_centre, &outbound.service_name);
     Ok(None)
--- a/crates/zinniahatch_protocol/src/frame.rs
+++ b/crates/zinniahatch_protocol/src/frame.rs
@@ -39,7 +39,8 @@
     pub enum NodeMessage {
         /// Liveness of the sender and the pool statuses it publishes.
         Heartbeat(Heartbeat),
-        /// Requests the receiver's configuration head.
+        /// Requests the receiver's configuration head: its newest revision and the digests of the
+        /// parts of that revision.
         HeadPull,
         /// The configuration head as JSON.
         HeadOffer(Box<str>),
@@ -55,15 +56,17 @@
         Summary(DataCentreSummary),
         /// Addresses of members that the receiver may not know.
         Members(Vec<(NodeId, DataCentreId, Box<str>)>),
-        /// Usage counts of accounts, sent to the merger, which keeps them as the second copy.
+        /// Usage counts, sent to the node that merges their shard into the store. Until then, the
+        /// sender and the merging node each keep a copy.
         Counts(SealedCounts),
-        /// Confirms that batches of counts are in the store: shard, incarnation, batch numbers.
+        /// Confirms that batches of counts are in the store: shard, incarnation that sealed
+        /// them, batch numbers.
         CountsMerged(u16, Incarnation, Vec<u64>),
     }
 
     /// A sealed batch of usage counts of one shard of accounts.
     pub struct SealedCounts {
-        /// The shard.
+        /// Number of the shard to which the accounts are assigned.
         pub shard: u16,
         /// Increases with each sealed batch of the shard.
         pub number: u64,
@@ -71,7 +74,7 @@
         pub minute: u64,
         /// Whether the sender is stopping and this is its last batch.
         pub last: bool,
-        /// The encoded count table.
+        /// The count table, encoded with postcard.
         pub rows: Vec<u8>,
     }
 }
@@ -110,8 +113,9 @@
     ///
     /// Returns [`FrameError::TooLarge`] for a frame that receivers would reject.
     pub fn encode(&self, frame: &NodeFrame) -> Result<Vec<u8>, FrameError> {
-        let head = vec![0_u8; MAC_BYTES];
-        let mut bytes = postcard::to_extend(frame, head).map_err(|_| FrameError::Malformed)?;
+        let mac_placeholder = vec![0_u8; MAC_BYTES];
+        let mut bytes =
+            postcard::to_extend(frame, mac_placeholder).map_err(|_| FrameError::Malformed)?;
         if bytes.len() > MAX_FRAME_BYTES {
             return Err(FrameError::TooLarge);
         }
@@ -131,16 +135,16 @@
         if bytes.len() > MAX_FRAME_BYTES {
             return Err(FrameError::TooLarge);
         }
-        let Some((code, content)) = bytes.split_at_checked(MAC_BYTES) else {
+        let Some((received_mac, content)) = bytes.split_at_checked(MAC_BYTES) else {
             return Err(FrameError::Forged);
         };
         let mac = blake3::keyed_hash(&self.key, content);
         let mut expected = [0_u8; 32];
         expected[..MAC_BYTES].copy_from_slice(&mac.as_bytes()[..MAC_BYTES]);
-        let mut given = [0_u8; 32];
-        given[..MAC_BYTES].copy_from_slice(code);
+        let mut received = [0_u8; 32];
+        received[..MAC_BYTES].copy_from_slice(received_mac);
         // `blake3::Hash` compares in constant time.
-        if blake3::Hash::from_bytes(expected) != blake3::Hash::from_bytes(given) {
+        if blake3::Hash::from_bytes(expected) != blake3::Hash::from_bytes(received) {
             return Err(FrameError::Forged);
         }
         postcard::from_bytes(content).map_err(|_| FrameError::Malformed)
--- a/crates/zinniahatch_protocol/src/slots.rs
+++ b/crates/zinniahatch_protocol/src/slots.rs
@@ -1,6 +1,8 @@
 //! Slot leases: a node's report of its slots, and the grant of the pool coordinator.
 //!
-//! Both carry full state instead of deltas, so a lost message only delays convergence.
+//! A pool is the set of slots of one service in one data centre; a slot is capacity for one running
+//! request on a backend server. Reports and grants carry full state instead of deltas, so a lost
+//! message only delays convergence.
 
 use zinniahatch_base::prelude::*;
 
--- a/crates/zinniahatch_report/src/merge_queue.rs
+++ b/crates/zinniahatch_report/src/merge_queue.rs
@@ -77,10 +77,10 @@
         self.shards.entry(shard).or_default().insert(key, batch);
     }
 
-    /// Records a gap from the last counts of a node that was declared dead.
+    /// Records a gap from the last counts of a node that was declared failed.
     ///
     /// A node that has sent its last batch leaves no gap.
-    pub fn note_death(&mut self, node: &NodeId, incarnation: Incarnation, minute: u64) {
+    pub fn record_failure(&mut self, node: &NodeId, incarnation: Incarnation, minute: u64) {
         let received = self.received.get(&(node.clone(), incarnation)).copied();
         let (from, closed) = received.unwrap_or((minute, false));
         self.received.remove(&(node.clone(), incarnation));
@@ -95,8 +95,8 @@
         });
     }
 
-    /// Withdraws the gaps of a node that was declared dead and is alive: its counts will arrive.
-    pub fn note_alive(&mut self, node: &NodeId, incarnation: Incarnation) {
+    /// Withdraws the gaps of a node that was declared failed but is alive: its counts will arrive.
+    pub fn record_recovery(&mut self, node: &NodeId, incarnation: Incarnation) {
         let same = |gap: &CountGap| gap.node == *node && gap.incarnation == incarnation;
         self.gaps.retain(|gap| !same(gap));
         for gap in std::mem::take(&mut self.written_gaps) {
--- a/crates/zinniahatch_report/tests/counts.rs
+++ b/crates/zinniahatch_report/tests/counts.rs
@@ -216,7 +216,7 @@
 fn queue_death_records_a_gap() {
     let mut queue = MergeQueue::default();
     queue.insert(0, received_batch(1, 5));
-    queue.note_death(&"n".into(), 1, 63);
+    queue.record_failure(&"n".into(), 1, 63);
     let mut hourly = HourlyCounts::default();
     for task in queue.tasks() {
         task.apply(&mut hourly);
@@ -240,17 +240,17 @@
             queue.complete(&task);
         }
     };
-    queue.note_death(&"n".into(), 1, 63);
+    queue.record_failure(&"n".into(), 1, 63);
     write(&mut queue, &mut hourly);
     assert_eq!(hourly.gaps.len(), 1);
-    queue.note_alive(&"n".into(), 2);
+    queue.record_recovery(&"n".into(), 2);
     write(&mut queue, &mut hourly);
     assert_eq!(
         hourly.gaps.len(),
         1,
         "another incarnation is another process"
     );
-    queue.note_alive(&"n".into(), 1);
+    queue.record_recovery(&"n".into(), 1);
     write(&mut queue, &mut hourly);
     assert!(hourly.gaps.is_empty());
     assert!(queue.is_empty());
@@ -266,7 +266,7 @@
             ..received_batch(1, 5)
         },
     );
-    queue.note_death(&"n".into(), 1, 63);
+    queue.record_failure(&"n".into(), 1, 63);
     let mut hourly = HourlyCounts::default();
     for task in queue.tasks() {
         task.apply(&mut hourly);
