--- a/crates/zinniahatch_control/src/allocation.rs
+++ b/crates/zinniahatch_control/src/allocation.rs
@@ -171,49 +171,40 @@
 
 /// Adjusts the quotas to add up to the share and moves one slot from the node with the largest
 /// surplus to the one with the largest deficit.
-fn rebalance_quotas(share: u32, node_quotas: &mut [NodeQuota<'_>]) {
-    let mut sum: u32 = node_quotas.iter().map(|node_quota| node_quota.quota).sum();
+fn rebalance_quotas(share: u32, quotas: &mut [NodeQuota<'_>]) {
+    let mut sum: u32 = quotas.iter().map(|node| node.quota).sum();
     while sum > share {
-        let Some(index) = largest_surplus(node_quotas) else {
+        let Some(index) = largest_surplus(quotas) else {
             break;
         };
-        node_quotas[index].quota -= 1;
+        quotas[index].quota -= 1;
         sum -= 1;
     }
     while sum < share {
-        let Some(index) = largest_deficit(node_quotas) else {
+        let Some(index) = largest_deficit(quotas) else {
             break;
         };
-        node_quotas[index].quota += 1;
+        quotas[index].quota += 1;
         sum += 1;
     }
-    let (Some(from), Some(to)) = (largest_surplus(node_quotas), largest_deficit(node_quotas))
-    else {
+    let (Some(from), Some(to)) = (largest_surplus(quotas), largest_deficit(quotas)) else {
         return;
     };
-    if node_quotas[from].surplus() >= 1.0 && node_quotas[to].surplus() <= -1.0 {
-        node_quotas[from].quota -= 1;
-        node_quotas[to].quota += 1;
+    if quotas[from].surplus() >= 1.0 && quotas[to].surplus() <= -1.0 {
+        quotas[from].quota -= 1;
+        quotas[to].quota += 1;
     }
 }
 
-fn largest_surplus(node_quotas: &[NodeQuota<'_>]) -> Option<usize> {
-    let served = (0..node_quotas.len()).filter(|index| node_quotas[*index].quota > 0);
-    served.max_by(|one, other| {
-        node_quotas[*one]
-            .surplus()
-            .total_cmp(&node_quotas[*other].surplus())
-    })
+fn largest_surplus(quotas: &[NodeQuota<'_>]) -> Option<usize> {
+    let served = (0..quotas.len()).filter(|index| quotas[*index].quota > 0);
+    served.max_by(|one, other| quotas[*one].surplus().total_cmp(&quotas[*other].surplus()))
 }
 
-fn largest_deficit(node_quotas: &[NodeQuota<'_>]) -> Option<usize> {
-    let unsatisfied = (0..node_quotas.len())
-        .filter(|index| node_quotas[*index].quota < node_quotas[*index].demand);
-    unsatisfied.min_by(|one, other| {
-        node_quotas[*one]
-            .surplus()
-            .total_cmp(&node_quotas[*other].surplus())
-    })
+fn largest_deficit(quotas: &[NodeQuota<'_>]) -> Option<usize> {
+    let unsatisfied =
+        (0..quotas.len()).filter(|index| quotas[*index].quota < quotas[*index].demand);
+    unsatisfied.min_by(|one, other| quotas[*one].surplus().total_cmp(&quotas[*other].surplus()))
 }
 
 impl NodeQuota<'_> {
--- a/crates/zinniahatch_control/src/config_syncer.rs
+++ b/crates/zinniahatch_control/src/config_syncer.rs
@@ -91,7 +91,8 @@
     /// Sets the delay between learning of a new revision and pulling it.
     ///
     /// The delay differs between the nodes of a data centre, so that not all of them pull from the
-    /// first node that has the revision: at design size it would send 100 KB for each change.
+    /// first node that has the revision: at the design size of 330 nodes it would send 100 KB for
+    /// each change.
     pub fn set_pull_delay(&mut self, pull_delay: Duration) {
         self.pull_delay = pull_delay;
     }
--- a/crates/zinniahatch_control/src/lease_table.rs
+++ b/crates/zinniahatch_control/src/lease_table.rs
@@ -379,12 +379,13 @@
     query: &PlacementQuery,
     cached: f64,
     wait: f64,
-    remote: bool,
+    away: bool,
 ) -> f64 {
     let preset = config.preset();
-    let money = config.prices.get(&query.service).map_or(0.0, |rate| {
-        rate.cost(query.prompt, cached as u64, 0, remote)
-    });
+    let money = config
+        .prices
+        .get(&query.service)
+        .map_or(0.0, |rate| rate.cost(query.prompt, cached as u64, 0, away));
     let prefill = (query.prompt as f64 - cached).max(0.0) / PREFILL_RATE;
     preset.cost_weight * money + preset.tail_weight * (wait + prefill)
 }
--- a/crates/zinniahatch_control/src/node/receiving.rs
+++ b/crates/zinniahatch_control/src/node/receiving.rs
@@ -16,7 +16,8 @@
 impl ControlNode {
     /// Processes a received frame and returns whether a tick should run at once.
     ///
-    /// Heartbeats and summaries wait for the next tick: at design size thirty arrive per second.
+    /// Heartbeats and summaries wait for the next tick: at the design size of 330 nodes,
+    /// thirty arrive per second.
     pub fn receive(&mut self, now: Instant, frame: NodeFrame) -> bool {
         if frame.sender == self.identity.node {
             return false;
@@ -147,9 +148,9 @@
                 .failed
                 .push((header.sender.clone(), incarnation));
         }
-        let fresh = self
-            .members
-            .apply_heartbeat(now, header, heartbeat, self.identity.incarnation);
+        let is_new =
+            self.members
+                .apply_heartbeat(now, header, heartbeat, self.identity.incarnation);
         self.backends
             .set_peer_leaving(now, &header.sender, &heartbeat.leaving_backends);
         for status in &heartbeat.pools {
@@ -160,7 +161,7 @@
                 .set_reported_unusable(&status.service, &status.unusable);
             self.pools.insert(status.service.clone(), status.clone());
         }
-        if !fresh {
+        if !is_new {
             return;
         }
         // Reply to a new member at once, and send it the members that it may not know.
--- a/crates/zinniahatch_control/src/node/sending.rs
+++ b/crates/zinniahatch_control/src/node/sending.rs
@@ -1,4 +1,4 @@
-//! Messages that a tick sends: heartbeats, heartbeats to contacts, summaries.
+//! Messages that a tick sends: heartbeats to members and contacts, and summaries.
 
 use super::CONTACT_INTERVAL;
 use super::ControlNode;
@@ -20,7 +20,8 @@
 
 /// Maximum contacts that get a heartbeat in one tick; a long seed list is spread over ticks.
 const MAX_CONTACTS_PER_TICK: usize = 8;
-/// Entry VMs listed in a summary; more would cost a third of a node's bytes at design size.
+/// Entry VMs listed in a summary; more would cost a third of a node's bytes at the design
+/// size of 330 nodes.
 const MAX_SUMMARY_ENTRIES: usize = 4;
 
 impl ControlNode {
@@ -149,8 +150,8 @@
 
     /// Sends this data centre's summary over the links for which this node is responsible.
     ///
-    /// Each link has its own sender by rendezvous rank, so that the 23 links of a data centre at
-    /// design size are spread over its nodes.
+    /// Each link has its own sender by rendezvous rank, so that the 23 links of a data centre (to
+    /// the others of 24 at the design size) are spread over its nodes.
     fn send_summaries(&mut self, now: Instant) {
         let eligible = self
             .members
--- a/crates/zinniahatch_gateway/src/admin.rs
+++ b/crates/zinniahatch_gateway/src/admin.rs
@@ -159,8 +159,8 @@
         }
     }
     addresses.insert(core.identity.http.clone());
-    let asked = addresses.iter().map(|http| core.fetch_node_status(http));
-    join_all(asked).await.into_iter().flatten().collect()
+    let fetches = addresses.iter().map(|http| core.fetch_node_status(http));
+    join_all(fetches).await.into_iter().flatten().collect()
 }
 
 fn config(core: &GatewayCore) -> ConfigBody {
--- a/crates/zinniahatch_gateway/src/admit.rs
+++ b/crates/zinniahatch_gateway/src/admit.rs
@@ -191,7 +191,7 @@
     Ok((service.clone(), in_flight))
 }
 
-/// Reports whether the request is bound to the account's home region.
+/// Returns whether the request is bound to the account's home region.
 ///
 /// A header may bind a request that the service leaves unbound, but it may not unbind one.
 fn is_bound(service: &ServiceEntry, head: &RequestHead) -> bool {
--- a/crates/zinniahatch_gateway/src/core.rs
+++ b/crates/zinniahatch_gateway/src/core.rs
@@ -139,7 +139,7 @@
         self.draining.store(true, Ordering::SeqCst);
     }
 
-    /// Reports whether new requests are refused.
+    /// Returns whether new requests are refused.
     pub fn is_draining(&self) -> bool {
         self.draining.load(Ordering::SeqCst)
     }
--- a/crates/zinniahatch_gateway/src/engine_stream.rs
+++ b/crates/zinniahatch_gateway/src/engine_stream.rs
@@ -99,7 +99,7 @@
         })
     }
 
-    /// Reports whether the end marker was received; only then is the response complete.
+    /// Returns whether the end marker was received; only then is the response complete.
     pub(crate) fn is_complete(&self) -> bool {
         self.splitter.done
     }
--- a/crates/zinniahatch_gateway/src/headers.rs
+++ b/crates/zinniahatch_gateway/src/headers.rs
@@ -37,7 +37,7 @@
     "proxy-connection",
 ];
 
-/// Reports whether a header of a caller's request is forwarded to the backend server.
+/// Returns whether a header of a caller's request is forwarded to the backend server.
 ///
 /// The caller's API key is removed: a backend server does not need it and must not log it.
 pub(crate) fn forwards_request_header(name: &HeaderName) -> bool {
@@ -57,7 +57,7 @@
         .contains(&name)
 }
 
-/// Reports whether a header of a backend server's response is returned to the caller.
+/// Returns whether a header of a backend server's response is returned to the caller.
 pub(crate) fn forwards_response_header(name: &HeaderName) -> bool {
     let name = name.as_str();
     !HOP_HEADERS.contains(&name)
--- a/crates/zinniahatch_gateway/src/idempotency.rs
+++ b/crates/zinniahatch_gateway/src/idempotency.rs
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Reports whether this node holds the table of a key.
+    /// Returns whether this node holds the table of a key.
     pub(crate) fn owns(&self, key: &MintedKey) -> bool {
         self.tables
             .contains_key(&(key.node.clone(), key.incarnation))
@@ -103,15 +103,15 @@
     pub fn close(&mut self, now: Instant) -> Vec<KeyTableSnapshot> {
         let mut snapshots = Vec::new();
         for ((node, incarnation), table) in &mut self.tables {
-            let (secret, age, lines) = table.close(now);
-            let lines = lines
+            let (secret, age, entries) = table.close(now);
+            let lines = entries
                 .into_iter()
-                .map(|(number, digest, response, invalidated)| {
+                .map(|(number, digest, response, not_run)| {
                     (
                         number,
                         digest,
                         response.map(|response| (*response).clone()),
-                        invalidated,
+                        not_run,
                     )
                 })
                 .collect();
@@ -138,8 +138,8 @@
             let lines = table
                 .lines
                 .into_iter()
-                .map(|(number, digest, response, invalidated)| {
-                    (number, digest, response.map(Arc::new), invalidated)
+                .map(|(number, digest, response, not_run)| {
+                    (number, digest, response.map(Arc::new), not_run)
                 })
                 .collect();
             let inherited = KeyTable::inherit(
@@ -278,7 +278,7 @@
 
 /// Stores the outcome in the key table before the caller receives it.
 ///
-/// For "not run" the key is invalidated first, so that a copy of the same request still in transit
+/// For "not run" the key is marked first, so that a copy of the same request still in transit
 /// to this node cannot run after its caller received "not run".
 fn record_outcome(
     core: &GatewayCore,
