--- a/crates/zinniahatch_control/tests/fake/mod.rs
+++ b/crates/zinniahatch_control/tests/fake/mod.rs
@@ -38,7 +38,7 @@
     pub(crate) config: (ConfigHead, PartTexts),
     pub(crate) failed: Vec<(Box<str>, u64)>,
     frames: Vec<(usize, OutboundFrame)>,
-    born: Instant,
+    created_at: Instant,
     incarnation: u64,
     next: u64,
 }
@@ -54,7 +54,7 @@
             config: config(replicas, slots),
             failed: Vec::new(),
             frames: Vec::new(),
-            born: Instant::now(),
+            created_at: Instant::now(),
             incarnation: 0,
             next: 0,
         };
@@ -75,7 +75,7 @@
             incarnation: self.incarnation,
             peer: name(index).into(),
             http: name(index).into(),
-            epoch: self.now.duration_since(self.born).as_millis() as u64,
+            epoch: self.now.duration_since(self.created_at).as_millis() as u64,
         };
         let seeds: Vec<Box<str>> = (0..count).map(|index| name(index).into()).collect();
         let mut node = ControlNode::new(
@@ -115,15 +115,15 @@
     /// Delivers the frames of the previous step and runs one tick of every node.
     pub(crate) fn step(&mut self) {
         self.now += STEP;
-        for (from, parcel) in std::mem::take(&mut self.frames) {
-            let Some(to) = (0..self.nodes.len()).find(|index| *name(*index) == *parcel.to) else {
+        for (from, outbound) in std::mem::take(&mut self.frames) {
+            let Some(to) = (0..self.nodes.len()).find(|index| *name(*index) == *outbound.to) else {
                 continue;
             };
             if self.cut.contains(&(from, to)) {
                 continue;
             }
             if let Some(node) = &mut self.nodes[to] {
-                node.receive(self.now, parcel.frame);
+                node.receive(self.now, outbound.frame);
             }
         }
         for index in 0..self.nodes.len() {
@@ -133,10 +133,10 @@
             let output = node.tick(self.now);
             self.failed.extend(output.failed);
             self.frames
-                .extend(output.frames.into_iter().map(|parcel| (index, parcel)));
+                .extend(output.frames.into_iter().map(|outbound| (index, outbound)));
             for (number, placement) in node.take_placements() {
                 if let Some(request) = self.requests.get_mut(&number) {
-                    request.settle(placement);
+                    request.resolve(placement);
                 }
             }
         }
@@ -158,7 +158,7 @@
             outcome: None,
         };
         if placement != Placement::Wait {
-            request.settle(placement);
+            request.resolve(placement);
         }
         self.requests.insert(self.next, request);
         Some(self.next)
@@ -206,7 +206,7 @@
 }
 
 impl FakeRequest {
-    fn settle(&mut self, placement: Placement) {
+    fn resolve(&mut self, placement: Placement) {
         if let Placement::Run(permit) = &placement {
             self.permit = Some(permit.clone());
         }
