--- a/crates/zinniahatch_lab/src/checker.rs
+++ b/crates/zinniahatch_lab/src/checker.rs
@@ -51,9 +51,9 @@
 pub fn check(data: &HistoryData, exemptions: &CheckExemptions) -> Vec<Violation> {
     let mut violations = Vec::new();
     let executions = group_by_operation(&data.executions);
-    let nothing = Vec::new();
+    let no_executions = Vec::new();
     for send in &data.sends {
-        let ran = executions.get(&send.operation).unwrap_or(&nothing);
+        let ran = executions.get(&send.operation).unwrap_or(&no_executions);
         check_send(send, ran, exemptions, &mut violations);
     }
     check_operations(data, &executions, &mut violations);
@@ -157,14 +157,14 @@
             continue;
         };
         if send.once && ran.len() > 1 {
-            let where_run: Vec<String> = ran
+            let locations: Vec<String> = ran
                 .iter()
                 .map(|execution| format!("{} as {}", execution.replica, execution.request))
                 .collect();
             add(
                 violations,
                 ViolationKind::Doubled,
-                &format!("operation {}: {}", send.operation, where_run.join(", ")),
+                &format!("operation {}: {}", send.operation, locations.join(", ")),
             );
         }
         for execution in ran {
--- a/crates/zinniahatch_lab/src/cluster/prepare.rs
+++ b/crates/zinniahatch_lab/src/cluster/prepare.rs
@@ -104,7 +104,7 @@
 }
 
 pub(super) async fn bootstrap(plan: &UserPlan, store: &str) {
-    let ask = ChangeRequest {
+    let request = ChangeRequest {
         change: "bootstrap".into(),
         expect_revision: 0,
         preset: Some(plan.preset.into()),
@@ -115,11 +115,11 @@
             .collect(),
         check: false,
     };
-    let verdict = ConfigUpdater::new(KvClient::new(store))
-        .apply(&ask, "lab", |_| None)
+    let outcome = ConfigUpdater::new(KvClient::new(store))
+        .apply(&request, "lab", |_| None)
         .await;
     assert_eq!(
-        verdict,
+        outcome,
         Ok(ChangeOutcome::Accepted(1)),
         "the first configuration is accepted"
     );
--- a/crates/zinniahatch_lab/src/experiments/control_cost.rs
+++ b/crates/zinniahatch_lab/src/experiments/control_cost.rs
@@ -293,8 +293,8 @@
 
 /// Adds one account.
 async fn add_account(operator: &AdminClient, number: u32) {
-    let ask = json!({"change": format!("cost-{number}"), "expect_revision": operator.revision().await, "account": format!("account-{number}"), "home": "region-0", "class": "standard", "team": "t", "in_progress_limit": number});
-    operator.post("accounts", &ask).await;
+    let request = json!({"change": format!("cost-{number}"), "expect_revision": operator.revision().await, "account": format!("account-{number}"), "home": "region-0", "class": "standard", "team": "t", "in_progress_limit": number});
+    operator.post("accounts", &request).await;
 }
 
 /// Builds a system of this size: the first data centre has all members and replicas, each other
--- a/crates/zinniahatch_lab/src/experiments/faults.rs
+++ b/crates/zinniahatch_lab/src/experiments/faults.rs
@@ -118,7 +118,7 @@
     }
     let mut results = Vec::new();
     for kinds in cases {
-        let (result, breaks) = run_case(run, &kinds).await;
+        let (result, violations) = run_case(run, &kinds).await;
         println!(
             "{:<32} {:>4} operations, {:>3} failed, goodput {:.3}, back after {:.1} s, counts off by {} with {} gaps named, broken {:?}",
             result.faults.join("+"),
@@ -130,7 +130,7 @@
             result.gaps,
             result.breaks
         );
-        for one in breaks.iter().take(5) {
+        for one in violations.iter().take(5) {
             println!("    {}: {}", one.kind.as_str(), one.detail);
         }
         results.push(result);
@@ -150,7 +150,7 @@
 pub async fn run_case(run: &FaultRun, kinds: &[FaultKind]) -> (FaultResult, Vec<Violation>) {
     let mut cluster = LabCluster::start(users::aqsu(), &ClusterOptions::default()).await;
     let runner = LoadRunner::new(&cluster);
-    let begun = cluster.history.now();
+    let started = cluster.history.now();
     let plan = LoadPlan {
         seed: run.seed,
         duration: run.phase * 3,
@@ -158,11 +158,11 @@
         ..LoadPlan::default()
     };
     let load = tokio::spawn(async move { runner.run(&plan).await });
-    let mut excuse = CheckExemptions::default();
+    let mut exemptions = CheckExemptions::default();
     sleep(run.phase).await;
     let from = cluster.history.now();
     for kind in kinds {
-        inject(&mut cluster, *kind, &mut excuse).await;
+        inject(&mut cluster, *kind, &mut exemptions).await;
     }
     sleep(run.phase).await;
     let until = cluster.history.now();
@@ -170,25 +170,25 @@
         heal(&mut cluster, *kind).await;
     }
     let _ = load.await;
-    let breaks = cluster.history.with(|data| check(data, &excuse));
+    let violations = cluster.history.with(|data| check(data, &exemptions));
     let expected = cluster.history.with(|data| count_reported_sends(data));
     let (counted, gaps) = await_settled_requests(&cluster, expected as u64).await;
     let result = cluster
         .history
-        .with(|data| summarise(kinds, data, &breaks, (begun, from, until), counted));
+        .with(|data| summarise(kinds, data, &violations, (started, from, until), counted));
     let result = FaultResult { gaps, ..result };
-    if !result.counts_hold() || !breaks.is_empty() {
+    if !result.counts_hold() || !violations.is_empty() {
         print_trace(&mut cluster).await;
     }
-    (result, breaks)
+    (result, violations)
 }
 
-async fn inject(cluster: &mut LabCluster, kind: FaultKind, excuse: &mut CheckExemptions) {
+async fn inject(cluster: &mut LabCluster, kind: FaultKind, exemptions: &mut CheckExemptions) {
     match kind {
-        FaultKind::NodeKilled => kill(cluster, 2, excuse),
+        FaultKind::NodeKilled => kill(cluster, 2, exemptions),
         FaultKind::KeeperKilled => {
             let coordinator = find_coordinator(cluster).await;
-            kill(cluster, coordinator, excuse);
+            kill(cluster, coordinator, exemptions);
         }
         FaultKind::NodeFrozen => cluster.freeze(2, true),
         FaultKind::PlannedStop => cluster.terminate(0),
@@ -207,12 +207,12 @@
         FaultKind::StoreDown => cluster
             .store_faults
             .values()
-            .for_each(|way| way.set(ServiceMode::Down)),
+            .for_each(|switch| switch.set(ServiceMode::Down)),
         FaultKind::StoreLoses => {
             cluster
                 .store_faults
                 .values()
-                .for_each(|way| way.lose_answers(3));
+                .for_each(|switch| switch.lose_answers(3));
             let switched = switch_preset(cluster, "peak").await;
             if let Err(problem) = switched {
                 println!("    {problem}");
@@ -269,7 +269,7 @@
         FaultKind::StoreDown => cluster
             .store_faults
             .values()
-            .for_each(|way| way.set(ServiceMode::Up)),
+            .for_each(|switch| switch.set(ServiceMode::Up)),
         FaultKind::StreamsBreak | FaultKind::StreamsSilent => {
             set_stream_faults(cluster, BackendFaults::default());
         }
@@ -282,11 +282,11 @@
     }
 }
 
-/// Kills a node, and excuses its in-flight requests, which may end without a response.
-fn kill(cluster: &mut LabCluster, index: usize, excuse: &mut CheckExemptions) {
+/// Kills a node, and exempts its in-flight requests, which may end without a response.
+fn kill(cluster: &mut LabCluster, index: usize, exemptions: &mut CheckExemptions) {
     let before = cluster.history.now();
     cluster.kill(index);
-    excuse.killed.push((before, cluster.history.now()));
+    exemptions.killed.push((before, cluster.history.now()));
 }
 
 fn set_stream_faults(cluster: &LabCluster, faults: BackendFaults) {
@@ -320,10 +320,10 @@
     const TURNS: usize = 40;
     let mut last = (0, 0);
     let mut same = 0;
-    let mut looks = Vec::new();
+    let mut readings = Vec::new();
     for _ in 0..TURNS {
         if let Some(report) = crate::demo::fetch_report(cluster, "account").await {
-            looks.push(report.total.requests);
+            readings.push(report.total.requests);
             same = if report.total.requests == last.0 {
                 same + 1
             } else {
@@ -337,25 +337,25 @@
         }
         sleep(Duration::from_millis(1_200)).await;
     }
-    println!("requests in the reports, look by look, of {expected}: {looks:?}");
+    println!("requests in the reports, look by look, of {expected}: {readings:?}");
     last
 }
 
 fn summarise(
     kinds: &[FaultKind],
     data: &HistoryData,
-    breaks: &[Violation],
+    violations: &[Violation],
     times: (Duration, Duration, Duration),
     counted: u64,
 ) -> FaultResult {
-    let (begun, from, until) = times;
+    let (started, from, until) = times;
     let all = figures(data, "", |_| true);
     let during = figures(data, "", |s| s.scheduled >= from && s.scheduled < until);
-    let before = figures(data, "", |s| s.scheduled >= begun && s.scheduled < from);
+    let before = figures(data, "", |s| s.scheduled >= started && s.scheduled < from);
     let usual = ratio(before.answered, before.operations);
     FaultResult {
         faults: kinds.iter().map(|kind| kind.as_str()).collect(),
-        breaks: count_violations(breaks),
+        breaks: count_violations(violations),
         operations: all.operations,
         failed: all.operations - all.answered,
         goodput: ratio(during.answered, during.operations),
--- a/crates/zinniahatch_lab/src/experiments/figures.rs
+++ b/crates/zinniahatch_lab/src/experiments/figures.rs
@@ -44,21 +44,21 @@
     stream_service: &str,
     wanted: impl Fn(&SendRecord) -> bool,
 ) -> RunFigures {
-    let mut ends: BTreeMap<u64, &SendRecord> = BTreeMap::new();
+    let mut final_sends: BTreeMap<u64, &SendRecord> = BTreeMap::new();
     let mut figures = RunFigures::default();
     for send in data.sends.iter().filter(|send| wanted(send)) {
         *figures.codes.entry(send.code).or_default() += 1;
-        let better = ends
+        let replaces = final_sends
             .get(&send.operation)
             .is_none_or(|known| !is_complete(known));
-        if better {
-            ends.insert(send.operation, send);
+        if replaces {
+            final_sends.insert(send.operation, send);
         }
     }
     let mut whole = new_histogram();
     let mut first = new_histogram();
     let mut away = 0;
-    for send in ends.values() {
+    for send in final_sends.values() {
         figures.operations += 1;
         match &send.end {
             SendOutcome::Whole { .. } => {
--- a/crates/zinniahatch_lab/src/experiments/shares.rs
+++ b/crates/zinniahatch_lab/src/experiments/shares.rs
@@ -46,7 +46,7 @@
         cluster.plan.plain,
     );
     let numbers = Arc::new(AtomicU64::new(1));
-    let begun = cluster.history.now();
+    let started = cluster.history.now();
     let until = Instant::now() + Duration::from_secs(seconds);
     let entries: Vec<Box<str>> = cluster
         .nodes
@@ -89,8 +89,8 @@
         cluster.history.with(|data| {
             figures(data, cluster.plan.engine, |send| {
                 &*send.account == account
-                    && send.ended > begun + from
-                    && send.ended < begun + Duration::from_secs(seconds)
+                    && send.ended > started + from
+                    && send.ended < started + Duration::from_secs(seconds)
             })
         })
     };
--- a/crates/zinniahatch_lab/src/experiments/spread.rs
+++ b/crates/zinniahatch_lab/src/experiments/spread.rs
@@ -39,8 +39,8 @@
         "store losing answers",
         "one region cut from the store",
     ] {
-        for way in cluster.store_faults.values() {
-            way.set(if case == "store slow" {
+        for switch in cluster.store_faults.values() {
+            switch.set(if case == "store slow" {
                 ServiceMode::Slow(Duration::from_millis(300))
             } else {
                 ServiceMode::Up
@@ -85,7 +85,7 @@
             cluster
                 .store_faults
                 .values()
-                .for_each(|way| way.lose_answers(1));
+                .for_each(|switch| switch.lose_answers(1));
         }
         let preset = if number % 2 == 0 { "peak" } else { "ordinary" };
         let Ok(revision) = operator
@@ -121,14 +121,14 @@
 }
 
 async fn read_revisions(client: &Client, cluster: &LabCluster) -> BTreeMap<NodeId, u64> {
-    let asked = cluster.nodes.iter().map(|node| async {
+    let queries = cluster.nodes.iter().map(|node| async {
         let response = client
             .get(format!("http://{}/internal/brief", node.http))
             .send()
             .await
             .ok()?;
-        let brief: Value = response.json().await.ok()?;
-        Some((node.name.clone(), brief["revision"].as_u64()?))
+        let status: Value = response.json().await.ok()?;
+        Some((node.name.clone(), status["revision"].as_u64()?))
     });
-    join_all(asked).await.into_iter().flatten().collect()
+    join_all(queries).await.into_iter().flatten().collect()
 }
--- a/crates/zinniahatch_lab/src/experiments/verdicts.rs
+++ b/crates/zinniahatch_lab/src/experiments/verdicts.rs
@@ -84,7 +84,7 @@
     let mut now = Instant::now();
     let mut seen_failed = vec![vec![false; MEMBERS]; MEMBERS];
     let mut wrong = 0_u64;
-    let mut right_delays: Vec<f64> = Vec::new();
+    let mut detection_delays: Vec<f64> = Vec::new();
     let last = MEMBERS - 1;
     let death_step = HOURS * STEPS_PER_HOUR - STEPS_AFTER_DEATH;
     for step in 0..HOURS * STEPS_PER_HOUR {
@@ -112,17 +112,18 @@
                 let newly_failed = failed && !seen_failed[observer][subject];
                 seen_failed[observer][subject] = failed;
                 if newly_failed && dead && observer != last {
-                    right_delays.push((step - death_step) as f64 * HEARTBEAT_EVERY.as_secs_f64());
+                    detection_delays
+                        .push((step - death_step) as f64 * HEARTBEAT_EVERY.as_secs_f64());
                 }
                 wrong += u64::from(newly_failed && !dead && observer != last);
             }
         }
     }
-    let never = (MEMBERS - 1).saturating_sub(right_delays.len());
-    let mean = if right_delays.is_empty() {
+    let never = (MEMBERS - 1).saturating_sub(detection_delays.len());
+    let mean = if detection_delays.is_empty() {
         0.0
     } else {
-        right_delays.iter().sum::<f64>() / right_delays.len() as f64
+        detection_delays.iter().sum::<f64>() / detection_delays.len() as f64
     };
     DetectionResult {
         case,
--- a/crates/zinniahatch_lab/src/operator.rs
+++ b/crates/zinniahatch_lab/src/operator.rs
@@ -66,13 +66,13 @@
     ///
     /// Returns the node's verdict if it did not accept the switch.
     pub async fn switch_preset(&self, preset: &str, change: &str) -> Result<Revision, String> {
-        let ask =
+        let request =
             json!({"change": change, "expect_revision": self.revision().await, "preset": preset});
-        let (_, text) = self.post("config", &ask).await;
-        let verdict: Value = serde_json::from_str(&text).unwrap_or(Value::Null);
-        let revision = verdict["revision"]
+        let (_, text) = self.post("config", &request).await;
+        let outcome: Value = serde_json::from_str(&text).unwrap_or(Value::Null);
+        let revision = outcome["revision"]
             .as_u64()
-            .filter(|_| verdict["verdict"] == "accepted");
+            .filter(|_| outcome["verdict"] == "accepted");
         revision.ok_or_else(|| format!("the switch was not accepted: {text}"))
     }
 
--- a/crates/zinniahatch_lab/src/site.rs
+++ b/crates/zinniahatch_lab/src/site.rs
@@ -260,9 +260,9 @@
     /// `state` returns the state in the entry of each replica, or `None` if it has no entry.
     pub fn register_all(&self, state: impl Fn(usize) -> Option<&'static str>) {
         for key in self.store.keys("servers/") {
-            let lives =
+            let belongs_to =
                 |(replica, _): &(FakeReplica, _)| key.ends_with(&format!("/{}", replica.id));
-            if !self.replicas.iter().any(lives) {
+            if !self.replicas.iter().any(belongs_to) {
                 self.store.remove(&key);
             }
         }
--- a/crates/zinniahatch_lab/src/site/calls.rs
+++ b/crates/zinniahatch_lab/src/site/calls.rs
@@ -127,20 +127,20 @@
 
     /// Returns the rate-limit records of all replicas, past and present, with their indices.
     pub fn limit_records(&self) -> Vec<(usize, LimitRecord)> {
-        let living = self.replicas.iter().enumerate();
-        let living = living.map(|(index, (replica, _))| (index, replica.observations().limits));
+        let current = self.replicas.iter().enumerate();
+        let current = current.map(|(index, (replica, _))| (index, replica.observations().limits));
         let ended = self.retired.iter();
         let ended = ended.map(|ended| (ended.position, ended.observations.limits.clone()));
-        living.chain(ended).collect()
+        current.chain(ended).collect()
     }
 
     /// Returns how often an attempt ran, summed over all replicas, past and present.
     pub fn runs(&self, attempt: &str) -> u32 {
-        let living = self
+        let current = self
             .replicas
             .iter()
             .map(|(replica, _)| replica.observations());
-        living
+        current
             .chain(self.retired.iter().map(|ended| ended.observations.clone()))
             .filter_map(|observations| observations.runs.get(attempt).copied())
             .sum()
@@ -148,13 +148,13 @@
 
     /// Returns the attempts that ran on a replica outside a region.
     pub fn runs_outside(&self, region: &str) -> BTreeSet<Box<str>> {
-        let living = self
+        let current = self
             .replicas
             .iter()
             .map(|(replica, place)| (*place, replica.observations()));
         let retired = self.retired.iter();
         let retired = retired.map(|ended| (ended.region, ended.observations.clone()));
-        living
+        current
             .chain(retired)
             .filter(|(place, _)| *place != region)
             .flat_map(|(_, observations)| observations.runs.into_keys())
@@ -164,12 +164,12 @@
     /// Returns the number of runs of every attempt, summed over all replicas, past and present.
     pub fn all_runs(&self) -> BTreeMap<Box<str>, u32> {
         let mut sum = BTreeMap::new();
-        let living = self
+        let current = self
             .replicas
             .iter()
             .map(|(replica, _)| replica.observations());
         for observations in
-            living.chain(self.retired.iter().map(|ended| ended.observations.clone()))
+            current.chain(self.retired.iter().map(|ended| ended.observations.clone()))
         {
             for (attempt, runs) in observations.runs {
                 *sum.entry(attempt).or_default() += runs;
--- a/crates/zinniahatch_lab/src/site_demo.rs
+++ b/crates/zinniahatch_lab/src/site_demo.rs
@@ -119,17 +119,17 @@
 }
 
 fn report(site: &SiteCluster) -> String {
-    let mut sheet = CountTable::default();
+    let mut counts = CountTable::default();
     let mut gaps = Vec::new();
     for (key, text) in site.store.copy_values() {
         if !key.starts_with(zinniahatch_report::ACCOUNTS_PREFIX) {
             continue;
         }
-        let Ok(ledger) = serde_json::from_str::<HourlyCounts>(&text) else {
+        let Ok(hourly) = serde_json::from_str::<HourlyCounts>(&text) else {
             continue;
         };
-        sheet.merge(&ledger.sheet);
-        gaps.extend(ledger.gaps);
+        counts.merge(&hourly.sheet);
+        gaps.extend(hourly.gaps);
     }
     let query = ReportQuery {
         by: vec![ReportField::Account, ReportField::Region],
@@ -137,5 +137,5 @@
         until: u64::MAX,
         accounts: None,
     };
-    render_table(&run_query(&query, &sheet, gaps, Vec::new()))
+    render_table(&run_query(&query, &counts, gaps, Vec::new()))
 }
--- a/crates/zinniahatch_lab/src/soak.rs
+++ b/crates/zinniahatch_lab/src/soak.rs
@@ -97,15 +97,15 @@
     }
     let log = Arc::new(OutcomeLog::default());
     let callers = CallerPool::start(seed, soak.callers, &site, &log);
-    let fatal = soak
+    let crashing_caller = soak
         .crashing_request
         .then(|| CrashingCaller::start(seed, &site));
     let mut injector = FaultInjector::new(&plan);
     injector.run(&mut site, &log).await;
     callers.stop().await;
     invariants::check_recovery(&mut site, &injector, &log).await;
-    if let Some(fatal) = fatal {
-        fatal.check(&mut site, &plan, &log).await;
+    if let Some(crashing_caller) = crashing_caller {
+        crashing_caller.check(&mut site, &plan, &log).await;
     }
     limits::check_limits(&site, &plan, injector.started, &log);
     notices::check_notices(&site, &plan, injector.started, &log);
--- a/crates/zinniahatch_lab/src/soak/callers.rs
+++ b/crates/zinniahatch_lab/src/soak/callers.rs
@@ -130,8 +130,8 @@
                 "http://{}/resolve?name={HOST}&region={}&zone={}-a",
                 entry.directory, self.region, self.region
             );
-            let asked = async { self.client.get(url).send().await?.bytes().await };
-            let Ok(Ok(body)) = timeout(CONNECT_TIMEOUT, asked).await else {
+            let query = async { self.client.get(url).send().await?.bytes().await };
+            let Ok(Ok(body)) = timeout(CONNECT_TIMEOUT, query).await else {
                 continue;
             };
             let Ok(body) = serde_json::from_slice::<serde_json::Value>(&body) else {
--- a/crates/zinniahatch_lab/src/soak/injector.rs
+++ b/crates/zinniahatch_lab/src/soak/injector.rs
@@ -323,16 +323,16 @@
         let Some(since) = self.leaving.get(&index) else {
             return;
         };
-        let excused = self.plan.faults.iter().any(|other| {
-            let touches =
+        let exempt = self.plan.faults.iter().any(|other| {
+            let affects_entry =
                 other.fault.delays_store_updates() || other.fault.changed_entry() == Some(index);
             let overlaps =
                 other.at < planned.until + STALE_TIME && planned.at < other.until + STALE_TIME;
-            let same = other.at == planned.at;
-            touches && overlaps && !same
+            let is_same = other.at == planned.at;
+            affects_entry && overlaps && !is_same
         });
         let last = site.replicas[index].0.observations().last_run;
-        if !excused && last.is_some_and(|last| last > *since + DRAIN_LIMIT) {
+        if !exempt && last.is_some_and(|last| last > *since + DRAIN_LIMIT) {
             log.record_violation(format!(
                 "{} ran a request {:?} after it began to leave",
                 site.replicas[index].0.id,
--- a/crates/zinniahatch_lab/src/soak/invariants.rs
+++ b/crates/zinniahatch_lab/src/soak/invariants.rs
@@ -87,8 +87,8 @@
     }
 
     /// Records a violated invariant.
-    pub(crate) fn record_violation(&self, what: String) {
-        self.lock().violations.push(what);
+    pub(crate) fn record_violation(&self, violation: String) {
+        self.lock().violations.push(violation);
     }
 
     /// Counts an entry VM that was asked to stop before it could handle the signal.
@@ -180,11 +180,16 @@
 
 /// Compares the requests recorded by the replicas with the outcomes that callers saw.
 ///
-/// With `fatal`, replicas have crashed, so that streams cut off under planned operations are no
-/// violation.
-pub(crate) fn check_runs(site: &SiteCluster, mix: FaultMix, fatal: bool, log: &OutcomeLog) {
+/// With `replicas_crashed`, replicas have crashed, so that streams cut off under planned operations
+/// are no violation.
+pub(crate) fn check_runs(
+    site: &SiteCluster,
+    mix: FaultMix,
+    replicas_crashed: bool,
+    log: &OutcomeLog,
+) {
     let runs = site.all_runs();
-    let foreign = site.runs_outside("north");
+    let outside_home = site.runs_outside("north");
     let mut records = log.lock();
     let mut violations = Vec::new();
     for (attempt, count) in &runs {
@@ -197,10 +202,10 @@
         if *kind == RouteKind::Once && records.not_run.contains(attempt) {
             violations.push(format!("{attempt} (once) was told not run, and ran"));
         }
-        if *kind == RouteKind::Bound && foreign.contains(attempt) {
+        if *kind == RouteKind::Bound && outside_home.contains(attempt) {
             violations.push(format!("{attempt} (bound) ran outside its home"));
         }
-        if mix == FaultMix::Planned && !fatal && records.disconnected.contains(attempt) {
+        if mix == FaultMix::Planned && !replicas_crashed && records.disconnected.contains(attempt) {
             violations.push(format!(
                 "{attempt} ({}) was cut off by planned work",
                 kind.name()
--- a/crates/zinniahatch_lab/src/soak/limits.rs
+++ b/crates/zinniahatch_lab/src/soak/limits.rs
@@ -6,7 +6,7 @@
 use crate::site::SiteCluster;
 use zinniahatch_base::prelude::*;
 
-/// Time after which nodes must respect an announced limit, and for which a fault excuses them after
+/// Time after which nodes must respect an announced limit, and for which a fault exempts them after
 /// its end.
 const GRACE: Duration = Duration::from_secs(6);
 
@@ -18,13 +18,13 @@
     log: &OutcomeLog,
 ) {
     for (index, record) in site.limit_records() {
-        let excused = |start: Instant, end: Instant| {
+        let is_exempt = |start: Instant, end: Instant| {
             plan.faults.iter().any(|planned| {
                 let (from, until) = (started + planned.at, started + planned.until + GRACE);
                 may_exceed_limit(planned.fault, index) && from < end && start < until
             })
         };
-        if let Some(window) = record.broken_window(GRACE, excused) {
+        if let Some(window) = record.broken_window(GRACE, is_exempt) {
             log.record_violation(format!(
                 "replica {index} got more than its limit: {window:?}"
             ));
--- a/crates/zinniahatch_lab/src/soak/notices.rs
+++ b/crates/zinniahatch_lab/src/soak/notices.rs
@@ -12,7 +12,7 @@
 const LINK_FAULT_TIME: Duration = Duration::from_secs(3);
 
 /// Checks that no node sent requests to a replica that had announced to it that it is leaving, or
-/// too many to one that had asked it for backoff.
+/// too many to one that had requested a backoff from it.
 pub(crate) fn check_notices(
     site: &SiteCluster,
     plan: &SoakPlan,
@@ -22,7 +22,7 @@
     let sending_nodes = site.sending_nodes();
     for (place, id, record) in site.notice_records() {
         let node_of = |attempt: &str| sending_nodes.get(&(attempt.into(), id.clone())).copied();
-        let excused = |node: usize, from: Instant, until: Instant| {
+        let is_exempt = |node: usize, from: Instant, until: Instant| {
             plan.faults.iter().any(|planned| {
                 let end = if interrupts_entry(planned.fault, node) {
                     entries_down_until(plan, planned.until)
@@ -34,10 +34,10 @@
                 started + planned.at <= until && from <= started + end
             })
         };
-        if let Some(broken) = record.leaving_violation(DRAIN_TIME, node_of, excused) {
+        if let Some(broken) = record.leaving_violation(DRAIN_TIME, node_of, is_exempt) {
             log.record_violation(format!("{id} leaves and got a request: {broken:?}"));
         }
-        if let Some(broken) = record.backoff_violation(node_of, excused) {
+        if let Some(broken) = record.backoff_violation(node_of, is_exempt) {
             log.record_violation(format!("{id} rests and got requests: {broken:?}"));
         }
     }
@@ -58,7 +58,7 @@
 fn entries_down_until(plan: &SoakPlan, until: Duration) -> Duration {
     let mut end = until;
     loop {
-        let holding = plan.faults.iter().filter(|planned| {
+        let overlapping = plan.faults.iter().filter(|planned| {
             let entry = matches!(
                 planned.fault,
                 SoakFault::KillAll
@@ -68,7 +68,10 @@
             );
             entry && planned.at <= end
         });
-        let last = holding.map(|planned| planned.until).max().unwrap_or(end);
+        let last = overlapping
+            .map(|planned| planned.until)
+            .max()
+            .unwrap_or(end);
         if last <= end {
             return end;
         }
--- a/crates/zinniahatch_lab/src/test_doubles/limit_record.rs
+++ b/crates/zinniahatch_lab/src/test_doubles/limit_record.rs
@@ -64,11 +64,11 @@
     /// Finds the first window with more requests than allowed.
     ///
     /// Only windows that end later than `grace` after the limit was first announced and before it is
-    /// lifted count, and only those for which `excused` returns `false`.
+    /// lifted count, and only those for which `is_exempt` returns `false`.
     pub fn broken_window(
         &self,
         grace: Duration,
-        excused: impl Fn(Instant, Instant) -> bool,
+        is_exempt: impl Fn(Instant, Instant) -> bool,
     ) -> Option<BrokenWindow> {
         let mut since: Option<Instant> = None;
         for (index, (from, rate)) in self.announced.iter().enumerate() {
@@ -78,7 +78,7 @@
             }
             let first = *since.get_or_insert(*from);
             let until = self.announced.get(index + 1).map(|(at, _)| *at);
-            let found = self.broken_between(first, first + grace, *from, until, &excused);
+            let found = self.broken_between(first, first + grace, *from, until, &is_exempt);
             if found.is_some() {
                 return found;
             }
@@ -93,14 +93,14 @@
         begin: Instant,
         from: Instant,
         until: Option<Instant>,
-        excused: &impl Fn(Instant, Instant) -> bool,
+        is_exempt: &impl Fn(Instant, Instant) -> bool,
     ) -> Option<BrokenWindow> {
         for (index, end) in self.arrivals.iter().enumerate() {
             if *end < from.max(begin) || until.is_some_and(|until| *end >= until) {
                 continue;
             }
             let start = end.checked_sub(WINDOW).unwrap_or(*end);
-            if excused(start, *end) {
+            if is_exempt(start, *end) {
                 continue;
             }
             let before = self.arrivals[..index].iter().rev();
--- a/crates/zinniahatch_lab/src/test_doubles/notice_record.rs
+++ b/crates/zinniahatch_lab/src/test_doubles/notice_record.rs
@@ -51,7 +51,7 @@
         self.record(attempt, Notice::Leaving, now);
     }
 
-    /// Records a response that asked for a backoff.
+    /// Records a response that requested a backoff.
     pub(crate) fn record_backoff(&mut self, attempt: &str, backoff: Duration, now: Instant) {
         self.record(attempt, Notice::Backoff(backoff), now);
     }
@@ -64,7 +64,7 @@
         });
     }
 
-    /// Returns the number of responses that asked for a backoff.
+    /// Returns the number of responses that requested a backoff.
     pub fn backoffs(&self) -> usize {
         let notices = self.sent.iter().map(|sent| sent.notice);
         notices.filter(|notice| *notice != Notice::Leaving).count()
@@ -75,28 +75,28 @@
         self.arrivals.iter().filter(|(at, _)| *at >= from).count()
     }
 
-    /// Finds a request that arrived more than `bound` after the node that sent it had been told that
-    /// the replica is leaving.
+    /// Finds a request that arrived more than `bound` after the node that sent it had got the notice
+    /// that the replica is leaving.
     ///
-    /// `node_of` returns the node that sent an attempt; `excused` returns whether a fault hit that node in
-    /// an interval.
+    /// `node_of` returns the node that sent an attempt; `is_exempt` returns whether a fault hit that
+    /// node in an interval.
     pub fn leaving_violation(
         &self,
         bound: Duration,
         node_of: impl Fn(&str) -> Option<usize>,
-        excused: impl Fn(usize, Instant, Instant) -> bool,
+        is_exempt: impl Fn(usize, Instant, Instant) -> bool,
     ) -> Option<BrokenNotice> {
-        let mut told: BTreeMap<usize, Instant> = BTreeMap::new();
+        let mut notified: BTreeMap<usize, Instant> = BTreeMap::new();
         for sent in &self.sent {
             if let (Notice::Leaving, Some(node)) = (sent.notice, node_of(&sent.attempt)) {
-                told.entry(node).or_insert(sent.at);
+                notified.entry(node).or_insert(sent.at);
             }
         }
         self.arrivals.iter().find_map(|(at, attempt)| {
             let node = node_of(attempt)?;
-            let first = *told.get(&node)?;
+            let first = *notified.get(&node)?;
             let after = at.checked_duration_since(first)?;
-            (after > bound && !excused(node, first, *at)).then_some(BrokenNotice {
+            (after > bound && !is_exempt(node, first, *at)).then_some(BrokenNotice {
                 node,
                 after,
                 requests: 1,
@@ -104,14 +104,14 @@
         })
     }
 
-    /// Finds a backoff during which the node that was asked for it sent more than `BACKOFF_SLACK`
+    /// Finds a backoff during which the node that got the notice sent more than `BACKOFF_SLACK`
     /// requests.
     ///
     /// The first `REACTION_TIME` does not count.
     pub fn backoff_violation(
         &self,
         node_of: impl Fn(&str) -> Option<usize>,
-        excused: impl Fn(usize, Instant, Instant) -> bool,
+        is_exempt: impl Fn(usize, Instant, Instant) -> bool,
     ) -> Option<BrokenNotice> {
         self.sent.iter().find_map(|sent| {
             let Notice::Backoff(backoff) = sent.notice else {
@@ -123,7 +123,7 @@
                 .arrivals
                 .iter()
                 .filter(|(at, attempt)| *at > from && *at < until && node_of(attempt) == Some(node))
-                .filter(|(at, _)| !excused(node, sent.at, *at));
+                .filter(|(at, _)| !is_exempt(node, sent.at, *at));
             let found: Vec<Instant> = within.map(|(at, _)| *at).collect();
             (found.len() > BACKOFF_SLACK).then_some(BrokenNotice {
                 node,
--- a/crates/zinniahatch_lab/src/test_doubles/store.rs
+++ b/crates/zinniahatch_lab/src/test_doubles/store.rs
@@ -248,17 +248,17 @@
         let now = Instant::now();
         data.leases
             .retain(|_, (renewed, ttl)| now.duration_since(*renewed) < *ttl);
-        let lapsed: Vec<Box<str>> = data
+        let expired: Vec<Box<str>> = data
             .values
             .iter()
             .filter(|(_, value)| value.lease != 0 && !data.leases.contains_key(&value.lease))
             .map(|(key, _)| key.clone())
             .collect();
-        if lapsed.is_empty() {
+        if expired.is_empty() {
             return;
         }
         data.revision += 1;
-        for key in lapsed {
+        for key in expired {
             data.remove(&key);
         }
         drop(data);
@@ -327,10 +327,10 @@
             });
             return Err(TransactionError::Conflict(current.collect()));
         }
-        let gone = sets
+        let lease_missing = sets
             .iter()
             .any(|(_, _, lease)| *lease != 0 && !data.leases.contains_key(lease));
-        if gone {
+        if lease_missing {
             return Err(TransactionError::Status(StatusCode::NOT_FOUND));
         }
         data.revision += 1;
--- a/crates/zinniahatch_lab/tests/accounts.rs
+++ b/crates/zinniahatch_lab/tests/accounts.rs
@@ -44,13 +44,13 @@
 /// Returns the account for which an attempt ran, and whether any replica received a credential.
 fn seen(site: &SiteCluster, attempt: &str) -> (Option<Box<str>>, bool) {
     let mut account = None;
-    let mut shown = false;
+    let mut received_credential = false;
     for (replica, _) in &site.replicas {
         let observations = replica.observations();
         account = account.or_else(|| observations.accounts.get(attempt).cloned());
-        shown |= observations.credentials > 0;
+        received_credential |= observations.credentials > 0;
     }
-    (account, shown)
+    (account, received_credential)
 }
 
 /// Guards against a forged account and leaked keys. A caller names another account in the header
@@ -269,9 +269,9 @@
     site.configure_accounts(3, &json!([account("acme", &["k2"])]));
     let taken = Instant::now();
     wait_until("the bound has passed", async || taken.elapsed() > REVOKE).await;
-    let woken = send(&site, 0, "/plain/x", "late", "k1");
+    let request = send(&site, 0, "/plain/x", "late", "k1");
     let wake = async { site.signal(0, "-CONT") };
-    let (answer, ()) = tokio::join!(woken, wake);
+    let (answer, ()) = tokio::join!(request, wake);
     assert_ne!(answer.status(), StatusCode::OK);
     assert_eq!(site.runs("late"), 0);
     wait_until("the node serves the other key", async || {
--- a/crates/zinniahatch_lab/tests/crashing_request.rs
+++ b/crates/zinniahatch_lab/tests/crashing_request.rs
@@ -56,24 +56,24 @@
 async fn fatal_request_ends_few_replicas() {
     const REPEATS: usize = 12;
     let mut site = start_site().await;
-    let fatal = RequestContent::from_path("/stream/fatal");
-    site.crashing_requests.add(fatal.clone());
+    let crashing = RequestContent::from_path("/stream/fatal");
+    site.crashing_requests.add(crashing.clone());
     let nodes = site.entries.len();
     for repeat in 0..REPEATS {
         let node = repeat % nodes;
         wait_serves(&site, node, &format!("look-{repeat}")).await;
-        let beside = [0, 1].map(|number| format!("/stream/beside-{node}-{number}"));
-        let [one, two] = &beside;
+        let others = [0, 1].map(|number| format!("/stream/beside-{node}-{number}"));
+        let [one, two] = &others;
         let (first, second) = (format!("one-{repeat}"), format!("two-{repeat}"));
         let attempt = format!("fatal-{repeat}");
         tokio::join!(
             send(&site, node, one, &first),
             send(&site, node, two, &second),
-            send(&site, node, &fatal.path, &attempt),
+            send(&site, node, &crashing.path, &attempt),
         );
         site.replace_crashed().await;
     }
-    let crashes = site.crashing_requests.crashes(&fatal);
+    let crashes = site.crashing_requests.crashes(&crashing);
     assert!(
         crashes <= MAX_CRASHES,
         "{crashes} replicas crashed by one request"
@@ -146,8 +146,8 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn hold_outlives_all_nodes() {
     let mut site = start_site().await;
-    let fatal = RequestContent::from_path("/stream/fatal");
-    provoke_quarantine(&mut site, &fatal, &[0, 2]).await;
+    let crashing = RequestContent::from_path("/stream/fatal");
+    provoke_quarantine(&mut site, &crashing, &[0, 2]).await;
     wait_until("the quarantine is persisted in the store", async || {
         (0..site.entries.len()).any(|node| site.log(node).contains("quarantine-kept"))
     })
@@ -165,7 +165,7 @@
     for (node, from) in lines.into_iter().enumerate() {
         site.wait_ready(node).await;
         wait_quarantined(&site, node, from).await;
-        check_quarantined(&site, node, &fatal).await;
+        check_quarantined(&site, node, &crashing).await;
     }
 }
 
@@ -175,12 +175,12 @@
 async fn resumed_node_learns_of_the_quarantine() {
     const SLEEPER: usize = 5;
     let mut site = start_site().await;
-    let fatal = RequestContent::from_path("/stream/fatal");
+    let crashing = RequestContent::from_path("/stream/fatal");
     site.signal(SLEEPER, "-STOP");
-    provoke_quarantine(&mut site, &fatal, &[0, 1, 2]).await;
+    provoke_quarantine(&mut site, &crashing, &[0, 1, 2]).await;
     site.signal(SLEEPER, "-CONT");
     wait_quarantined(&site, SLEEPER, 0).await;
-    check_quarantined(&site, SLEEPER, &fatal).await;
+    check_quarantined(&site, SLEEPER, &crashing).await;
     let other = site
         .call(SLEEPER, "/stream/other", "other")
         .send()
@@ -199,22 +199,22 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn fatal_request_is_held_on_every_route(path: &str) {
     let mut site = start_site().await;
-    let fatal = RequestContent::from_path(path);
-    provoke_quarantine(&mut site, &fatal, &[0, 3, 4, 1]).await;
-    let crashes = site.crashing_requests.crashes(&fatal);
+    let crashing = RequestContent::from_path(path);
+    provoke_quarantine(&mut site, &crashing, &[0, 3, 4, 1]).await;
+    let crashes = site.crashing_requests.crashes(&crashing);
     assert!(
         crashes <= MAX_CRASHES,
         "{crashes} replicas crashed by one request"
     );
     for node in 0..site.entries.len() {
         wait_quarantined(&site, node, 0).await;
-        check_quarantined(&site, node, &fatal).await;
+        check_quarantined(&site, node, &crashing).await;
     }
 }
 
 /// Guards against crashing requests that are forwarded by a region without replicas. The node that
-/// serves sees the replica crash, while the node that the caller asked forwards the request to the
-/// next region.
+/// serves sees the replica crash, while the node that received the request from the caller forwards
+/// it to the next region.
 #[tokio::test(flavor = "multi_thread")]
 async fn fatal_request_is_held_where_it_is_handed_over() {
     let regions = [("north", 2), ("south", 0), ("west", 2)].map(|(name, replicas)| SiteRegion {
@@ -223,16 +223,16 @@
         replicas,
     });
     let mut site = SiteCluster::start(&regions, SHAPE).await;
-    let fatal = RequestContent::from_path("/stream/fatal");
-    provoke_quarantine(&mut site, &fatal, &[2, 3]).await;
-    let crashes = site.crashing_requests.crashes(&fatal);
+    let crashing = RequestContent::from_path("/stream/fatal");
+    provoke_quarantine(&mut site, &crashing, &[2, 3]).await;
+    let crashes = site.crashing_requests.crashes(&crashing);
     assert!(
         crashes <= MAX_CRASHES,
         "{crashes} replicas crashed by one request"
     );
     for node in 0..site.entries.len() {
         wait_quarantined(&site, node, 0).await;
-        check_quarantined(&site, node, &fatal).await;
+        check_quarantined(&site, node, &crashing).await;
     }
 }
 
@@ -242,8 +242,8 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn quarantine_applies_to_one_caller() {
     let mut site = start_site().await;
-    let fatal = RequestContent::from_path("/stream/same");
-    provoke_quarantine(&mut site, &fatal, &[0, 2, 4]).await;
+    let crashing = RequestContent::from_path("/stream/same");
+    provoke_quarantine(&mut site, &crashing, &[0, 2, 4]).await;
     let call = site.call(0, "/stream/same", "other-caller");
     let answer = call
         .header("authorization", "Token other")
@@ -251,7 +251,7 @@
         .await
         .unwrap();
     assert_eq!(answer.status(), StatusCode::OK);
-    check_quarantined(&site, 0, &fatal).await;
+    check_quarantined(&site, 0, &crashing).await;
 }
 
 /// Guards against quarantining requests for crashes that they did not cause. A region loses all its
--- a/crates/zinniahatch_lab/tests/keyed_deadline.rs
+++ b/crates/zinniahatch_lab/tests/keyed_deadline.rs
@@ -104,20 +104,24 @@
         let executions = data.executions.iter();
         executions.map(|execution| execution.operation).collect()
     });
-    let only_waited: Vec<_> = results
+    let never_ran: Vec<_> = results
         .iter()
         .filter(|(operation, _)| !ran.contains(operation))
         .collect();
     assert!(
-        !only_waited.is_empty(),
+        !never_ran.is_empty(),
         "no request was still queued at its deadline"
     );
-    let untrue: Vec<_> = only_waited
+    let misreported: Vec<_> = never_ran
         .iter()
         .filter(|(_, number)| {
             let code = ResultCode::from_number(*number);
             code.is_none_or(|code| code.execution() != Execution::NotRun)
         })
         .collect();
-    assert!(untrue.is_empty(), "of {}: {untrue:?}", only_waited.len());
+    assert!(
+        misreported.is_empty(),
+        "of {}: {misreported:?}",
+        never_ran.len()
+    );
 }
--- a/crates/zinniahatch_lab/tests/operators.rs
+++ b/crates/zinniahatch_lab/tests/operators.rs
@@ -50,8 +50,8 @@
         })
         .await;
     }
-    let shown = ctl(&site, &["site", "preset"]).await;
-    assert!(String::from_utf8_lossy(&shown.stdout).contains("[preset peak]"));
+    let output = ctl(&site, &["site", "preset"]).await;
+    assert!(String::from_utf8_lossy(&output.stdout).contains("[preset peak]"));
     let late = format!("{PRESETS}/maintenance.ini");
     let refused = ctl(&site, &["site", "switch", "--from", "ordinary", &late]).await;
     assert!(!refused.status.success());
@@ -101,12 +101,12 @@
         log.matches("\"kind\":\"answered\"").count() >= 3 && log.contains("\"kind\":\"refused\"")
     })
     .await;
-    let told = ctl(
+    let output = ctl(
         &site,
         &["losses", "--by", "cause", "--format", "json", &path],
     )
     .await;
-    let rows: Vec<serde_json::Value> = serde_json::from_slice(&told.stdout).unwrap();
+    let rows: Vec<serde_json::Value> = serde_json::from_slice(&output.stdout).unwrap();
     let count = |cause: &str| {
         let mut found = rows.iter().filter(|row| {
             let name = row["cause"].as_str().unwrap_or_default();
--- a/crates/zinniahatch_lab/tests/replica_notices.rs
+++ b/crates/zinniahatch_lab/tests/replica_notices.rs
@@ -21,7 +21,7 @@
 const PAUSE: Duration = Duration::from_millis(60);
 /// How long a caller waits.
 const CALL_TIMEOUT: Duration = Duration::from_secs(1);
-/// The backoff that replicas ask for, in seconds.
+/// The backoff that replicas request, in seconds.
 const BACKOFF_SECONDS: &str = "2.5";
 const SHAPE: StreamShape = StreamShape {
     events: 3,
@@ -85,7 +85,7 @@
     assert_eq!(broken, None);
 }
 
-/// Guards against requests to a replica during the backoff that it asked this node for, on
+/// Guards against requests to a replica during the backoff that it requested from this node, on
 /// whichever path they come.
 #[test_case("/plain/look", ReplicaBehaviour::Serve; "first_sends")]
 #[test_case("/plain/look", ReplicaBehaviour::Fail; "sent_once_more")]
--- a/crates/zinniahatch_lab/tests/site.rs
+++ b/crates/zinniahatch_lab/tests/site.rs
@@ -230,8 +230,8 @@
 async fn deadline_while_a_replica_is_silent() {
     let site = SiteCluster::start(&[SiteRegion::new("north", 1, 1)], SHORT).await;
     site.replicas[0].0.set_behaviour(ReplicaBehaviour::Mute);
-    let patience = Duration::from_millis(400);
-    let call = site.call_with_timeout(0, "/once/x", "q1", patience);
+    let time_limit = Duration::from_millis(400);
+    let call = site.call_with_timeout(0, "/once/x", "q1", time_limit);
     let answer = call.send().await.unwrap();
     assert_eq!(answer.status(), StatusCode::GATEWAY_TIMEOUT);
     assert_eq!(answer.headers()["x-zinnia-execution"], "unknown");
@@ -425,8 +425,8 @@
         if !key.starts_with("zinniahatch/accounts/north/") {
             continue;
         }
-        let ledger: serde_json::Value = serde_json::from_str(&text).unwrap();
-        for row in ledger["sheet"]["rows"].as_array().unwrap() {
+        let hourly: serde_json::Value = serde_json::from_str(&text).unwrap();
+        for row in hourly["sheet"]["rows"].as_array().unwrap() {
             assert_eq!(row[0]["account"], "plain");
             total += row[1]["requests"].as_u64().unwrap();
         }
@@ -532,21 +532,21 @@
             >= 8
     })
     .await;
-    let asking = (0..10).find(|index| collector_of(&site, *index).is_some());
-    let asking = asking.expect("a node reports to a collector");
-    let first = collector_of(&site, asking).expect("the node has a collector");
+    let reporter = (0..10).find(|index| collector_of(&site, *index).is_some());
+    let reporter = reporter.expect("a node reports to a collector");
+    let first = collector_of(&site, reporter).expect("the node has a collector");
     site.kill(first);
     let number = AtomicU32::new(0);
     wait_until("another node is the collector", async || {
         let number = number.fetch_add(1, Ordering::Relaxed);
         let attempt = format!("c{number}");
         let answer = site
-            .call(asking, "/plain/x", &attempt)
+            .call(reporter, "/plain/x", &attempt)
             .send()
             .await
             .unwrap();
         assert_eq!(answer.status(), StatusCode::OK);
-        collector_of(&site, asking) != Some(first)
+        collector_of(&site, reporter) != Some(first)
     })
     .await;
 }
--- a/crates/zinniahatch_lab/tests/store_returns.rs
+++ b/crates/zinniahatch_lab/tests/store_returns.rs
@@ -120,23 +120,23 @@
     let (store, server, client) = open_store().await;
     store.write("k", "1");
     let copy = store.snapshot();
-    let mine = client
+    let own_lease = client
         .grant(Duration::from_secs(9))
         .await
         .expect("the store responds");
     store.restore_snapshot(&copy);
     let other = KvClient::new(&server.url());
-    let theirs = other
+    let other_lease = other
         .grant(Duration::from_secs(9))
         .await
         .expect("the store responds");
-    assert_eq!(mine.number, theirs.number);
+    assert_eq!(own_lease.number, other_lease.number);
     client
         .items("other/", LIMIT)
         .await
         .expect("the store responds");
-    assert_eq!(client.renew(mine).await, Ok(false));
-    assert_eq!(other.renew(theirs).await, Ok(true));
+    assert_eq!(client.renew(own_lease).await, Ok(false));
+    assert_eq!(other.renew(other_lease).await, Ok(true));
 }
 
 fn accounts(keys: &[&str]) -> serde_json::Value {
@@ -152,7 +152,7 @@
 }
 
 /// Guards against a node that starts after a restore, finds a revoked key in the store and accepts
-/// it. The other nodes have the newer version and tell it so.
+/// it. The other nodes have the newer version and inform it.
 #[tokio::test(flavor = "multi_thread")]
 async fn revoked_key_stays_revoked_at_starting_nodes() {
     let regions = [SiteRegion::new("north", 3, 2)];
--- a/crates/zinniahatch_route/tests/backoff_policies.rs
+++ b/crates/zinniahatch_route/tests/backoff_policies.rs
@@ -1,8 +1,8 @@
 //! Compares policies for a backoff that a replica requests.
 //!
-//! No node observes it, the node that was asked does, all nodes do, or the node that was asked does
-//! for three times as long. The results are the shares of requests served, refused by replicas and
-//! sent more than once.
+//! It is observed by no node, by the node whose request was refused, by all nodes, or by the node
+//! whose request was refused for three times as long. The results are the shares of requests
+//! served, refused by replicas and sent more than once.
 
 mod common;
 
@@ -40,7 +40,7 @@
 const BACKOFF: Duration = Duration::from_secs(1);
 /// Total time for which a caller waits.
 const CALLER_TIMEOUT: Duration = Duration::from_secs(3);
-/// Time after which a caller retries if it is not told a time.
+/// Time after which a caller retries if the refusal states no time.
 const DEFAULT_RETRY_DELAY: Duration = Duration::from_millis(700);
 const SEEDS: u64 = 8;
 
@@ -49,11 +49,11 @@
 enum BackoffPolicy {
     /// No node observes it.
     Ignored,
-    /// The node that was asked observes it.
+    /// The node whose request was refused observes it.
     Own,
-    /// All nodes observe it, notified by the one that was asked.
+    /// All nodes observe it, notified by the one whose request was refused.
     All,
-    /// The node that was asked observes it three times as long.
+    /// The node whose request was refused observes it three times as long.
     Long,
 }
 
@@ -241,7 +241,7 @@
         }
     }
 
-    /// Refuses a request; its caller retries once, after the time that it is told.
+    /// Refuses a request; its caller retries once, after the time stated in the refusal.
     fn refuse(&mut self, caller: Caller, send_count: u32) {
         let now = self.start + self.time;
         let table = &self.tables[caller.node];
@@ -304,8 +304,8 @@
 }
 
 /// Guards against a policy that costs callers more than it saves replicas: observing a backoff only
-/// at the node that was asked halves refusals and repeated sends, and serves more than observing it
-/// on all nodes or for longer.
+/// at the node that was refused halves refusals and repeated sends, and serves more than observing
+/// it on all nodes or for longer.
 #[test]
 fn own_policy_reduces_refusals_and_serves_most() {
     let [ignored, own, all, long] = [
--- a/crates/zinniahatch_route/tests/earliest_retry.rs
+++ b/crates/zinniahatch_route/tests/earliest_retry.rs
@@ -48,8 +48,8 @@
     table
 }
 
-/// Guards against callers who are told a constant time, or to wait although a replica would serve
-/// them.
+/// Guards against refusals that state a constant retry time, or make callers wait although a
+/// replica would serve them.
 #[test_case(&[Some(3), Some(2)], Some((SendRefusal::Resting, 2)); "the_first_that_is_back")]
 #[test_case(&[Some(3), None], None; "one_serves")]
 #[test_case(&[], None; "none_there")]
--- a/crates/zinniahatch_route/tests/incarnations.rs
+++ b/crates/zinniahatch_route/tests/incarnations.rs
@@ -32,7 +32,7 @@
 }
 
 /// Guards against a replica that drains, restarts under its id and never gets requests again,
-/// because its two incarnations count as one and a leaving is never taken back.
+/// because its two incarnations count as one and a leaving notice is never withdrawn.
 #[test]
 fn upsert_restarted_after_drain() {
     let now = Instant::now();
@@ -250,7 +250,7 @@
     assert!(table.evacuated().is_empty());
 }
 
-/// Guards against rows that are never removed, of replicas that announced their leaving and then
+/// Guards against rows that are never removed, of replicas that announced that they leave and then
 /// ended.
 #[test]
 fn tick_removes_drained_replica() {
@@ -268,8 +268,8 @@
     assert_eq!(table.rows().count(), 0);
 }
 
-/// Guards against a leaving that is undone when the entry of the same incarnation expires and is
-/// written again.
+/// Guards against a leaving notice that is undone when the entry of the same incarnation expires
+/// and is written again.
 #[test_case(1, Some(LeaveReason::Draining); "same_life")]
 #[test_case(2, None; "next_life")]
 fn upsert_after_drained_entry_expired(started_ms: u64, expected: Option<LeaveReason>) {
--- a/crates/zinniahatch_route/tests/notice_handling.rs
+++ b/crates/zinniahatch_route/tests/notice_handling.rs
@@ -68,7 +68,7 @@
     Peer,
 }
 
-/// Guards against a later update that undoes a leaving within the same incarnation.
+/// Guards against a later update that undoes a leaving notice within the same incarnation.
 #[test_case(LaterUpdate::Ready; "ready")]
 #[test_case(LaterUpdate::Expired; "lapsed_and_written_again")]
 #[test_case(LaterUpdate::Listed; "listed")]
@@ -365,8 +365,8 @@
     assert_eq!(refusal(&mut table, now + seconds(2.0)), None);
 }
 
-/// Guards against a leaving that is lost because it arrives after the entry of the replica was
-/// removed.
+/// Guards against a leaving notice that is lost because it arrives after the entry of the replica
+/// was removed.
 #[test]
 fn leaving_of_removed_incarnation_is_kept() {
     let now = Instant::now();
--- a/crates/zinniahatch_route/tests/placement.rs
+++ b/crates/zinniahatch_route/tests/placement.rs
@@ -124,11 +124,11 @@
     let mut parts = QueryParts::new(prompt(7, 1));
     parts.copy_token = Duration::from_micros(2);
     let first = choose(&table, &parts, now).unwrap().replica;
-    let read = CachedPrefix {
+    let prefix = CachedPrefix {
         replica: entry(&first, "a").incarnation().tag(),
         parts: parts.size.parts[..2].to_vec(),
     };
-    table.apply_cached_prefixes(&[read], |_| 100_000);
+    table.apply_cached_prefixes(&[prefix], |_| 100_000);
     let at_first = choose(&table, &parts, now).unwrap();
     assert_eq!((at_first.tokens, at_first.copy_from), (3_000, None));
     table.get_mut(&first).unwrap().local_work.tokens = 60_000;
--- a/crates/zinniahatch_route/tests/quota.rs
+++ b/crates/zinniahatch_route/tests/quota.rs
@@ -161,7 +161,7 @@
             }
             if self.is_up(update.to) {
                 let fresh = self.tables[update.to].apply_update(&update.usage, now);
-                // The node that hears from another region informs its own.
+                // The node that gets an update from another region informs its own.
                 if update.from_remote {
                     for to in region_peers(update.to) {
                         let delay = Duration::from_millis(20);
--- a/crates/zinniahatch_route/tests/replica_state.rs
+++ b/crates/zinniahatch_route/tests/replica_state.rs
@@ -47,8 +47,8 @@
     assert!(table.get("r1").unwrap().leaving.is_some());
 }
 
-/// Guards against a leaving that a late copy of an earlier entry undoes, after an outage in which
-/// the replica lost its entry.
+/// Guards against a leaving mark that a late copy of an earlier entry undoes, after an outage in
+/// which the replica lost its entry.
 #[test]
 fn upsert_keeps_leaving() {
     let now = Instant::now();
--- a/crates/zinniahatch_route/tests/suspects.rs
+++ b/crates/zinniahatch_route/tests/suspects.rs
@@ -131,8 +131,8 @@
 }
 
 /// Guards against quarantine of streams that ran beside the crashing request: they were resumed
-/// with it on the next two replicas and have three crashes as well. As long as nothing tells them
-/// apart, neither is quarantined. The crashing request then crashes a replica without them, which
+/// with it on the next two replicas and have three crashes as well. As long as nothing distinguishes
+/// them, neither is quarantined. The crashing request then crashes a replica without them, which
 /// explains the first three.
 #[test]
 fn quarantine_spares_concurrent_requests() {
--- a/crates/zinniahatch_route/tests/work_sync.rs
+++ b/crates/zinniahatch_route/tests/work_sync.rs
@@ -162,16 +162,16 @@
     assert_eq!(taken.concat().len(), processes as usize);
 }
 
-/// An update with 64 reads exceeds the size of a datagram; it must still be sent, in a datagram of
-/// its own.
+/// An update with 64 cached prefixes exceeds the size of a datagram; it must still be sent, in a
+/// datagram of its own.
 #[test]
 fn batch_sends_large_update_alone() {
     let mut large = update(1, 1, Vec::new());
-    let read = CachedPrefix {
+    let prefix = CachedPrefix {
         replica: 1,
         parts: prompt(1, 1).parts,
     };
-    large.prefixes = vec![read; 64];
+    large.prefixes = vec![prefix; 64];
     let mut batch = WorkBatch::default();
     batch.add(large);
     batch.add(update(2, 1, vec![(1, work(1))]));
@@ -267,11 +267,11 @@
         self.number += 1;
         for sender in 0..NODES {
             let work = self.tables[sender].take_changed_work(now);
-            let reads = self.tables[sender].take_cached_prefixes();
+            let prefixes = self.tables[sender].take_cached_prefixes();
             for (receiver, table) in self.tables.iter_mut().enumerate() {
                 if receiver != sender {
                     table.apply_peer_work(sender as ShortTag, self.number, &work, now);
-                    table.apply_cached_prefixes(&reads, |_| u64::MAX);
+                    table.apply_cached_prefixes(&prefixes, |_| u64::MAX);
                 }
             }
         }
