--- a/crates/zinniahatch_lab/src/experiments/faults.rs
+++ b/crates/zinniahatch_lab/src/experiments/faults.rs
@@ -212,7 +212,7 @@
             cluster
                 .store_faults
                 .values()
-                .for_each(|switch| switch.lose_answers(3));
+                .for_each(|switch| switch.lose_responses(3));
             let switched = switch_preset(cluster, "peak").await;
             if let Err(problem) = switched {
                 println!("    {problem}");
@@ -237,7 +237,7 @@
             for (name, backend) in &cluster.backends {
                 if name.starts_with(cluster.plan.plain) {
                     backend.set_faults(BackendFaults {
-                        lose_answers: 5,
+                        lose_responses: 5,
                         ..BackendFaults::default()
                     });
                 }
--- a/crates/zinniahatch_lab/src/experiments/figures.rs
+++ b/crates/zinniahatch_lab/src/experiments/figures.rs
@@ -55,8 +55,8 @@
             final_sends.insert(send.operation, send);
         }
     }
-    let mut whole = new_histogram();
-    let mut first = new_histogram();
+    let mut durations = new_histogram();
+    let mut first_byte_delays = new_histogram();
     let mut away = 0;
     for send in final_sends.values() {
         figures.operations += 1;
@@ -65,11 +65,11 @@
                 figures.answered += 1;
                 away += usize::from(send.served != send.home);
                 figures.cost += send.cost;
-                whole.saturating_record(
+                durations.saturating_record(
                     send.ended.saturating_sub(send.scheduled).as_micros() as u64
                 );
                 if let Some(delay) = send.first_byte.filter(|_| &*send.service == stream_service) {
-                    first.saturating_record(delay.as_micros() as u64);
+                    first_byte_delays.saturating_record(delay.as_micros() as u64);
                 }
             }
             SendOutcome::Told(Execution::NotRun) => figures.refused += 1,
@@ -90,9 +90,9 @@
     } else {
         figures.cost / figures.answered as f64 * 1_000.0
     };
-    figures.p50_ms = millis(&whole, 0.5);
-    figures.p99_ms = millis(&whole, 0.99);
-    figures.first_p95_ms = millis(&first, 0.95);
+    figures.p50_ms = millis(&durations, 0.5);
+    figures.p99_ms = millis(&durations, 0.99);
+    figures.first_p95_ms = millis(&first_byte_delays, 0.95);
     figures
 }
 
--- a/crates/zinniahatch_lab/src/experiments/overhead.rs
+++ b/crates/zinniahatch_lab/src/experiments/overhead.rs
@@ -178,12 +178,12 @@
                 sender.clone(),
             );
             handle.spawn(async move {
-                let right = send_request(&client, &base, &key).await;
+                let succeeded = send_request(&client, &base, &key).await;
                 let mut results = results.lock().unwrap_or_else(PoisonError::into_inner);
                 results
                     .0
                     .saturating_record(due.elapsed().as_micros() as u64);
-                results.1 += usize::from(!right);
+                results.1 += usize::from(!succeeded);
                 let _ = sender.send(());
             });
         }
--- a/crates/zinniahatch_lab/src/experiments/spread.rs
+++ b/crates/zinniahatch_lab/src/experiments/spread.rs
@@ -85,7 +85,7 @@
             cluster
                 .store_faults
                 .values()
-                .for_each(|switch| switch.lose_answers(1));
+                .for_each(|switch| switch.lose_responses(1));
         }
         let preset = if number % 2 == 0 { "peak" } else { "ordinary" };
         let Ok(revision) = operator
--- a/crates/zinniahatch_lab/src/load/sender.rs
+++ b/crates/zinniahatch_lab/src/load/sender.rs
@@ -11,10 +11,10 @@
 use super::SendOutcome;
 use super::SendRecord;
 use super::Value;
-use super::answer_text;
 use super::json;
 use super::operation_mark;
-use super::plain_answer;
+use super::plain_response;
+use super::response_text;
 use reqwest::RequestBuilder;
 use std::error::Error;
 use std::sync::Arc;
@@ -182,14 +182,14 @@
             };
             return;
         }
-        let answer = match job.kind {
+        let parsed = match job.kind {
             OperationKind::Query => self.read_stream(job, response).await,
             OperationKind::Summary => self.read_chat(job, response).await,
             OperationKind::Lookup | OperationKind::Entry => self.read_plain(job, response).await,
         };
-        record.first_byte = answer.first_byte;
-        record.end = answer.end.unwrap_or(SendOutcome::CutOff);
-        record.tokens = answer.tokens;
+        record.first_byte = parsed.first_byte;
+        record.end = parsed.end.unwrap_or(SendOutcome::CutOff);
+        record.tokens = parsed.tokens;
         let away = record.served != record.home;
         let price = self
             .config
@@ -197,34 +197,34 @@
             .get(&record.service)
             .cloned()
             .unwrap_or_default();
-        record.cost = price.cost(answer.input, answer.cached, answer.tokens, away);
+        record.cost = price.cost(parsed.input, parsed.cached, parsed.tokens, away);
         if record.code == 0 {
             record.code = ResultCode::Answered.number();
         }
     }
 
     async fn read_stream(&self, job: &OperationJob, mut response: Response) -> ParsedResponse {
-        let mut answer = ParsedResponse::default();
+        let mut parsed = ParsedResponse::default();
         let mut bytes = Vec::new();
         loop {
             match response.chunk().await {
                 Ok(Some(chunk)) => {
-                    answer
+                    parsed
                         .first_byte
                         .get_or_insert(self.history.now().saturating_sub(job.scheduled));
                     bytes.extend_from_slice(&chunk);
                 }
                 Ok(None) => break,
-                Err(_) => return answer,
+                Err(_) => return parsed,
             }
         }
         let text = String::from_utf8_lossy(&bytes);
         if text.contains("event: error") {
-            return answer;
+            return parsed;
         }
         if !text.ends_with("data: [DONE]\n\n") {
-            answer.end = Some(SendOutcome::FalseEnd);
-            return answer;
+            parsed.end = Some(SendOutcome::FalseEnd);
+            return parsed;
         }
         let mut content = String::new();
         for line in text.lines().filter_map(|line| line.strip_prefix("data: ")) {
@@ -234,41 +234,41 @@
                     .as_str()
                     .unwrap_or_default(),
             );
-            answer.read_usage(&event);
+            parsed.read_usage(&event);
         }
-        answer.end = Some(SendOutcome::Whole {
-            right: content == answer_text(job.number, job.tokens),
+        parsed.end = Some(SendOutcome::Whole {
+            right: content == response_text(job.number, job.tokens),
         });
-        answer
+        parsed
     }
 
     async fn read_chat(&self, job: &OperationJob, response: Response) -> ParsedResponse {
-        let mut answer = ParsedResponse::default();
+        let mut parsed = ParsedResponse::default();
         let Ok(bytes) = response.bytes().await else {
-            return answer;
+            return parsed;
         };
-        answer.first_byte = Some(self.history.now().saturating_sub(job.scheduled));
+        parsed.first_byte = Some(self.history.now().saturating_sub(job.scheduled));
         let body: Value = serde_json::from_slice(&bytes).unwrap_or(Value::Null);
-        answer.read_usage(&body);
+        parsed.read_usage(&body);
         let content = body["choices"][0]["message"]["content"]
             .as_str()
             .unwrap_or_default();
-        answer.end = Some(SendOutcome::Whole {
-            right: content == answer_text(job.number, job.tokens),
+        parsed.end = Some(SendOutcome::Whole {
+            right: content == response_text(job.number, job.tokens),
         });
-        answer
+        parsed
     }
 
     async fn read_plain(&self, job: &OperationJob, response: Response) -> ParsedResponse {
-        let mut answer = ParsedResponse::default();
+        let mut parsed = ParsedResponse::default();
         let Ok(text) = response.text().await else {
-            return answer;
+            return parsed;
         };
-        answer.first_byte = Some(self.history.now().saturating_sub(job.scheduled));
-        answer.end = Some(SendOutcome::Whole {
-            right: text == plain_answer(job.number),
+        parsed.first_byte = Some(self.history.now().saturating_sub(job.scheduled));
+        parsed.end = Some(SendOutcome::Whole {
+            right: text == plain_response(job.number),
         });
-        answer
+        parsed
     }
 }
 
--- a/crates/zinniahatch_lab/src/site.rs
+++ b/crates/zinniahatch_lab/src/site.rs
@@ -1,7 +1,7 @@
 //! A small system on the users' platform: real daemons as processes, surrounded by test doubles.
 
-mod calls;
 mod desired;
+mod requests;
 
 use crate::cluster::daemon_path;
 use crate::cluster::free_addresses;
@@ -14,8 +14,8 @@
 use crate::test_doubles::replica::StreamShape;
 use crate::test_doubles::serve::FakeServer;
 use crate::test_doubles::store::FakeStore;
-pub use calls::SiteLoad;
 use desired::desired_state;
+pub use requests::SiteLoad;
 use reqwest::Client;
 use serde_json::Value;
 use std::fs::File;
@@ -491,8 +491,8 @@
         let url = format!("http://{}/readiness", self.entries[index].addresses[1]);
         let client = Client::new();
         wait_until("the entry VM is ready", async || {
-            let answer = client.get(&url).send().await;
-            answer.is_ok_and(|answer| answer.status().is_success())
+            let response = client.get(&url).send().await;
+            response.is_ok_and(|response| response.status().is_success())
         })
         .await;
     }
--- a/crates/zinniahatch_lab/src/site/calls.rs
+++ b/crates/zinniahatch_lab/src/site/requests.rs
@@ -44,27 +44,27 @@
         let mut ticks = interval(load.pause);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         let began = Instant::now();
-        let mut answers = Vec::new();
+        let mut responses = Vec::new();
         for number in 0.. {
             ticks.tick().await;
             if began.elapsed() >= time {
                 break;
             }
             let attempt = format!("{tag}-{node}-{number}");
-            let call = self.call_with_timeout(node, load.path, &attempt, load.timeout);
-            answers.extend(call.timeout(load.timeout).send().await);
+            let request = self.request_with_timeout(node, load.path, &attempt, load.timeout);
+            responses.extend(request.timeout(load.timeout).send().await);
         }
-        answers
+        responses
     }
 
     /// Queries an entry VM's directory for the addresses of a region.
     pub async fn resolve(&self, index: usize, region: &str) -> BTreeSet<Box<str>> {
         let address = &self.entries[index].addresses[3];
         let url = format!("http://{address}/resolve?name={HOST}&region={region}&zone={region}-a");
-        let Ok(answer) = Client::new().get(url).send().await else {
+        let Ok(response) = Client::new().get(url).send().await else {
             return BTreeSet::new();
         };
-        let body: serde_json::Value = answer.json().await.unwrap_or_default();
+        let body: serde_json::Value = response.json().await.unwrap_or_default();
         let list = body["addresses"].as_array().cloned().unwrap_or_default();
         list.iter()
             .filter_map(|address| address.as_str().map(Into::into))
@@ -72,12 +72,12 @@
     }
 
     /// Prepares a request to an entry VM with the default time of a caller.
-    pub fn call(&self, index: usize, path: &str, attempt: &str) -> RequestBuilder {
-        self.call_with_timeout(index, path, attempt, CALL_TIMEOUT)
+    pub fn request(&self, index: usize, path: &str, attempt: &str) -> RequestBuilder {
+        self.request_with_timeout(index, path, attempt, CALL_TIMEOUT)
     }
 
     /// Prepares a request to an entry VM whose caller says that it has the time `timeout`.
-    pub fn call_with_timeout(
+    pub fn request_with_timeout(
         &self,
         index: usize,
         path: &str,
--- a/crates/zinniahatch_lab/src/site_demo.rs
+++ b/crates/zinniahatch_lab/src/site_demo.rs
@@ -111,10 +111,10 @@
 
 /// Sends a request and reads the response to the end; returns `None` if the connection broke.
 async fn one_call(site: &SiteCluster, entry: usize, route: &str, attempt: &str) -> Option<u16> {
-    let call = site.call(entry, &format!("/{route}/x"), attempt);
-    let answer = call.send().await.ok()?;
-    let status = answer.status().as_u16();
-    answer.bytes().await.ok()?;
+    let request = site.request(entry, &format!("/{route}/x"), attempt);
+    let response = request.send().await.ok()?;
+    let status = response.status().as_u16();
+    response.bytes().await.ok()?;
     Some(status)
 }
 
--- a/crates/zinniahatch_lab/src/soak/callers.rs
+++ b/crates/zinniahatch_lab/src/soak/callers.rs
@@ -171,10 +171,10 @@
             .header("x-attempt-id", &attempt)
             .header("x-time-remaining", time_limit.as_millis().to_string());
         let answered = timeout(limit, async {
-            let answer = request.send().await?;
-            let head = (answer.status(), answer.headers().clone());
+            let response = request.send().await?;
+            let head = (response.status(), response.headers().clone());
             // A response whose body fails counts as no response.
-            let body = answer.bytes().await?;
+            let body = response.bytes().await?;
             Ok::<_, reqwest::Error>((head, body))
         })
         .await;
--- a/crates/zinniahatch_lab/src/soak/crashing_caller.rs
+++ b/crates/zinniahatch_lab/src/soak/crashing_caller.rs
@@ -55,8 +55,8 @@
                 site.replace_crashed().await;
                 let number = tries.fetch_add(1, Ordering::SeqCst);
                 let attempt = format!("fatal-after-{number}");
-                let answer = site.call(index, PATH, &attempt).send().await;
-                answer.is_ok_and(|answer| answer.status() == StatusCode::TOO_MANY_REQUESTS)
+                let response = site.request(index, PATH, &attempt).send().await;
+                response.is_ok_and(|response| response.status() == StatusCode::TOO_MANY_REQUESTS)
             })
             .await;
         }
@@ -93,14 +93,14 @@
     let client = Client::new();
     for number in 0_u32.. {
         let front = &fronts[random.random_range(0..fronts.len())];
-        let call = client
+        let request = client
             .get(format!("http://{front}{PATH}"))
             .header("host", HOST)
             .header("x-attempt-id", format!("fatal-{number}"))
             .header("x-time-remaining", "3000");
         // The caller repeats the request whatever the outcome.
-        if let Ok(answer) = call.send().await {
-            let _ = answer.bytes().await;
+        if let Ok(response) = request.send().await {
+            let _ = response.bytes().await;
         }
         sleep(Duration::from_millis(random.random_range(PAUSE_MS))).await;
     }
--- a/crates/zinniahatch_lab/src/soak/injector.rs
+++ b/crates/zinniahatch_lab/src/soak/injector.rs
@@ -172,7 +172,7 @@
                 let delay = Duration::from_millis(millis);
                 site.store_faults.set(ServiceMode::Slow(delay));
             }
-            SoakFault::StoreLosesAnswers(count) => site.store_faults.lose_answers(count),
+            SoakFault::StoreLosesAnswers(count) => site.store_faults.lose_responses(count),
             SoakFault::LeasesLapse => site.store.expire_leases(),
             SoakFault::HistoryGone => site.store.compact_history(),
             SoakFault::StoreReturns => self.backups.push(site.store.snapshot()),
--- a/crates/zinniahatch_lab/src/soak/invariants.rs
+++ b/crates/zinniahatch_lab/src/soak/invariants.rs
@@ -240,8 +240,8 @@
             wait_until("an entry VM serves after the faults", async || {
                 tries += 1;
                 let attempt = format!("after-{index}-{route}-{tries}");
-                let answer = site.call(index, &path, &attempt).send().await;
-                answer.is_ok_and(|answer| answer.status().is_success())
+                let response = site.request(index, &path, &attempt).send().await;
+                response.is_ok_and(|response| response.status().is_success())
             })
             .await;
         }
--- a/crates/zinniahatch_lab/src/soak/plan.rs
+++ b/crates/zinniahatch_lab/src/soak/plan.rs
@@ -169,7 +169,7 @@
 
 /// Which kinds of faults a seed draws.
 ///
-/// When all kinds are mixed, nearly every violation is excused by some other fault: a mutant that
+/// When all kinds are mixed, nearly every violation is exempted by some other fault: a mutant that
 /// sent to leaving replicas, and one whose stops did not wait, went undetected. Two mixes are
 /// therefore restricted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/zinniahatch_lab/src/test_doubles/backend.rs
+++ b/crates/zinniahatch_lab/src/test_doubles/backend.rs
@@ -22,7 +22,7 @@
     /// Streams break after this many tokens, except resumed ones.
     pub break_after: Option<u64>,
     /// Number of requests that run and whose connection breaks instead of a response.
-    pub lose_answers: u32,
+    pub lose_responses: u32,
     /// Requests are accepted and never answered.
     pub frozen: bool,
     /// Factor by which all processing is slowed; values up to 1 have no effect.
@@ -89,10 +89,10 @@
     }
 
     /// Returns whether to lose the next response, and counts it if so.
-    pub fn take_answer_loss(&self) -> bool {
+    pub fn take_response_loss(&self) -> bool {
         let mut faults = lock(&self.faults);
-        let lost = faults.lose_answers > 0;
-        faults.lose_answers = faults.lose_answers.saturating_sub(1);
+        let lost = faults.lose_responses > 0;
+        faults.lose_responses = faults.lose_responses.saturating_sub(1);
         lost
     }
 
--- a/crates/zinniahatch_lab/src/test_doubles/faults.rs
+++ b/crates/zinniahatch_lab/src/test_doubles/faults.rs
@@ -32,7 +32,7 @@
 #[derive(Debug, Default)]
 struct SwitchState {
     mode: ServiceMode,
-    lose_answers: u32,
+    lose_responses: u32,
 }
 
 /// What a handler does with a request.
@@ -53,8 +53,8 @@
     }
 
     /// Loses the responses to the next `count` writes, after they took effect.
-    pub fn lose_answers(&self, count: u32) {
-        self.lock().lose_answers = count;
+    pub fn lose_responses(&self, count: u32) {
+        self.lock().lose_responses = count;
     }
 
     /// Returns what to do with a request, after the delay of the current mode.
@@ -70,8 +70,8 @@
             ServiceMode::Slow(delay) => sleep(delay).await,
         }
         let mut state = self.lock();
-        if write && state.lose_answers > 0 {
-            state.lose_answers -= 1;
+        if write && state.lose_responses > 0 {
+            state.lose_responses -= 1;
             return FaultEffect::LoseAnswer;
         }
         FaultEffect::Answer
--- a/crates/zinniahatch_lab/src/test_doubles/plain.rs
+++ b/crates/zinniahatch_lab/src/test_doubles/plain.rs
@@ -7,7 +7,7 @@
 use crate::test_doubles::backend::set_header;
 use crate::test_doubles::serve::FakeServer;
 use crate::test_doubles::text::find_operation;
-use crate::test_doubles::text::plain_answer;
+use crate::test_doubles::text::plain_response;
 use salvo::Request;
 use salvo::Response;
 use salvo::Router;
@@ -70,11 +70,11 @@
             sleep(FROZEN_TIME).await;
         }
         sleep(self.1.mul_f64(faults.slow.max(1.0))).await;
-        if backend.take_answer_loss() {
+        if backend.take_response_loss() {
             return abort_response(response);
         }
         set_header(response, "x-request-id", &id);
         set_header(response, "content-type", "application/json");
-        let _ = response.write_body(plain_answer(operation));
+        let _ = response.write_body(plain_response(operation));
     }
 }
--- a/crates/zinniahatch_lab/src/test_doubles/replica.rs
+++ b/crates/zinniahatch_lab/src/test_doubles/replica.rs
@@ -241,14 +241,14 @@
     async fn run(self, mut stream: TcpStream) {
         let mut buffer = Vec::new();
         while let Some(request) = read_request(&mut stream, &mut buffer).await {
-            if !self.answer(&mut stream, &request).await {
+            if !self.respond(&mut stream, &request).await {
                 return;
             }
         }
     }
 
     /// Responds to a request; returns whether the connection stays open.
-    async fn answer(&self, stream: &mut TcpStream, request: &ReplicaRequest) -> bool {
+    async fn respond(&self, stream: &mut TcpStream, request: &ReplicaRequest) -> bool {
         lock(&self.state)
             .observations
             .limits
--- a/crates/zinniahatch_lab/src/test_doubles/text.rs
+++ b/crates/zinniahatch_lab/src/test_doubles/text.rs
@@ -23,14 +23,14 @@
 }
 
 /// Returns the complete text of the response to an operation.
-pub fn answer_text(operation: u64, tokens: u64) -> String {
+pub fn response_text(operation: u64, tokens: u64) -> String {
     (0..tokens)
         .map(|index| token_at(operation, index))
         .collect()
 }
 
 /// Returns the response of a plain service.
-pub fn plain_answer(operation: u64) -> String {
+pub fn plain_response(operation: u64) -> String {
     format!(
         "{{\"operation\":{operation},\"check\":\"{:x}\"}}",
         tag_of(&format!("plain/{operation}"))
--- a/crates/zinniahatch_lab/tests/accounts.rs
+++ b/crates/zinniahatch_lab/tests/accounts.rs
@@ -31,13 +31,13 @@
 }
 
 async fn send(site: &SiteCluster, node: usize, path: &str, attempt: &str, key: &str) -> Response {
-    let call = site.call(node, path, attempt);
-    let call = call.header("authorization", format!("Token {key}"));
-    call.send().await.expect("the node answers")
+    let request = site.request(node, path, attempt);
+    let request = request.header("authorization", format!("Token {key}"));
+    request.send().await.expect("the node answers")
 }
 
-fn result(answer: &Response) -> &str {
-    let code = answer.headers().get("x-zinnia-code");
+fn result(response: &Response) -> &str {
+    let code = response.headers().get("x-zinnia-code");
     code.and_then(|code| code.to_str().ok()).unwrap_or_default()
 }
 
@@ -65,12 +65,12 @@
     ];
     let site = SiteCluster::start_with_accounts(&regions, SHORT, &accounts).await;
     for (node, attempt) in [(0, "a0"), (1, "a1"), (2, "a2")] {
-        let call = site
-            .call(node, "/plain/x", attempt)
+        let request = site
+            .request(node, "/plain/x", attempt)
             .header("x-tenant", "other");
-        let call = call.header("authorization", "Token k2");
-        let answer = call.send().await.expect("the node answers");
-        assert_eq!(answer.status(), StatusCode::OK);
+        let request = request.header("authorization", "Token k2");
+        let response = request.send().await.expect("the node answers");
+        assert_eq!(response.status(), StatusCode::OK);
         assert_eq!(seen(&site, attempt), (Some("acme".into()), false));
     }
     for (replica, _) in &site.replicas {
@@ -96,13 +96,13 @@
     let accounts = json!([account("acme", &["k1"])]);
     let site =
         SiteCluster::start_with_accounts(&[SiteRegion::new("north", 1, 1)], SHORT, &accounts).await;
-    let mut call = site.call(0, "/once/x", "w");
+    let mut request = site.request(0, "/once/x", "w");
     if let Some(credential) = credential {
-        call = call.header("authorization", credential);
+        request = request.header("authorization", credential);
     }
-    let answer = call.send().await.expect("the node answers");
-    assert_eq!(answer.status(), StatusCode::UNAUTHORIZED);
-    assert_eq!(answer.headers()["x-zinnia-execution"], "not-run");
+    let response = request.send().await.expect("the node answers");
+    assert_eq!(response.status(), StatusCode::UNAUTHORIZED);
+    assert_eq!(response.headers()["x-zinnia-execution"], "not-run");
     assert_eq!(site.runs("w"), 0);
     assert_eq!(
         send(&site, 0, "/once/x", "r", "k1").await.status(),
@@ -124,17 +124,17 @@
     let site = SiteCluster::start_with_accounts(&regions, SHORT, &json!([homed])).await;
     for node in 0..2 {
         let attempt = format!("p{node}");
-        let answer = send(&site, node, "/plain/x", &attempt, "k1").await;
+        let response = send(&site, node, "/plain/x", &attempt, "k1").await;
         assert!(
-            answer
+            response
                 .text()
                 .await
                 .expect("the response is complete")
                 .ends_with("@i-south-0")
         );
-        let answer = send(&site, node, "/bound/x", "b", "k1").await;
-        assert_eq!(result(&answer), "213");
-        assert_eq!(answer.headers()["x-zinnia-execution"], "not-run");
+        let response = send(&site, node, "/bound/x", "b", "k1").await;
+        assert_eq!(result(&response), "213");
+        assert_eq!(response.headers()["x-zinnia-execution"], "not-run");
     }
     assert_eq!(site.runs("b"), 0);
     assert!(site.runs_outside("south").is_empty());
@@ -148,8 +148,8 @@
     let accounts = json!([account("acme", &["k1", "k2"])]);
     let site =
         SiteCluster::start_with_accounts(&[SiteRegion::new("north", 2, 2)], LONG, &accounts).await;
-    let answer = send(&site, 0, "/stream/x", "s", "k1").await;
-    assert_eq!(answer.status(), StatusCode::OK);
+    let response = send(&site, 0, "/stream/x", "s", "k1").await;
+    assert_eq!(response.status(), StatusCode::OK);
     site.configure_accounts(3, &json!([account("acme", &["k2"])]));
     wait_until("all nodes refuse the key", async || {
         let mut refused = true;
@@ -163,7 +163,7 @@
         site.link(index).reset_open();
     }
     // The caller can tell that the stream is truncated.
-    assert!(answer.text().await.is_err());
+    assert!(response.text().await.is_err());
     assert_eq!(site.runs("s"), 1);
     assert_eq!(
         send(&site, 1, "/plain/x", "k", "k2").await.status(),
@@ -189,12 +189,12 @@
         let mut refused = 0;
         for node in 0..3 {
             let at = since.elapsed();
-            let answer = send(&site, node, "/plain/x", "x", "k1").await;
-            if answer.status() == StatusCode::OK {
+            let response = send(&site, node, "/plain/x", "x", "k1").await;
+            if response.status() == StatusCode::OK {
                 last_served = at;
             } else {
-                assert_eq!(result(&answer), "229");
-                assert!(answer.headers().contains_key("retry-after"));
+                assert_eq!(result(&response), "229");
+                assert!(response.headers().contains_key("retry-after"));
                 refused += 1;
             }
         }
@@ -204,7 +204,7 @@
     assert!(last_served < REVOKE, "{last_served:?}");
     // A route that needs no key is still served.
     let open = site
-        .call(0, "/open/x", "o")
+        .request(0, "/open/x", "o")
         .send()
         .await
         .expect("the node answers");
@@ -232,8 +232,8 @@
     site.store_link("north").cut();
     let cut = Instant::now();
     wait_until("twice the bound has passed", async || {
-        let answer = send(&site, 0, "/plain/x", "x", "k2").await;
-        assert_eq!(answer.status(), StatusCode::OK, "{}", result(&answer));
+        let response = send(&site, 0, "/plain/x", "x", "k2").await;
+        assert_eq!(response.status(), StatusCode::OK, "{}", result(&response));
         cut.elapsed() > REVOKE * 2
     })
     .await;
@@ -242,8 +242,8 @@
     wait_until("the bound has passed", async || {
         let late = taken.elapsed() > REVOKE;
         for node in 0..2 {
-            let answer = send(&site, node, "/plain/x", "late", "k1").await;
-            assert!(!late || answer.status() != StatusCode::OK);
+            let response = send(&site, node, "/plain/x", "late", "k1").await;
+            assert!(!late || response.status() != StatusCode::OK);
         }
         taken.elapsed() > REVOKE + Duration::from_secs(1)
     })
@@ -271,8 +271,8 @@
     wait_until("the bound has passed", async || taken.elapsed() > REVOKE).await;
     let request = send(&site, 0, "/plain/x", "late", "k1");
     let wake = async { site.signal(0, "-CONT") };
-    let (answer, ()) = tokio::join!(request, wake);
-    assert_ne!(answer.status(), StatusCode::OK);
+    let (response, ()) = tokio::join!(request, wake);
+    assert_ne!(response.status(), StatusCode::OK);
     assert_eq!(site.runs("late"), 0);
     wait_until("the node serves the other key", async || {
         send(&site, 0, "/plain/x", "b", "k2").await.status() == StatusCode::OK
@@ -301,16 +301,16 @@
     let mut retry = None;
     for number in 0..300 {
         let attempt = format!("q{number}");
-        let answer = send(&site, number % 5, "/plain/x", &attempt, "k1").await;
-        if answer.status() == StatusCode::OK {
+        let response = send(&site, number % 5, "/plain/x", &attempt, "k1").await;
+        if response.status() == StatusCode::OK {
             passed += 1;
             continue;
         }
-        assert_eq!(answer.status(), StatusCode::TOO_MANY_REQUESTS);
-        assert_eq!(result(&answer), "231");
-        assert_eq!(answer.headers()["x-zinnia-execution"], "not-run");
+        assert_eq!(response.status(), StatusCode::TOO_MANY_REQUESTS);
+        assert_eq!(result(&response), "231");
+        assert_eq!(response.headers()["x-zinnia-execution"], "not-run");
         assert_eq!(site.runs(&attempt), 0);
-        let after = answer.headers()["retry-after"]
+        let after = response.headers()["retry-after"]
             .to_str()
             .expect("the header is text");
         retry = Some(after.parse::<f64>().expect("the header is a number"));
--- a/crates/zinniahatch_lab/tests/cold_replica.rs
+++ b/crates/zinniahatch_lab/tests/cold_replica.rs
@@ -25,8 +25,8 @@
     let replica = &site.replicas[0].0;
     replica.set_behaviour(ReplicaBehaviour::Mute);
     let calls = (0..NODES).map(|node| {
-        let call = site.call(node, "/once/look", &format!("look-{node}"));
-        call.send()
+        let request = site.request(node, "/once/look", &format!("look-{node}"));
+        request.send()
     });
     let measured = async {
         for node in 0..NODES {
--- a/crates/zinniahatch_lab/tests/crashing_request.rs
+++ b/crates/zinniahatch_lab/tests/crashing_request.rs
@@ -32,17 +32,17 @@
     wait_until("the node serves", async || {
         tries += 1;
         let attempt = format!("{tag}-{node}-{tries}");
-        let answer = site.call(node, "/plain/look", &attempt).send().await;
-        answer.is_ok_and(|answer| answer.status().is_success())
+        let response = site.request(node, "/plain/look", &attempt).send().await;
+        response.is_ok_and(|response| response.status().is_success())
     })
     .await;
 }
 
 /// Sends a request and returns the status of a complete response.
 async fn send(site: &SiteCluster, node: usize, path: &str, attempt: &str) -> Option<StatusCode> {
-    let answer = site.call(node, path, attempt).send().await.ok()?;
-    let status = answer.status();
-    answer.bytes().await.ok()?;
+    let response = site.request(node, path, attempt).send().await.ok()?;
+    let status = response.status();
+    response.bytes().await.ok()?;
     Some(status)
 }
 
@@ -123,15 +123,15 @@
 async fn check_quarantined(site: &SiteCluster, node: usize, content: &RequestContent) {
     let before = site.crashing_requests.crashes(content);
     let attempt = format!("held-{node}");
-    let answer = site
-        .call(node, &content.path, &attempt)
+    let response = site
+        .request(node, &content.path, &attempt)
         .send()
         .await
         .unwrap();
-    assert_eq!(answer.status(), StatusCode::TOO_MANY_REQUESTS);
-    assert_eq!(answer.headers()["x-zinnia-code"], "228");
-    assert_eq!(answer.headers()["x-zinnia-execution"], "not-run");
-    let after = answer.headers()["retry-after"].to_str().unwrap();
+    assert_eq!(response.status(), StatusCode::TOO_MANY_REQUESTS);
+    assert_eq!(response.headers()["x-zinnia-code"], "228");
+    assert_eq!(response.headers()["x-zinnia-execution"], "not-run");
+    let after = response.headers()["retry-after"].to_str().unwrap();
     let seconds: f64 = after.parse().unwrap();
     assert!(
         seconds > 60.0,
@@ -182,7 +182,7 @@
     wait_quarantined(&site, SLEEPER, 0).await;
     check_quarantined(&site, SLEEPER, &crashing).await;
     let other = site
-        .call(SLEEPER, "/stream/other", "other")
+        .request(SLEEPER, "/stream/other", "other")
         .send()
         .await
         .unwrap();
@@ -244,13 +244,13 @@
     let mut site = start_site().await;
     let crashing = RequestContent::from_path("/stream/same");
     provoke_quarantine(&mut site, &crashing, &[0, 2, 4]).await;
-    let call = site.call(0, "/stream/same", "other-caller");
-    let answer = call
+    let request = site.request(0, "/stream/same", "other-caller");
+    let response = request
         .header("authorization", "Token other")
         .send()
         .await
         .unwrap();
-    assert_eq!(answer.status(), StatusCode::OK);
+    assert_eq!(response.status(), StatusCode::OK);
     check_quarantined(&site, 0, &crashing).await;
 }
 
--- a/crates/zinniahatch_lab/tests/kept_connections.rs
+++ b/crates/zinniahatch_lab/tests/kept_connections.rs
@@ -27,8 +27,8 @@
     stream
         .write_all(b"GET /healthz HTTP/1.1\r\nhost: node\r\n\r\n")
         .expect("the request is written");
-    let mut answer = [0; 1_024];
-    stream.read(&mut answer).expect("the node answers")
+    let mut response = [0; 1_024];
+    stream.read(&mut response).expect("the node answers")
 }
 
 /// Guards against a request that gets no response because the entry VM closes the idle connection
--- a/crates/zinniahatch_lab/tests/keyed_counts.rs
+++ b/crates/zinniahatch_lab/tests/keyed_counts.rs
@@ -36,8 +36,8 @@
         .get(format!("http://{}/v1/entries", cluster.nodes[node].http))
         .query(&[("keys", 1)])
         .bearer_auth(KEY);
-    let answer = request.send().await.expect("the node answers");
-    let body: Value = answer.json().await.expect("the answer is JSON");
+    let response = request.send().await.expect("the node answers");
+    let body: Value = response.json().await.expect("the response is JSON");
     body["keys"][0]
         .as_str()
         .expect("the response holds a key")
@@ -88,8 +88,8 @@
     let mut cluster = start().await;
     let key = take_key(&cluster, OWNER).await;
     cluster.freeze(OWNER, true);
-    let answer = send_entry(&cluster, SENDER, &key, SILENT_DEADLINE_MS).await;
-    assert_eq!(code_of(&answer), ResultCode::OutcomeUnknown.number());
+    let response = send_entry(&cluster, SENDER, &key, SILENT_DEADLINE_MS).await;
+    assert_eq!(code_of(&response), ResultCode::OutcomeUnknown.number());
     if dies {
         cluster.kill(OWNER);
     } else {
@@ -104,8 +104,8 @@
 async fn request_to_owner_is_counted_once() {
     let cluster = start().await;
     let key = take_key(&cluster, OWNER).await;
-    let answer = send_entry(&cluster, SENDER, &key, ANSWERED_DEADLINE_MS).await;
-    assert_eq!(code_of(&answer), ResultCode::Answered.number());
+    let response = send_entry(&cluster, SENDER, &key, ANSWERED_DEADLINE_MS).await;
+    assert_eq!(code_of(&response), ResultCode::Answered.number());
     let again = send_entry(&cluster, SENDER, &key, ANSWERED_DEADLINE_MS).await;
     assert_eq!(code_of(&again), ResultCode::AnsweredEarlier.number());
     let mut results = counted_results(&cluster).await;
--- a/crates/zinniahatch_lab/tests/keyed_deadline.rs
+++ b/crates/zinniahatch_lab/tests/keyed_deadline.rs
@@ -36,8 +36,8 @@
         .get(format!("{base}/v1/entries"))
         .query(&[("keys", FILLING + WAITING)])
         .bearer_auth(KEY);
-    let answer = request.send().await.expect("the node answers");
-    let body: Value = answer.json().await.expect("the answer is JSON");
+    let response = request.send().await.expect("the node answers");
+    let body: Value = response.json().await.expect("the response is JSON");
     let keys = body["keys"].as_array().expect("the response lists keys");
     keys.iter()
         .filter_map(|key| key.as_str().map(str::to_owned))
@@ -58,8 +58,8 @@
         .header("idempotency-key", key)
         .header("x-zinnia-deadline-ms", deadline)
         .body("entry");
-    let answer = request.send().await.expect("the node answers");
-    let header = answer.headers().get("x-zinnia-code");
+    let response = request.send().await.expect("the node answers");
+    let header = response.headers().get("x-zinnia-code");
     let text = header.and_then(|value| value.to_str().ok());
     let code = text.and_then(|text| text.parse().ok());
     (operation, code.unwrap_or(0))
--- a/crates/zinniahatch_lab/tests/one_node.rs
+++ b/crates/zinniahatch_lab/tests/one_node.rs
@@ -89,12 +89,12 @@
         .to_owned();
     let second = entry(&cluster, Some(&key), "operation=1;").await;
     assert_eq!(code(&second), ResultCode::Answered.number());
-    let answer = second.text().await.expect("the response is complete");
+    let response = second.text().await.expect("the response is complete");
     let third = entry(&cluster, Some(&key), "operation=1;").await;
     assert_eq!(code(&third), ResultCode::AnsweredEarlier.number());
     assert_eq!(
         third.text().await.expect("the response is complete"),
-        answer
+        response
     );
     assert_eq!(
         code(&entry(&cluster, Some(&key), "operation=2;").await),
@@ -108,7 +108,7 @@
         .expect("the node answers");
     assert_eq!(
         collected.text().await.expect("the response is complete"),
-        answer
+        response
     );
     let other = Client::new()
         .get(format!("{}/v1/answers/{key}", base(&cluster)))
@@ -233,9 +233,9 @@
             "GET /s/coldbook/x HTTP/1.1\r\nhost: x\r\nauthorization: Bearer {KEY}\r\ncontent-length: 10\r\n\r\nab"
         );
         stream.write_all(head.as_bytes()).expect("the head is sent");
-        let mut answer = [0_u8; 12];
-        stream.read_exact(&mut answer).expect("the node answers");
-        String::from_utf8_lossy(&answer).into_owned()
+        let mut response = [0_u8; 12];
+        stream.read_exact(&mut response).expect("the node answers");
+        String::from_utf8_lossy(&response).into_owned()
     });
     assert_eq!(
         status.await.expect("the caller does not panic"),
--- a/crates/zinniahatch_lab/tests/operators.rs
+++ b/crates/zinniahatch_lab/tests/operators.rs
@@ -62,8 +62,8 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn explain_tells_a_request_from_logs() {
     let site = site().await;
-    let answer = site.call(0, "/plain/x", "told-1").send().await.unwrap();
-    assert!(answer.status().is_success());
+    let response = site.request(0, "/plain/x", "told-1").send().await.unwrap();
+    assert!(response.status().is_success());
     let path = site.log_path(0).display().to_string();
     wait_until("the response is logged", async || {
         site.log(0).contains("told-1") && site.log(0).contains("answered")
@@ -83,14 +83,14 @@
     let site = site().await;
     for number in 0..3 {
         let attempt = format!("counted-{number}");
-        let answer = site.call(0, "/plain/x", &attempt).send().await.unwrap();
-        assert!(answer.status().is_success());
+        let response = site.request(0, "/plain/x", &attempt).send().await.unwrap();
+        assert!(response.status().is_success());
     }
     for (replica, _) in &site.replicas {
         replica.set_behaviour(ReplicaBehaviour::Shed);
     }
     let refused = site
-        .call(0, "/plain/x", "counted-not")
+        .request(0, "/plain/x", "counted-not")
         .send()
         .await
         .unwrap();
--- a/crates/zinniahatch_lab/tests/replica_limit.rs
+++ b/crates/zinniahatch_lab/tests/replica_limit.rs
@@ -48,10 +48,12 @@
 async fn limited_replica_is_sent_no_more() {
     let site = SiteCluster::start(&[SiteRegion::new("north", 3, 2)], SHAPE).await;
     site.replicas[0].0.set_rate_limit(Some(1.0));
-    let answers = load(&site, "/plain/look", "look", TIME).await;
+    let responses = load(&site, "/plain/look", "look", TIME).await;
     check_limits(&site);
-    let served = answers.iter().filter(|answer| answer.status().is_success());
-    assert_eq!(served.count(), answers.len());
+    let served = responses
+        .iter()
+        .filter(|response| response.status().is_success());
+    assert_eq!(served.count(), responses.len());
 }
 
 /// Guards against a path on which requests bypass the limit of a replica: retried, resumed, or
@@ -129,16 +131,18 @@
     for (replica, _) in &site.replicas {
         replica.set_rate_limit(Some(2.0));
     }
-    let answers = load(&site, "/plain/look", "look", TIME).await;
+    let responses = load(&site, "/plain/look", "look", TIME).await;
     check_limits(&site);
-    let served = answers.iter().filter(|answer| answer.status().is_success());
+    let served = responses
+        .iter()
+        .filter(|response| response.status().is_success());
     assert!(served.count() > 0);
-    for answer in answers
+    for response in responses
         .iter()
-        .filter(|answer| !answer.status().is_success())
+        .filter(|response| !response.status().is_success())
     {
-        assert_eq!(answer.status(), StatusCode::SERVICE_UNAVAILABLE);
-        let header = |name: &str| answer.headers()[name].to_str().unwrap().to_owned();
+        assert_eq!(response.status(), StatusCode::SERVICE_UNAVAILABLE);
+        let header = |name: &str| response.headers()[name].to_str().unwrap().to_owned();
         assert_eq!(header("x-zinnia-code"), "232");
         assert_eq!(header("x-zinnia-execution"), "not-run");
         let after: f64 = header("retry-after").parse().unwrap();
--- a/crates/zinniahatch_lab/tests/replica_notices.rs
+++ b/crates/zinniahatch_lab/tests/replica_notices.rs
@@ -124,29 +124,31 @@
         replica.set_behaviour(ReplicaBehaviour::Shed);
     }
     let backoff: f64 = BACKOFF_SECONDS.parse().unwrap();
-    let answers = load(&site, "/plain/look", "look", TIME / 2).await;
+    let responses = load(&site, "/plain/look", "look", TIME / 2).await;
     let mut refused = 0;
-    for answer in &answers {
-        assert_eq!(answer.status(), StatusCode::SERVICE_UNAVAILABLE);
-        assert_eq!(header(answer, "x-zinnia-execution"), "not-run");
-        if header(answer, "x-zinnia-code") != "233" {
+    for response in &responses {
+        assert_eq!(response.status(), StatusCode::SERVICE_UNAVAILABLE);
+        assert_eq!(header(response, "x-zinnia-execution"), "not-run");
+        if header(response, "x-zinnia-code") != "233" {
             continue;
         }
         refused += 1;
-        let after: f64 = header(answer, "retry-after").parse().unwrap();
+        let after: f64 = header(response, "retry-after").parse().unwrap();
         assert!(after > 0.0 && after < backoff + 3.0, "{after}");
     }
     assert!(
-        refused > answers.len() / 2,
+        refused > responses.len() / 2,
         "{refused} of {}",
-        answers.len()
+        responses.len()
     );
     for (replica, _) in &site.replicas {
         replica.set_behaviour(ReplicaBehaviour::Serve);
     }
     wait_until("the replicas serve again", async || {
-        let answers = load(&site, "/plain/look", "back", PAUSE * 10).await;
-        answers.iter().all(|answer| answer.status().is_success())
+        let responses = load(&site, "/plain/look", "back", PAUSE * 10).await;
+        responses
+            .iter()
+            .all(|response| response.status().is_success())
     })
     .await;
 }
@@ -159,10 +161,10 @@
         replica.announce_leaving();
     }
     wait_until("the replicas are known to be leaving", async || {
-        let answers = load(&site, "/plain/look", "look", PAUSE * 10).await;
-        answers
+        let responses = load(&site, "/plain/look", "look", PAUSE * 10).await;
+        responses
             .iter()
-            .all(|answer| header(answer, "x-zinnia-code") == "234")
+            .all(|response| header(response, "x-zinnia-code") == "234")
     })
     .await;
 }
@@ -182,7 +184,7 @@
     assert_eq!(lines.count(), 1);
 }
 
-fn header<'a>(answer: &'a Response, name: &str) -> &'a str {
-    let value = answer.headers().get(name);
+fn header<'a>(response: &'a Response, name: &str) -> &'a str {
+    let value = response.headers().get(name);
     value.map_or("", |value| value.to_str().unwrap())
 }
--- a/crates/zinniahatch_lab/tests/site.rs
+++ b/crates/zinniahatch_lab/tests/site.rs
@@ -47,18 +47,26 @@
     .await;
     for index in 0..3 {
         let attempt = format!("plain-{index}");
-        let answer = site.call(index, "/plain/x", &attempt).send().await.unwrap();
-        assert_eq!(answer.status(), StatusCode::OK);
-        assert!(answer.headers().contains_key("x-server-seal"));
-        assert_eq!(answer.headers()["x-attempt-id"], attempt.as_str());
-        assert!(answer.text().await.unwrap().starts_with(&attempt));
+        let response = site
+            .request(index, "/plain/x", &attempt)
+            .send()
+            .await
+            .unwrap();
+        assert_eq!(response.status(), StatusCode::OK);
+        assert!(response.headers().contains_key("x-server-seal"));
+        assert_eq!(response.headers()["x-attempt-id"], attempt.as_str());
+        assert!(response.text().await.unwrap().starts_with(&attempt));
         assert_eq!(site.runs(&attempt), 1);
         let stream = format!("stream-{index}");
-        let answer = site.call(index, "/stream/x", &stream).send().await.unwrap();
-        let ids = event_ids(&answer.text().await.unwrap());
+        let response = site
+            .request(index, "/stream/x", &stream)
+            .send()
+            .await
+            .unwrap();
+        let ids = event_ids(&response.text().await.unwrap());
         assert_eq!(ids, (1..=12).collect::<Vec<u32>>());
     }
-    let unknown = site.call(0, "/nowhere/x", "u").send().await.unwrap();
+    let unknown = site.request(0, "/nowhere/x", "u").send().await.unwrap();
     assert_eq!(unknown.status(), StatusCode::NOT_FOUND);
     assert!(!unknown.headers().contains_key("x-server-seal"));
     let metrics = format!("http://{}/metrics", site.entries[0].addresses[2]);
@@ -99,16 +107,20 @@
         SHORT,
     )
     .await;
-    let answer = site.call(1, "/plain/x", "a1").send().await.unwrap();
-    assert_eq!(answer.status(), StatusCode::OK);
+    let response = site.request(1, "/plain/x", "a1").send().await.unwrap();
+    assert_eq!(response.status(), StatusCode::OK);
     assert_eq!(site.runs("a1"), 1);
     for index in 0..3 {
         let attempt = format!("bound-{index}");
-        let answer = site.call(index, "/bound/x", &attempt).send().await.unwrap();
-        assert_eq!(answer.status(), StatusCode::OK);
-        assert!(answer.text().await.unwrap().ends_with("@i-north-0"));
+        let response = site
+            .request(index, "/bound/x", &attempt)
+            .send()
+            .await
+            .unwrap();
+        assert_eq!(response.status(), StatusCode::OK);
+        assert!(response.text().await.unwrap().ends_with("@i-north-0"));
     }
-    let streamed = site.call(1, "/stream/x", "s1").send().await.unwrap();
+    let streamed = site.request(1, "/stream/x", "s1").send().await.unwrap();
     assert_eq!(event_ids(&streamed.text().await.unwrap()).len(), 12);
 }
 
@@ -130,8 +142,8 @@
     for number in 0..CALLS {
         let attempt = format!("f{number}");
         // The request may be refused or served; the test checks how often it was sent.
-        let answer = site.call(0, "/plain/x", &attempt).send().await.unwrap();
-        assert_ne!(answer.status(), StatusCode::BAD_GATEWAY);
+        let response = site.request(0, "/plain/x", &attempt).send().await.unwrap();
+        assert_ne!(response.status(), StatusCode::BAD_GATEWAY);
     }
     let observations = site.replicas[0].0.observations();
     let arrivals = observations.misdirected + observations.runs.values().sum::<u32>();
@@ -157,8 +169,8 @@
     }
     for number in 0..4 {
         let attempt = format!("h{number}");
-        let answer = site.call(2, "/plain/x", &attempt).send().await.unwrap();
-        assert_eq!(answer.status(), StatusCode::INTERNAL_SERVER_ERROR);
+        let response = site.request(2, "/plain/x", &attempt).send().await.unwrap();
+        assert_eq!(response.status(), StatusCode::INTERNAL_SERVER_ERROR);
         let runs = site.runs(&attempt);
         assert!((1..=2).contains(&runs), "{runs} runs of 2");
     }
@@ -177,10 +189,10 @@
     )
     .await;
     for index in 0..2 {
-        let answer = site.call(index, "/bound/x", "b1").send().await.unwrap();
-        assert_eq!(answer.status(), StatusCode::SERVICE_UNAVAILABLE);
-        assert!(answer.headers().contains_key("retry-after"));
-        assert_eq!(answer.headers()["x-zinnia-execution"], "not-run");
+        let response = site.request(index, "/bound/x", "b1").send().await.unwrap();
+        assert_eq!(response.status(), StatusCode::SERVICE_UNAVAILABLE);
+        assert!(response.headers().contains_key("retry-after"));
+        assert_eq!(response.headers()["x-zinnia-execution"], "not-run");
     }
     assert_eq!(site.runs("b1"), 0);
 }
@@ -198,8 +210,8 @@
         let (broken, _) = &site.replicas[number % 2];
         broken.set_behaviour(ReplicaBehaviour::BreakAfter(5));
         let attempt = format!("s{number}");
-        let answer = site.call(0, "/stream/x", &attempt).send().await.unwrap();
-        let ids = event_ids(&answer.text().await.unwrap());
+        let response = site.request(0, "/stream/x", &attempt).send().await.unwrap();
+        let ids = event_ids(&response.text().await.unwrap());
         assert_eq!(ids, (1..=12).collect::<Vec<u32>>());
         resumed += u32::from(site.runs(&attempt) == 2);
     }
@@ -217,9 +229,9 @@
     }
     for number in 0..5 {
         let attempt = format!("o{number}");
-        let answer = site.call(0, "/once/x", &attempt).send().await.unwrap();
-        assert_eq!(answer.status(), StatusCode::BAD_GATEWAY);
-        assert!(!answer.headers().contains_key("x-server-seal"));
+        let response = site.request(0, "/once/x", &attempt).send().await.unwrap();
+        assert_eq!(response.status(), StatusCode::BAD_GATEWAY);
+        assert!(!response.headers().contains_key("x-server-seal"));
         assert_eq!(site.runs(&attempt), 1);
     }
 }
@@ -231,10 +243,10 @@
     let site = SiteCluster::start(&[SiteRegion::new("north", 1, 1)], SHORT).await;
     site.replicas[0].0.set_behaviour(ReplicaBehaviour::Mute);
     let time_limit = Duration::from_millis(400);
-    let call = site.call_with_timeout(0, "/once/x", "q1", time_limit);
-    let answer = call.send().await.unwrap();
-    assert_eq!(answer.status(), StatusCode::GATEWAY_TIMEOUT);
-    assert_eq!(answer.headers()["x-zinnia-execution"], "unknown");
+    let request = site.request_with_timeout(0, "/once/x", "q1", time_limit);
+    let response = request.send().await.unwrap();
+    assert_eq!(response.status(), StatusCode::GATEWAY_TIMEOUT);
+    assert_eq!(response.headers()["x-zinnia-execution"], "unknown");
 }
 
 /// Guards against losing the refusal of a full replica: it does not run the request, and the caller
@@ -243,9 +255,9 @@
 async fn refusal_of_a_full_replica_is_passed_on() {
     let site = SiteCluster::start(&[SiteRegion::new("north", 1, 1)], SHORT).await;
     site.replicas[0].0.set_behaviour(ReplicaBehaviour::Shed);
-    let answer = site.call(0, "/once/x", "f1").send().await.unwrap();
-    assert_eq!(answer.status(), StatusCode::SERVICE_UNAVAILABLE);
-    assert!(answer.headers().contains_key("retry-after"));
+    let response = site.request(0, "/once/x", "f1").send().await.unwrap();
+    assert_eq!(response.status(), StatusCode::SERVICE_UNAVAILABLE);
+    assert!(response.headers().contains_key("retry-after"));
     assert_eq!(site.runs("f1"), 0);
 }
 
@@ -258,13 +270,13 @@
     site.replicas[0].0.set_behaviour(ReplicaBehaviour::Fail);
     for number in 0..6 {
         let attempt = format!("r{number}");
-        let answer = site.call(0, "/plain/x", &attempt).send().await.unwrap();
-        assert_eq!(answer.status(), StatusCode::OK);
+        let response = site.request(0, "/plain/x", &attempt).send().await.unwrap();
+        assert_eq!(response.status(), StatusCode::OK);
     }
     site.replicas[1].0.set_behaviour(ReplicaBehaviour::Fail);
-    let answer = site.call(0, "/plain/x", "r9").send().await.unwrap();
-    assert_eq!(answer.status(), StatusCode::INTERNAL_SERVER_ERROR);
-    assert!(answer.headers().contains_key("x-server-seal"));
+    let response = site.request(0, "/plain/x", "r9").send().await.unwrap();
+    assert_eq!(response.status(), StatusCode::INTERNAL_SERVER_ERROR);
+    assert!(response.headers().contains_key("x-server-seal"));
 }
 
 /// Guards against a replica that keeps generating after its caller has disconnected in the middle
@@ -272,9 +284,9 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn cancel_when_the_caller_leaves() {
     let site = SiteCluster::start(&[SiteRegion::new("north", 1, 1)], LONG).await;
-    let mut answer = site.call(0, "/stream/x", "c1").send().await.unwrap();
-    assert!(answer.chunk().await.unwrap().is_some());
-    drop(answer);
+    let mut response = site.request(0, "/stream/x", "c1").send().await.unwrap();
+    assert!(response.chunk().await.unwrap().is_some());
+    drop(response);
     wait_until("the replica sees the disconnect", async || {
         site.replicas[0].0.observations().closed_early == 1
     })
@@ -286,15 +298,15 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn planned_stop_cuts_off_nothing() {
     let mut site = SiteCluster::start(&[SiteRegion::new("north", 2, 1)], LONG).await;
-    let mut answer = site.call(0, "/stream/x", "t1").send().await.unwrap();
-    let mut text = answer.chunk().await.unwrap().unwrap_or_default().to_vec();
+    let mut response = site.request(0, "/stream/x", "t1").send().await.unwrap();
+    let mut text = response.chunk().await.unwrap().unwrap_or_default().to_vec();
     site.terminate(0);
     let front = site.entries[0].addresses[0].clone();
     wait_until("the directory no longer lists the node", async || {
         !site.resolve(1, "north").await.contains(&front)
     })
     .await;
-    while let Some(chunk) = answer.chunk().await.unwrap() {
+    while let Some(chunk) = response.chunk().await.unwrap() {
         text.extend_from_slice(&chunk);
     }
     let ids = event_ids(&String::from_utf8(text).unwrap());
@@ -313,10 +325,10 @@
     site.spawn(0);
     wait_until(
         "the node serves with the state of its peer",
-        async || match site.call(0, "/plain/x", "d1").send().await {
-            Ok(answer) => {
-                assert_ne!(answer.status(), StatusCode::NOT_FOUND);
-                answer.status() == StatusCode::OK
+        async || match site.request(0, "/plain/x", "d1").send().await {
+            Ok(response) => {
+                assert_ne!(response.status(), StatusCode::NOT_FOUND);
+                response.status() == StatusCode::OK
             }
             Err(_) => false,
         },
@@ -336,8 +348,8 @@
     .await;
     for number in 0..20 {
         let attempt = format!("w{number}");
-        let answer = site.call(0, "/plain/x", &attempt).send().await.unwrap();
-        assert_eq!(answer.status(), StatusCode::OK);
+        let response = site.request(0, "/plain/x", &attempt).send().await.unwrap();
+        assert_eq!(response.status(), StatusCode::OK);
     }
     site.store_faults.set(ServiceMode::Up);
     wait_until("the node detects the end of the outage", async || {
@@ -358,8 +370,8 @@
     let before = site.replicas[0].0.observations().runs.len();
     for number in 0..20 {
         let attempt = format!("l{number}");
-        let answer = site.call(0, "/plain/x", &attempt).send().await.unwrap();
-        assert_eq!(answer.status(), StatusCode::OK);
+        let response = site.request(0, "/plain/x", &attempt).send().await.unwrap();
+        assert_eq!(response.status(), StatusCode::OK);
     }
     assert_eq!(site.replicas[0].0.observations().runs.len(), before);
 }
@@ -373,17 +385,17 @@
     site.store.compact_history();
     for index in 0..2 {
         wait_until("the new route is in force", async || {
-            let answer = site.call(index, "/fresh/x", "n1").send().await.unwrap();
-            answer.status() == StatusCode::OK
+            let response = site.request(index, "/fresh/x", "n1").send().await.unwrap();
+            response.status() == StatusCode::OK
         })
         .await;
     }
     site.configure(4, &[]);
     site.configure(6, &["fresh", "newer"]);
     wait_until("the next version is in force", async || {
-        let old = site.call(0, "/fresh/x", "n2").send().await.unwrap();
+        let old = site.request(0, "/fresh/x", "n2").send().await.unwrap();
         assert_eq!(old.status(), StatusCode::OK, "no older version is applied");
-        let new = site.call(0, "/newer/x", "n3").send().await.unwrap();
+        let new = site.request(0, "/newer/x", "n3").send().await.unwrap();
         new.status() == StatusCode::OK
     })
     .await;
@@ -401,8 +413,8 @@
         site.log(0).matches("value-rejected").count() >= 2
     })
     .await;
-    let answer = site.call(0, "/plain/x", "k1").send().await.unwrap();
-    assert_eq!(answer.status(), StatusCode::OK);
+    let response = site.request(0, "/plain/x", "k1").send().await.unwrap();
+    assert_eq!(response.status(), StatusCode::OK);
 }
 
 /// Guards against usage counts missing from reports. The counts of nodes that stop as planned are
@@ -413,8 +425,12 @@
     for number in 0..10 {
         let index = number % 2;
         let attempt = format!("m{number}");
-        let answer = site.call(index, "/plain/x", &attempt).send().await.unwrap();
-        assert_eq!(answer.status(), StatusCode::OK);
+        let response = site
+            .request(index, "/plain/x", &attempt)
+            .send()
+            .await
+            .unwrap();
+        assert_eq!(response.status(), StatusCode::OK);
     }
     for index in 0..2 {
         site.terminate(index);
@@ -452,8 +468,8 @@
         .await
         .unwrap();
     assert_eq!(large.status(), StatusCode::PAYLOAD_TOO_LARGE);
-    let answer = site.call(0, "/plain/x", "g1").send().await.unwrap();
-    assert_eq!(answer.status(), StatusCode::OK);
+    let response = site.request(0, "/plain/x", "g1").send().await.unwrap();
+    assert_eq!(response.status(), StatusCode::OK);
 }
 
 /// Guards against refusing the first caller of a node that has just started and still reads the
@@ -470,13 +486,13 @@
         site.kill(0);
         site.spawn(0);
         let attempt = format!("early-{start}");
-        let mut answer = None;
+        let mut response = None;
         wait_until("the node listens", async || {
-            answer = site.call(0, "/plain/x", &attempt).send().await.ok();
-            answer.is_some()
+            response = site.request(0, "/plain/x", &attempt).send().await.ok();
+            response.is_some()
         })
         .await;
-        let status = answer.map(|answer| answer.status());
+        let status = response.map(|response| response.status());
         served += usize::from(status == Some(StatusCode::OK));
     }
     assert!(served > 0, "every first caller was refused");
@@ -487,8 +503,8 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn reload_without_a_change_has_no_effect() {
     let site = SiteCluster::start(&[SiteRegion::new("north", 1, 1)], LONG).await;
-    let mut answer = site.call(0, "/stream/x", "h1").send().await.unwrap();
-    let mut text = answer.chunk().await.unwrap().unwrap_or_default().to_vec();
+    let mut response = site.request(0, "/stream/x", "h1").send().await.unwrap();
+    let mut text = response.chunk().await.unwrap().unwrap_or_default().to_vec();
     for _ in 0..3 {
         site.signal(0, "-HUP");
     }
@@ -497,7 +513,7 @@
     })
     .await;
     site.wait_ready(0).await;
-    while let Some(chunk) = answer.chunk().await.unwrap() {
+    while let Some(chunk) = response.chunk().await.unwrap() {
         text.extend_from_slice(&chunk);
     }
     let ids = event_ids(&String::from_utf8(text).unwrap());
@@ -540,12 +556,12 @@
     wait_until("another node is the collector", async || {
         let number = number.fetch_add(1, Ordering::Relaxed);
         let attempt = format!("c{number}");
-        let answer = site
-            .call(reporter, "/plain/x", &attempt)
+        let response = site
+            .request(reporter, "/plain/x", &attempt)
             .send()
             .await
             .unwrap();
-        assert_eq!(answer.status(), StatusCode::OK);
+        assert_eq!(response.status(), StatusCode::OK);
         collector_of(&site, reporter) != Some(first)
     })
     .await;
--- a/crates/zinniahatch_lab/tests/slow_caller.rs
+++ b/crates/zinniahatch_lab/tests/slow_caller.rs
@@ -22,11 +22,11 @@
 async fn stream_cut_off_does_not_look_whole() {
     let site = SiteCluster::start(&[SiteRegion::new("north", 1, 1)], SHAPE).await;
     let attempt = "a".repeat(ID_BYTES);
-    let call = site.call_with_timeout(0, "/stream/look", &attempt, CALLER_TIME);
-    let answer = call.send().await.expect("the stream starts");
+    let request = site.request_with_timeout(0, "/stream/look", &attempt, CALLER_TIME);
+    let response = request.send().await.expect("the stream starts");
     sleep(CALLER_TIME + Duration::from_secs(1)).await;
     assert!(
-        answer.bytes().await.is_err(),
+        response.bytes().await.is_err(),
         "the truncated stream looks complete"
     );
 }
--- a/crates/zinniahatch_lab/tests/store_returns.rs
+++ b/crates/zinniahatch_lab/tests/store_returns.rs
@@ -145,10 +145,10 @@
 
 /// Returns the status with which a node responds; 0 if it does not listen yet.
 async fn status_for_key(site: &SiteCluster, node: usize, key: &str) -> u16 {
-    let call = site.call(node, "/plain/x", "a");
-    let call = call.header("authorization", format!("Token {key}"));
-    let answer = call.send().await;
-    answer.map_or(0, |answer| answer.status().as_u16())
+    let request = site.request(node, "/plain/x", "a");
+    let request = request.header("authorization", format!("Token {key}"));
+    let response = request.send().await;
+    response.map_or(0, |response| response.status().as_u16())
 }
 
 /// Guards against a node that starts after a restore, finds a revoked key in the store and accepts
