--- a/crates/zinniahatch_lab/src/site/requests.rs
+++ b/crates/zinniahatch_lab/src/site/requests.rs
@@ -76,7 +76,7 @@
         self.request_with_timeout(index, path, attempt, CALL_TIMEOUT)
     }
 
-    /// Prepares a request to an entry VM whose caller says that it has the time `timeout`.
+    /// Prepares a request to an entry VM that states `timeout` as the time the caller has left.
     pub fn request_with_timeout(
         &self,
         index: usize,
@@ -151,12 +151,12 @@
         let current = self
             .replicas
             .iter()
-            .map(|(replica, place)| (*place, replica.observations()));
+            .map(|(replica, home)| (*home, replica.observations()));
         let retired = self.retired.iter();
         let retired = retired.map(|ended| (ended.region, ended.observations.clone()));
         current
             .chain(retired)
-            .filter(|(place, _)| *place != region)
+            .filter(|(home, _)| *home != region)
             .flat_map(|(_, observations)| observations.runs.into_keys())
             .collect()
     }
--- a/crates/zinniahatch_lab/src/soak/notices.rs
+++ b/crates/zinniahatch_lab/src/soak/notices.rs
@@ -20,13 +20,13 @@
     log: &OutcomeLog,
 ) {
     let sending_nodes = site.sending_nodes();
-    for (place, id, record) in site.notice_records() {
+    for (replica, id, record) in site.notice_records() {
         let node_of = |attempt: &str| sending_nodes.get(&(attempt.into(), id.clone())).copied();
         let is_exempt = |node: usize, from: Instant, until: Instant| {
             plan.faults.iter().any(|planned| {
                 let end = if interrupts_entry(planned.fault, node) {
                     entries_down_until(plan, planned.until)
-                } else if planned.fault.impaired_link() == Some(place) {
+                } else if planned.fault.impaired_link() == Some(replica) {
                     planned.until + LINK_FAULT_TIME
                 } else {
                     return false;
--- a/crates/zinniahatch_lab/src/test_doubles/store.rs
+++ b/crates/zinniahatch_lab/src/test_doubles/store.rs
@@ -266,7 +266,7 @@
     }
 
     /// Returns the changes of keys with a prefix after a revision; `None` if the history does not reach
-    /// that far.
+    /// back to it.
     fn events(&self, prefix: &str, after: u64) -> Option<EventsBody> {
         let data = self.lock();
         if after < data.compacted || after > data.revision {
--- a/crates/zinniahatch_lab/tests/site.rs
+++ b/crates/zinniahatch_lab/tests/site.rs
@@ -532,7 +532,7 @@
 }
 
 /// Guards against nodes that keep reporting in-flight work to a collector that has died, so that
-/// nobody learns of it. They notice that it forwards nothing and choose another one.
+/// no other node learns of it. They notice that it forwards nothing and choose another one.
 #[tokio::test(flavor = "multi_thread")]
 async fn collector_that_died_is_left() {
     let mut site = SiteCluster::start(&[SiteRegion::new("north", 10, 2)], SHORT).await;
--- a/crates/zinniahatch_lab/tests/slow_caller.rs
+++ b/crates/zinniahatch_lab/tests/slow_caller.rs
@@ -11,7 +11,7 @@
     events: 20_000,
     pause: Duration::from_millis(1),
 };
-/// The time that the caller says it has.
+/// Remaining time that the caller states in its request.
 const CALLER_TIME: Duration = Duration::from_secs(3);
 /// Length of the attempt's id, which each event repeats.
 const ID_BYTES: usize = 8_000;
--- a/crates/zinniahatch_lab/tests/soak.rs
+++ b/crates/zinniahatch_lab/tests/soak.rs
@@ -108,7 +108,7 @@
 ///   request, so that this node took it for alive; the crash was counted only for requests of other
 ///   nodes.
 /// - 704: the innocent request began just after the crashing one on three replicas in a row, before
-///   anybody had been answered, and had run for 43, 44 and 9 ms where the crashing one had for 44,
+///   any caller had been answered, and had run for 43, 44 and 9 ms where the crashing one had for 44,
 ///   42 and 42. It was quarantined instead until a fourth replica ended, and 1 of 983 requests was
 ///   refused.
 #[test_case(511; "ends_alike")]
--- a/crates/zinniahatch_route/tests/notice_handling.rs
+++ b/crates/zinniahatch_route/tests/notice_handling.rs
@@ -349,7 +349,7 @@
     assert_eq!(refusal(&mut table, now), None);
 }
 
-/// Guards against the usual load on a replica that states that it is cold again.
+/// Guards against the usual load on a replica that announces that it is cold again.
 #[test_case(ResponseAuth::Identified, Some(SendRefusal::Cold); "its_own")]
 #[test_case(ResponseAuth::Unverified, None; "of_somebody")]
 fn cold_notice_applies(auth: ResponseAuth, expected: Option<SendRefusal>) {
--- a/crates/zinniahatch_route/tests/notice_simulation/injection.rs
+++ b/crates/zinniahatch_route/tests/notice_simulation/injection.rs
@@ -57,7 +57,7 @@
                 0 if self.replicas[replica].leaving.is_none() => {
                     let ends_at = self.time + self.random_millis(5_000..10_000);
                     self.replicas[replica].leaving = Some(ends_at);
-                    // Its entry states this later, is removed and written again, or stays as it is.
+                    // Its entry shows this later, is removed and written again, or stays as it is.
                     let incarnation = self.replicas[replica].incarnation;
                     match self.rng.random_range(0..3) {
                         0 => {
--- a/crates/zinniahatch_route/tests/rate_limit_simulation/mod.rs
+++ b/crates/zinniahatch_route/tests/rate_limit_simulation/mod.rs
@@ -1,4 +1,4 @@
-//! Simulation of a region's nodes and one replica that states rate limits.
+//! Simulation of a region's nodes and one replica that announces rate limits.
 //!
 //! Faults of nodes, lost datagrams and changes of the limit are drawn from a seed.
 
@@ -40,7 +40,7 @@
     /// Update that nodes send each other.
     type Update: Clone;
 
-    /// Applies the limit stated in a response to a request sent at `sent`.
+    /// Applies the limit announced in a response to a request sent at `sent`.
     fn on_response(&mut self, notice: RateLimitNotice, sent: Instant, now: Instant);
     /// Applies an update of another node.
     fn on_update(&mut self, update: &Self::Update, now: Instant);
@@ -169,7 +169,7 @@
     /// Future events by time and number.
     events: BTreeMap<(Duration, u64), Event<S::Update>>,
     event_count: u64,
-    /// Limits stated so far, each with the time from which it applied.
+    /// Limits announced so far, each with the time from which it applied.
     limits: Vec<(Duration, Option<f64>)>,
     /// Arrival times of the requests from nodes that knew of a limit, and whether they are exempt.
     arrivals: Vec<(Duration, bool)>,
@@ -537,7 +537,7 @@
         worst
     }
 
-    /// Returns since when the replica has stated some limit without a break, as of a time.
+    /// Returns since when the replica has announced some limit without a break, as of a time.
     fn limited_since(&self, at: Duration) -> Option<Duration> {
         let mut since = None;
         for (from, rate) in self.limits.iter().take_while(|(from, _)| *from <= at) {
--- a/crates/zinniahatch_route/tests/rate_limits.rs
+++ b/crates/zinniahatch_route/tests/rate_limits.rs
@@ -143,7 +143,7 @@
     assert_eq!(first.digest(), second.digest());
 }
 
-/// Guards against a replica that states a limit of zero and is never sent a request again.
+/// Guards against a replica that announces a limit of zero and is never sent a request again.
 #[test]
 fn take_zero_rate_is_probed_within_30_s() {
     let now = Instant::now();
