--- a/crates/zinniahatch_lab/src/site/calls.rs
+++ b/crates/zinniahatch_lab/src/site/requests.rs
@@ -44,27 +44,27 @@
         let mut ticks = interval(load.pause);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         let began = Instant::now();
-        let mut answers = Vec::new();
+        let mut responses = Vec::new();
         for number in 0.. {
             ticks.tick().await;
             if began.elapsed() >= time {
                 break;
             }
             let attempt = format!("{tag}-{node}-{number}");
-            let call = self.call_with_timeout(node, load.path, &attempt, load.timeout);
-            answers.extend(call.timeout(load.timeout).send().await);
+            let request = self.request_with_timeout(node, load.path, &attempt, load.timeout);
+            responses.extend(request.timeout(load.timeout).send().await);
         }
-        answers
+        responses
     }
 
     /// Queries an entry VM's directory for the addresses of a region.
     pub async fn resolve(&self, index: usize, region: &str) -> BTreeSet<Box<str>> {
         let address = &self.entries[index].addresses[3];
         let url = format!("http://{address}/resolve?name={HOST}&region={region}&zone={region}-a");
-        let Ok(answer) = Client::new().get(url).send().await else {
+        let Ok(response) = Client::new().get(url).send().await else {
             return BTreeSet::new();
         };
-        let body: serde_json::Value = answer.json().await.unwrap_or_default();
+        let body: serde_json::Value = response.json().await.unwrap_or_default();
         let list = body["addresses"].as_array().cloned().unwrap_or_default();
         list.iter()
             .filter_map(|address| address.as_str().map(Into::into))
@@ -72,12 +72,12 @@
     }
 
     /// Prepares a request to an entry VM with the default time of a caller.
-    pub fn call(&self, index: usize, path: &str, attempt: &str) -> RequestBuilder {
-        self.call_with_timeout(index, path, attempt, CALL_TIMEOUT)
+    pub fn request(&self, index: usize, path: &str, attempt: &str) -> RequestBuilder {
+        self.request_with_timeout(index, path, attempt, CALL_TIMEOUT)
     }
 
-    /// Prepares a request to an entry VM whose caller says that it has the time `timeout`.
-    pub fn call_with_timeout(
+    /// Prepares a request to an entry VM that states `timeout` as the time the caller has left.
+    pub fn request_with_timeout(
         &self,
         index: usize,
         path: &str,
@@ -127,20 +127,20 @@
 
     /// Returns the rate-limit records of all replicas, past and present, with their indices.
     pub fn limit_records(&self) -> Vec<(usize, LimitRecord)> {
-        let living = self.replicas.iter().enumerate();
-        let living = living.map(|(index, (replica, _))| (index, replica.observations().limits));
+        let current = self.replicas.iter().enumerate();
+        let current = current.map(|(index, (replica, _))| (index, replica.observations().limits));
         let ended = self.retired.iter();
         let ended = ended.map(|ended| (ended.position, ended.observations.limits.clone()));
-        living.chain(ended).collect()
+        current.chain(ended).collect()
     }
 
     /// Returns how often an attempt ran, summed over all replicas, past and present.
     pub fn runs(&self, attempt: &str) -> u32 {
-        let living = self
+        let current = self
             .replicas
             .iter()
             .map(|(replica, _)| replica.observations());
-        living
+        current
             .chain(self.retired.iter().map(|ended| ended.observations.clone()))
             .filter_map(|observations| observations.runs.get(attempt).copied())
             .sum()
@@ -148,15 +148,15 @@
 
     /// Returns the attempts that ran on a replica outside a region.
     pub fn runs_outside(&self, region: &str) -> BTreeSet<Box<str>> {
-        let living = self
+        let current = self
             .replicas
             .iter()
-            .map(|(replica, place)| (*place, replica.observations()));
+            .map(|(replica, home)| (*home, replica.observations()));
         let retired = self.retired.iter();
         let retired = retired.map(|ended| (ended.region, ended.observations.clone()));
-        living
+        current
             .chain(retired)
-            .filter(|(place, _)| *place != region)
+            .filter(|(home, _)| *home != region)
             .flat_map(|(_, observations)| observations.runs.into_keys())
             .collect()
     }
@@ -164,12 +164,12 @@
     /// Returns the number of runs of every attempt, summed over all replicas, past and present.
     pub fn all_runs(&self) -> BTreeMap<Box<str>, u32> {
         let mut sum = BTreeMap::new();
-        let living = self
+        let current = self
             .replicas
             .iter()
             .map(|(replica, _)| replica.observations());
         for observations in
-            living.chain(self.retired.iter().map(|ended| ended.observations.clone()))
+            current.chain(self.retired.iter().map(|ended| ended.observations.clone()))
         {
             for (attempt, runs) in observations.runs {
                 *sum.entry(attempt).or_default() += runs;
--- a/crates/zinniahatch_lab/src/site_demo.rs
+++ b/crates/zinniahatch_lab/src/site_demo.rs
@@ -111,25 +111,25 @@
 
 /// Sends a request and reads the response to the end; returns `None` if the connection broke.
 async fn one_call(site: &SiteCluster, entry: usize, route: &str, attempt: &str) -> Option<u16> {
-    let call = site.call(entry, &format!("/{route}/x"), attempt);
-    let answer = call.send().await.ok()?;
-    let status = answer.status().as_u16();
-    answer.bytes().await.ok()?;
+    let request = site.request(entry, &format!("/{route}/x"), attempt);
+    let response = request.send().await.ok()?;
+    let status = response.status().as_u16();
+    response.bytes().await.ok()?;
     Some(status)
 }
 
 fn report(site: &SiteCluster) -> String {
-    let mut sheet = CountTable::default();
+    let mut counts = CountTable::default();
     let mut gaps = Vec::new();
     for (key, text) in site.store.copy_values() {
         if !key.starts_with(zinniahatch_report::ACCOUNTS_PREFIX) {
             continue;
         }
-        let Ok(ledger) = serde_json::from_str::<HourlyCounts>(&text) else {
+        let Ok(hourly) = serde_json::from_str::<HourlyCounts>(&text) else {
             continue;
         };
-        sheet.merge(&ledger.counts);
-        gaps.extend(ledger.gaps);
+        counts.merge(&hourly.counts);
+        gaps.extend(hourly.gaps);
     }
     let query = ReportQuery {
         by: vec![ReportField::Account, ReportField::Region],
@@ -137,5 +137,5 @@
         until: u64::MAX,
         accounts: None,
     };
-    render_table(&run_query(&query, &sheet, gaps, Vec::new()))
+    render_table(&run_query(&query, &counts, gaps, Vec::new()))
 }
--- a/crates/zinniahatch_lab/src/soak/callers.rs
+++ b/crates/zinniahatch_lab/src/soak/callers.rs
@@ -130,8 +130,8 @@
                 "http://{}/resolve?name={HOST}&region={}&zone={}-a",
                 entry.directory, self.region, self.region
             );
-            let asked = async { self.client.get(url).send().await?.bytes().await };
-            let Ok(Ok(body)) = timeout(CONNECT_TIMEOUT, asked).await else {
+            let query = async { self.client.get(url).send().await?.bytes().await };
+            let Ok(Ok(body)) = timeout(CONNECT_TIMEOUT, query).await else {
                 continue;
             };
             let Ok(body) = serde_json::from_slice::<serde_json::Value>(&body) else {
@@ -171,10 +171,10 @@
             .header("x-attempt-id", &attempt)
             .header("x-time-remaining", time_limit.as_millis().to_string());
         let answered = timeout(limit, async {
-            let answer = request.send().await?;
-            let head = (answer.status(), answer.headers().clone());
+            let response = request.send().await?;
+            let head = (response.status(), response.headers().clone());
             // A response whose body fails counts as no response.
-            let body = answer.bytes().await?;
+            let body = response.bytes().await?;
             Ok::<_, reqwest::Error>((head, body))
         })
         .await;
--- a/crates/zinniahatch_lab/tests/keyed_deadline.rs
+++ b/crates/zinniahatch_lab/tests/keyed_deadline.rs
@@ -36,8 +36,8 @@
         .get(format!("{base}/v1/entries"))
         .query(&[("keys", FILLING + WAITING)])
         .bearer_auth(KEY);
-    let answer = request.send().await.expect("the node answers");
-    let body: Value = answer.json().await.expect("the answer is JSON");
+    let response = request.send().await.expect("the node answers");
+    let body: Value = response.json().await.expect("the response is JSON");
     let keys = body["keys"].as_array().expect("the response lists keys");
     keys.iter()
         .filter_map(|key| key.as_str().map(str::to_owned))
@@ -58,8 +58,8 @@
         .header("idempotency-key", key)
         .header("x-zinnia-deadline-ms", deadline)
         .body("entry");
-    let answer = request.send().await.expect("the node answers");
-    let header = answer.headers().get("x-zinnia-code");
+    let response = request.send().await.expect("the node answers");
+    let header = response.headers().get("x-zinnia-code");
     let text = header.and_then(|value| value.to_str().ok());
     let code = text.and_then(|text| text.parse().ok());
     (operation, code.unwrap_or(0))
@@ -104,20 +104,24 @@
         let executions = data.executions.iter();
         executions.map(|execution| execution.operation).collect()
     });
-    let only_waited: Vec<_> = results
+    let never_ran: Vec<_> = results
         .iter()
         .filter(|(operation, _)| !ran.contains(operation))
         .collect();
     assert!(
-        !only_waited.is_empty(),
+        !never_ran.is_empty(),
         "no request was still queued at its deadline"
     );
-    let untrue: Vec<_> = only_waited
+    let misreported: Vec<_> = never_ran
         .iter()
         .filter(|(_, number)| {
             let code = ResultCode::from_number(*number);
             code.is_none_or(|code| code.execution() != Execution::NotRun)
         })
         .collect();
-    assert!(untrue.is_empty(), "of {}: {untrue:?}", only_waited.len());
+    assert!(
+        misreported.is_empty(),
+        "of {}: {misreported:?}",
+        never_ran.len()
+    );
 }
--- a/crates/zinniahatch_lab/tests/operators.rs
+++ b/crates/zinniahatch_lab/tests/operators.rs
@@ -50,8 +50,8 @@
         })
         .await;
     }
-    let shown = ctl(&site, &["site", "preset"]).await;
-    assert!(String::from_utf8_lossy(&shown.stdout).contains("[preset peak]"));
+    let output = ctl(&site, &["site", "preset"]).await;
+    assert!(String::from_utf8_lossy(&output.stdout).contains("[preset peak]"));
     let late = format!("{PRESETS}/maintenance.ini");
     let refused = ctl(&site, &["site", "switch", "--from", "ordinary", &late]).await;
     assert!(!refused.status.success());
@@ -62,8 +62,8 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn explain_tells_a_request_from_logs() {
     let site = site().await;
-    let answer = site.call(0, "/plain/x", "told-1").send().await.unwrap();
-    assert!(answer.status().is_success());
+    let response = site.request(0, "/plain/x", "told-1").send().await.unwrap();
+    assert!(response.status().is_success());
     let path = site.log_path(0).display().to_string();
     wait_until("the response is logged", async || {
         site.log(0).contains("told-1") && site.log(0).contains("answered")
@@ -83,14 +83,14 @@
     let site = site().await;
     for number in 0..3 {
         let attempt = format!("counted-{number}");
-        let answer = site.call(0, "/plain/x", &attempt).send().await.unwrap();
-        assert!(answer.status().is_success());
+        let response = site.request(0, "/plain/x", &attempt).send().await.unwrap();
+        assert!(response.status().is_success());
     }
     for (replica, _) in &site.replicas {
         replica.set_behaviour(ReplicaBehaviour::Shed);
     }
     let refused = site
-        .call(0, "/plain/x", "counted-not")
+        .request(0, "/plain/x", "counted-not")
         .send()
         .await
         .unwrap();
@@ -101,12 +101,12 @@
         log.matches("\"kind\":\"answered\"").count() >= 3 && log.contains("\"kind\":\"refused\"")
     })
     .await;
-    let told = ctl(
+    let output = ctl(
         &site,
         &["losses", "--by", "cause", "--format", "json", &path],
     )
     .await;
-    let rows: Vec<serde_json::Value> = serde_json::from_slice(&told.stdout).unwrap();
+    let rows: Vec<serde_json::Value> = serde_json::from_slice(&output.stdout).unwrap();
     let count = |cause: &str| {
         let mut found = rows.iter().filter(|row| {
             let name = row["cause"].as_str().unwrap_or_default();
