--- a/crates/zinniahatch_change/src/updater.rs
+++ b/crates/zinniahatch_change/src/updater.rs
@@ -80,7 +80,7 @@
 
 struct StoredHead {
     head: ConfigHead,
-    store_revision: u64,
+    key_revision: u64,
 }
 
 impl<S: StoreClient> ConfigUpdater<S> {
@@ -120,7 +120,7 @@
             if let Some(revision) = read.head.revision_of(&request.change) {
                 return Ok(ChangeOutcome::Accepted(revision));
             }
-            if unconfirmed_at.is_some_and(|revision| revision != read.store_revision) {
+            if unconfirmed_at.is_some_and(|revision| revision != read.key_revision) {
                 // The head changed without including this change, so its lost compare-and-swap can
                 // no longer succeed.
                 unconfirmed_at = None;
@@ -143,12 +143,12 @@
             if request.check {
                 return Ok(ChangeOutcome::Checked);
             }
-            match self.swap(&head, &new_parts, read.store_revision).await {
+            match self.swap(&head, &new_parts, read.key_revision).await {
                 Ok(PutOutcome::Done(_)) => return Ok(ChangeOutcome::Accepted(head.revision)),
                 Ok(PutOutcome::Conflict) => {}
                 Err(StoreError::Unavailable(text)) => last_error = text,
                 Err(StoreError::ResponseLost(text)) => {
-                    unconfirmed_at = Some(read.store_revision);
+                    unconfirmed_at = Some(read.key_revision);
                     last_error = text;
                 }
             }
@@ -164,14 +164,14 @@
         let Some(value) = self.store.get(HEAD_KEY).await? else {
             return Ok(StoredHead {
                 head: ConfigHead::default(),
-                store_revision: 0,
+                key_revision: 0,
             });
         };
         let head = serde_json::from_str(&value.value)
             .map_err(|error| StoreError::Unavailable(error.to_string().into()))?;
         Ok(StoredHead {
             head,
-            store_revision: value.revision,
+            key_revision: value.revision,
         })
     }
 
@@ -242,7 +242,7 @@
         &self,
         head: &ConfigHead,
         new_parts: &PartTexts,
-        store_revision: u64,
+        key_revision: u64,
     ) -> Result<PutOutcome, StoreError> {
         for (hash, text) in new_parts {
             // A lost response here leaves the outcome certain: the head is not swapped yet.
@@ -254,7 +254,7 @@
         let text = serde_json::to_string(head)
             .map_err(|error| StoreError::Unavailable(error.to_string().into()))?;
         self.store
-            .put(HEAD_KEY, &text, Some(store_revision), None)
+            .put(HEAD_KEY, &text, Some(key_revision), None)
             .await
     }
 }
--- a/crates/zinniahatch_entry/src/metrics.rs
+++ b/crates/zinniahatch_entry/src/metrics.rs
@@ -213,7 +213,7 @@
         self.proof_age.set(millis);
     }
 
-    /// Sets the number of count sheets dropped since the start.
+    /// Sets the number of batches of counts dropped since the start.
     pub(crate) fn set_dropped_sheets(&self, count: u64) {
         self.dropped_sheets.set(count as i64);
     }
